--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -46,7 +46,10 @@
         method = made.settings.methods["read"]
         print(f"{count} nodes, {count} peers")
         print("  a whole list      ", timed(lambda _, made=made, list_=list_: made.listed(list_, True), 9))
-        print("  one node's news   ", timed(lambda n, made=made, list_=list_: made.listed(list_[n : n + 1], False), 50))
+        print(
+            "  one node's news   ",
+            timed(lambda n, made=made, list_=list_: made.listed(list_[n : n + 1], False), 50),
+        )
 
         def choose(turn: int, made=made, method=method) -> None:
             now = made.now() + turn
@@ -58,7 +61,9 @@
         slots = made.choice.placement.slots
         print("  an order, written ", timed(lambda _, slots=slots: order(slots), 50))
         parts = order(slots)
-        print("  and put together  ", timed(lambda _, parts=parts: [read_order(one, {}) for one in parts], 50))
+        print(
+            "  and put together  ", timed(lambda _, parts=parts: [read_order(one, {}) for one in parts], 50)
+        )
         marks = [*map(mark, slots)]
         nodes = [*made.choice.nodes.values()]
         print("  and taken up      ", timed(
--- a/ivystack/choice.py
+++ b/ivystack/choice.py
@@ -20,9 +20,33 @@
 from random import Random
 
 from .model import (  # fmt: skip
-    CLIENT_GONE, DEDUPLICATED, DONE, ERRORED, FAIL, FULL, GO, LEFT, MISSED, NACK, NON_RETRYABLE, OVERDUE,
-    READY, RECALLED, REFUSED, RETRYABLE, SATISFIED, SEVERED, SUPERSEDED, UNFIT, WAIT, Errors, Method, Node,
-    Req, Tenant, Attempt,
+    CLIENT_GONE,
+    DEDUPLICATED,
+    DONE,
+    ERRORED,
+    FAIL,
+    FULL,
+    GO,
+    LEFT,
+    MISSED,
+    NACK,
+    NON_RETRYABLE,
+    OVERDUE,
+    READY,
+    RECALLED,
+    REFUSED,
+    RETRYABLE,
+    SATISFIED,
+    SEVERED,
+    SUPERSEDED,
+    UNFIT,
+    WAIT,
+    Errors,
+    Method,
+    Node,
+    Req,
+    Tenant,
+    Attempt,
 )
 from .words import ENDING, asker, endings, mark, order, question, read_endings, read_order
 
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -15,8 +15,22 @@
 from random import Random
 
 from .forms import (  # fmt: skip
-    CONFIG, DATA, NOTHING, Append, Appended, Ask, Config, Entry, Hand, Install, Message, Older, Snapshot,
-    Vote, config_of, packed,
+    CONFIG,
+    DATA,
+    NOTHING,
+    Append,
+    Appended,
+    Ask,
+    Config,
+    Entry,
+    Hand,
+    Install,
+    Message,
+    Older,
+    Snapshot,
+    Vote,
+    config_of,
+    packed,
 )
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -32,9 +32,7 @@
         )  # fmt: skip
         self.member: Member | None = None
         self.client = Client(proxy.deadlines, proxy.now, self.rng, self.mesh, [*fleet.members])
-        self.duties = Duties(
-            proxy, self.mesh, self.client, fleet.times.lease * 1000, fleet.times.drift
-        )
+        self.duties = Duties(proxy, self.mesh, self.client, fleet.times.lease * 1000, fleet.times.drift)
         if fleet.name in fleet.members:
             self.join()
 
--- a/ivystack/migrate.py
+++ b/ivystack/migrate.py
@@ -18,8 +18,19 @@
 import msgspec
 
 from .settings import (  # fmt: skip
-    BlendSheet, Config, FaultError, LimitsSheet, MachineSheet, MethodSheet, ReportingSheet, RulesSheet, Run,
-    Sheet, SpecificsSheet, TenantSheet, checked,
+    BlendSheet,
+    Config,
+    FaultError,
+    LimitsSheet,
+    MachineSheet,
+    MethodSheet,
+    ReportingSheet,
+    RulesSheet,
+    Run,
+    Sheet,
+    SpecificsSheet,
+    TenantSheet,
+    checked,
 )
 
 # Where something is known by its key's place: the sheet that names all keys there.
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -14,7 +14,14 @@
 import enum
 import socket
 from errno import (  # fmt: skip
-    EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EWOULDBLOCK, errorcode,
+    EAGAIN,
+    EINTR,
+    EMFILE,
+    ENFILE,
+    ENOBUFS,
+    ENOMEM,
+    EWOULDBLOCK,
+    errorcode,
 )
 
 from loguru import logger
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -13,7 +13,17 @@
 from twisted.internet.protocol import ClientFactory
 
 from ..model import (  # fmt: skip
-    ERRORED, FULL, MISSED, OVERDUE, RECALLED, REFUSED, RETRYABLE, SATISFIED, SEVERED, SUPERSEDED, UNFIT,
+    ERRORED,
+    FULL,
+    MISSED,
+    OVERDUE,
+    RECALLED,
+    REFUSED,
+    RETRYABLE,
+    SATISFIED,
+    SEVERED,
+    SUPERSEDED,
+    UNFIT,
     Attempt,
 )
 from . import tables
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -14,7 +14,20 @@
 from twisted.python.failure import Failure
 
 from ..model import (  # fmt: skip
-    CLIENT_GONE, DONE, FAIL, GO, LEAVING, LEFT, NACK, READY, SATISFIED, SUPERSEDED, WAIT, Attempt, Node, Req,
+    CLIENT_GONE,
+    DONE,
+    FAIL,
+    GO,
+    LEAVING,
+    LEFT,
+    NACK,
+    READY,
+    SATISFIED,
+    SUPERSEDED,
+    WAIT,
+    Attempt,
+    Node,
+    Req,
     figures,
 )
 from ..settings import Run, address, doubtful
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -229,9 +229,7 @@
     return [Breach("nothing is sent on for nobody", when, one.ident.decode(), text)]
 
 
-def begun_for_nobody(
-    tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms
-) -> list[Breach]:
+def begun_for_nobody(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
     """No attempt begins once the client has gone, but for what crosses its end; the third is a breach."""
     taken, late = defaultdict(list), []
     for one in ledger.taken:
--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -37,7 +37,8 @@
         click.option("--keep", type=click.Path(path_type=Path), help="Keep logs and records in this folder."),
         click.option("--plot", "picture", type=click.Path(path_type=Path), help="Draw the run to this PNG."),
         click.option(
-            "--program", type=click.Path(exists=True, file_okay=False, path_type=Path),
+            "--program",
+            type=click.Path(exists=True, file_okay=False, path_type=Path),
             help="The folder that holds the package to run, another version for instance.",
         ),
         click.option("--quiet", is_flag=True, help="The verdict alone."),
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -15,7 +15,19 @@
 from .processes import Process
 from .record import US, Mark
 from .scenario import (  # fmt: skip
-    AIMED, CLIENTS, FILES, HOLDER, LEADER, LINK, LISTS, PAUSE, PEER, PROCESS, TRIER, Fault, found,
+    AIMED,
+    CLIENTS,
+    FILES,
+    HOLDER,
+    LEADER,
+    LINK,
+    LISTS,
+    PAUSE,
+    PEER,
+    PROCESS,
+    TRIER,
+    Fault,
+    found,
 )
 
 
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -80,6 +80,7 @@
         while self.kept:
             self.kept.pop().close()
 
+
 class Ping(Resp):
     def __init__(self, done):
         super().__init__()
@@ -185,8 +186,13 @@
             process.sockets = fleet.sockets
         self.record.processes = [*self.processes.values()]
         self.clients = Clients(
-            self.reactor, self.now, Random(self.rng.getrandbits(64)), self.to_proxies, CLASSES,
-            self.hub.refused, self.scenario.load.reuse == "oldest",
+            self.reactor,
+            self.now,
+            Random(self.rng.getrandbits(64)),
+            self.to_proxies,
+            CLASSES,
+            self.hub.refused,
+            self.scenario.load.reuse == "oldest",
         )
         self.arrivals = drawn(
             Random(self.rng.getrandbits(64)), self.scenario.seconds, self.scenario.load.rate,
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -22,7 +22,19 @@
 
 from ..choice import Choice
 from ..model import (  # fmt: skip
-    FAIL, FULL, GO, LEFT, MISSED, NACK, OVERDUE, READY, REFUSED, SATISFIED, Node, Req, Attempt,
+    FAIL,
+    FULL,
+    GO,
+    LEFT,
+    MISSED,
+    NACK,
+    OVERDUE,
+    READY,
+    REFUSED,
+    SATISFIED,
+    Node,
+    Req,
+    Attempt,
 )
 from ..settings import Settings
 
--- a/ivystack/settings.py
+++ b/ivystack/settings.py
@@ -205,7 +205,6 @@
             tick=us(sheet.granularity),
         )
 
-
     def near(self, grace: int) -> tuple[int, int]:
         most = min(self.PAUSES[1], grace // self.GRACE or self.PAUSES[1])
         return min(self.PAUSES[0], most), most
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -219,4 +219,3 @@
             return link.transport.abortConnection()
         command.place[0] = text
         link.flush()
-
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,8 +18,19 @@
 
 
 def choice(
-    listed=(), *, tenants=(), cold_share=1.0, cold=0, sized=False, now=0, proxies=1, peers=False, me=0,
-    live=False, fall=4.0, **more
+    listed=(),
+    *,
+    tenants=(),
+    cold_share=1.0,
+    cold=0,
+    sized=False,
+    now=0,
+    proxies=1,
+    peers=False,
+    me=0,
+    live=False,
+    fall=4.0,
+    **more,
 ):
     rng = Random(1 + me)
     given = dict(origin=-1, most_write_outs=3, may_duplicate=True, come_back=0, tick=0)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -15,7 +15,16 @@
 from ivystack.consensus import core as real
 from ivystack.consensus.core import Save
 from ivystack.consensus.forms import (  # fmt: skip
-    CONFIG, DATA, Append, Appended, Ask, Config, Entry, Install, Older, Snapshot,
+    CONFIG,
+    DATA,
+    Append,
+    Appended,
+    Ask,
+    Config,
+    Entry,
+    Install,
+    Older,
+    Snapshot,
 )
 from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, NewerError, Table
 from ivystack.consensus.member import EACH, ENTRY, Member
@@ -471,5 +480,3 @@
     told = {scene[0]: process.communicate(timeout=120)[0] for scene, process in
             [(scene, playing(*scene)) for scene in scenes]}  # fmt: skip
     assert [text for text in told.values() if not text.startswith("HOLDS")] == []
-
-
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -241,8 +241,14 @@
     marks = [own[at : at + 3] for at in range(0, 12, 3)]
     other = b"".join(reversed(marks))
     assert order.take(other) == "" and order.own() == other
-    for bad, why in ((b"", "malformed"), (b"ab", "malformed"), (other + marks[0], "malformed"),
-                     (bytes(15_000), "malformed"), (b"xyzuvw", "strange"), (marks[0] + b"xyz", "strange")):
+    for bad, why in (
+        (b"", "malformed"),
+        (b"ab", "malformed"),
+        (other + marks[0], "malformed"),
+        (bytes(15_000), "malformed"),
+        (b"xyzuvw", "strange"),
+        (marks[0] + b"xyz", "strange"),
+    ):
         assert order.take(bad) == why and order.own() == other
     awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
     assert order.take(awaited) == "" and order.own() == awaited
@@ -281,7 +287,7 @@
     assert [text for text in told.values() if not text.startswith("HOLDS")] == []
 
 
-STOPS = '''        token = self.keeper.held(ORDER, self.now())  # right before the act
+STOPS = """        token = self.keeper.held(ORDER, self.now())  # right before the act
         import os, signal
         if self.written is not None:
             try:
@@ -289,7 +295,7 @@
                 os.kill(os.getpid(), signal.SIGSTOP)
             except FileExistsError:
                 pass
-'''
+"""
 
 
 def test_a_holder_stopped_between_check_and_act_does_harm_only_without_the_fences(tmp_path):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -230,7 +230,7 @@
             lost(link(of.made))
         else:
             pass_by(of.made, 1001)
-        (of_whom, outcome), = of.ends
+        ((of_whom, outcome),) = of.ends
         assert of_whom is out and (outcome in decisions.NEVER_RAN) is not written_first
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -163,9 +163,11 @@
     if isinstance(of, dict):
         return {str(key): says(one, deep + 1) for key, one in of.items()}
     if isinstance(of, list | tuple | set):
-        return sorted((says(one, deep + 1) for one in of), key=repr) if isinstance(of, set) else [
-            says(one, deep + 1) for one in of
-        ]
+        return (
+            sorted((says(one, deep + 1) for one in of), key=repr)
+            if isinstance(of, set)
+            else [says(one, deep + 1) for one in of]
+        )
     names = [*getattr(of, "__slots__", ()), *getattr(of, "__dict__", ())]
     if deep > 4 or not type(of).__module__.startswith("ivystack"):
         return None
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -11,7 +11,6 @@
 from ivystack.settings import FaultError, Settings
 
 
-
 def played(loads, load=1.0, nodes=16, proxies=40, seconds=5, fault=None, **more):
     """A fleet asked for so much of what its cores can do; with a `fault` to set up."""
     world = World(nodes=nodes, proxies=proxies, reqs_per_s=nodes * 3 / work(loads) * load, **more)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,6 @@
 from test_main import free_port
 
 
-
 def ended(process):
     told = process.communicate(timeout=10)[1]
     return process.returncode, told
