--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -1,4 +1,4 @@
-"""What a thousand nodes and a thousand peers cost one proxy: memory, a whole list, a choice, a slot order.
+"""What a thousand nodes and a thousand peers cost one proxy: memory, a whole list, a balancer, a slot order.
 
     PYTHONPATH=. .venv-ci/bin/python benchmarks/thousand.py
 
@@ -19,7 +19,7 @@
 
 from helpers import entries, proxy, told  # noqa: E402
 
-from ivystack.model import Req  # noqa: E402
+from ivystack.model import Outcome, Request
 from ivystack.words import mark, order, read_order  # noqa: E402
 
 
@@ -43,7 +43,7 @@
         run.peers = [("127.0.0.1", 2000 + number) for number in range(count)]
         made = proxy(0, run=run)
         list_ = entries(count)
-        method = made.settings.methods["read"]
+        method = made.settings.request_classes["read"]
         print(f"{count} nodes, {count} peers")
         print("  a whole list      ", timed(lambda _, made=made, list_=list_: made.listed(list_, True), 9))
         print(
@@ -53,21 +53,27 @@
 
         def choose(turn: int, made=made, method=method) -> None:
             now = made.now() + turn
-            req = Req(method, now, now + 10**6, rng.getrandbits(60))
-            made.choice.where(req, now)
-            made.choice.after(req.attempts[0], "satisfied", now + 5)
+            request = Request(method, now, now + 10**6, rng.getrandbits(60))
+            made.balancer.route(request, now)
+            made.balancer.record_outcome(request.attempts[0], Outcome.SUCCEEDED, now + 5)
 
-        print("  a choice, new key ", timed(choose, 400))
-        slots = made.choice.placement.slots
+        print("  a balancer, new key ", timed(choose, 400))
+        slots = made.balancer.placement.slots
         print("  an order, written ", timed(lambda _, slots=slots: order(slots), 50))
         parts = order(slots)
         print(
             "  and put together  ", timed(lambda _, parts=parts: [read_order(one, {}) for one in parts], 50)
         )
         marks = [*map(mark, slots)]
-        nodes = [*made.choice.nodes.values()]
-        print("  and taken up      ", timed(
-            lambda _, made=made, marks=marks, nodes=nodes: made.choice.placement.adopt(marks, nodes, 0), 20))  # fmt: skip
+        nodes = [*made.balancer.servers.values()]
+        print(
+            "  and taken up      ",
+            timed(
+                # fmt: skip
+                lambda _, made=made, marks=marks, nodes=nodes: made.balancer.placement.adopt(marks, nodes, 0),
+                20,
+            ),
+        )
         print("  a hand-over's word", timed(lambda _, made=made: msgspec.json.encode(made.state()), 9),
               f"{len(msgspec.json.encode(made.state())) >> 10} KB")  # fmt: skip
     print(f"memory at the end: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10} MB")
--- a/ivystack/choice.py
+++ b/ivystack/choice.py
@@ -1,12 +1,12 @@
-"""All decisions of ivystack: where a req goes, when, how often, and whether at all.
+"""All decisions of ivystack: where a request goes, when, how often, and whether at all.
 
-Three calls, on one Choice an instance:
-    where(req, now)                 -> (GO, node, until), (WAIT, None, 0), (NACK, None, come_back_in)
-                                       or (FAIL, None, 0)
-    after(attempt, outcome, now)  -> the same for its req (or DONE), and a list of attempts to call off
+Three calls, on one Balancer an instance:
+    where(request, now)                 -> (GO, server, until), Wait(), (NACK, None, come_back_in)
+                                       or Fail()
+    after(attempt, outcome, now)  -> the same for its request (or DONE), and a list of attempts to call off
     wait(now)                       -> microseconds until the next thing is due (None: nothing is), and the
-                                       reqs due now, in order, for each of which `where` is to be asked
-`listed(nodes, whole, now)` and `told(words, now)` tell news of the list and of peers and answer nothing.
+                                       requests due now, in order, for each of which `where` is to be asked
+`listed(servers, whole, now)` and `told(words, now)` tell news of the list and of peers and answer nothing.
 docs/design.md says what comes from the paper, and when each exception acts.  Times: whole microseconds.
 """
 
@@ -19,38 +19,36 @@
 from math import ceil, inf, log2
 from random import Random
 
-from .model import (  # fmt: skip
-    CLIENT_GONE,
-    DEDUPLICATED,
-    DONE,
-    ERRORED,
-    FAIL,
-    FULL,
-    GO,
-    LEFT,
-    MISSED,
-    NACK,
-    NON_RETRYABLE,
-    OVERDUE,
-    READY,
-    RECALLED,
-    REFUSED,
-    RETRYABLE,
-    SATISFIED,
-    SEVERED,
-    SUPERSEDED,
-    UNFIT,
-    WAIT,
-    Errors,
-    Method,
-    Node,
-    Req,
-    Tenant,
+from .model import (
     Attempt,
+    CloseIdleConnections,
+    Decision,
+    DedupGroup,
+    Done,
+    Fail,
+    FailureState,
+    Idempotency,
+    Outcome,
+    OutcomeDecision,
+    Reject,
+    Request,
+    RequestClass,
+    Send,
+    SendGossip,
+    Server,
+    ServerState,
+    Tenant,
+    Wait,
+    Wakeup,
 )
 from .words import ENDING, asker, endings, mark, order, question, read_endings, read_order
 
-NEVER_RAN = {FULL, REFUSED, SUPERSEDED, MISSED}  # the wire page: these endings prove it
+NEVER_RAN = {
+    Outcome.OVERLOADED,
+    Outcome.CONNECTION_REFUSED,
+    Outcome.NOT_SENT,
+    Outcome.CACHE_MISS,
+}  # the wire page: these endings prove it
 
 
 # --- Placement: the paper's, sections IV and V ---
@@ -107,52 +105,56 @@
 
     def __init__(self, sized: bool, live: bool = False):
         self.sized, self.live, self.parts = sized or live, live, self.PARTS if live else 1
-        self.slots: list[Node] = []
-        self.known: OrderedDict[tuple[int, int], list[Node]] = OrderedDict()
+        self.slots: list[Server] = []
+        self.known: OrderedDict[tuple[int, int], list[Server]] = OrderedDict()
 
-    def settle(self, nodes: list[Node], now: int) -> None:
+    def settle(self, servers: list[Server], now: int) -> None:
         """In line with the list: freed slots go to the last slot's cache, new caches go last."""
         before = list(self.slots)
-        ready = {node for node in nodes if node.state == READY}
+        ready = {server for server in servers if server.state == ServerState.READY}
         for slot in range(len(self.slots) - 1, -1, -1):
-            node = self.slots[slot]
-            crashed = node.state == LEFT and not node.drained and now - node.left_at < self.AWAITED
-            if node not in ready and not crashed:
+            server = self.slots[slot]
+            crashed = (
+                server.state == ServerState.GONE
+                and not server.was_draining
+                and now - server.gone_at < self.AWAITED
+            )
+            if server not in ready and not crashed:
                 last = self.slots.pop()
                 if slot < len(self.slots):
                     self.slots[slot] = last
-        awaited = {node.name: slot for slot, node in enumerate(self.slots) if node.unnamed}
-        for node in ready if awaited else ():
-            if (slot := awaited.get(mark(node).hex())) is not None:
-                self.slots[slot] = node
-        self.slots += sorted(ready - {*self.slots}, key=lambda node: (node.started, node.name))
+        awaited = {server.name: slot for slot, server in enumerate(self.slots) if server.is_placeholder}
+        for server in ready if awaited else ():
+            if (slot := awaited.get(mark(server).hex())) is not None:
+                self.slots[slot] = server
+        self.slots += sorted(ready - {*self.slots}, key=lambda server: (server.started_at, server.name))
         if self.slots != before:
             self.known.clear()
 
-    def adopt(self, marks: list[bytes], nodes: list[Node], now: int) -> None:
+    def adopt(self, marks: list[bytes], servers: list[Server], now: int) -> None:
         """Takes another proxy's order; who is not on our list is awaited, as after a crash."""
-        known: dict[bytes, list[Node]] = {}  # two of a thousand may have one mark: the older comes first
-        for node in sorted(nodes, key=lambda node: (node.started, node.name), reverse=True):
-            known.setdefault(mark(node), []).append(node)
-        more = dict(state=LEFT, left_at=now, window=Room.START, unnamed=True)
-        more["weight"] = sum(node.weight for node in nodes) / max(1, len(nodes))
-        self.slots = [known[one].pop() if known.get(one) else Node(one.hex(), **more) for one in marks]
+        known: dict[bytes, list[Server]] = {}  # two of a thousand may have one mark: the older comes first
+        for server in sorted(servers, key=lambda server: (server.started_at, server.name), reverse=True):
+            known.setdefault(mark(server), []).append(server)
+        more = dict(state=ServerState.GONE, gone_at=now, concurrency_limit=Room.START, is_placeholder=True)
+        more["weight"] = sum(server.weight for server in servers) / max(1, len(servers))
+        self.slots = [known[one].pop() if known.get(one) else Server(one.hex(), **more) for one in marks]
         self.known.clear()
-        self.settle(nodes, now)
+        self.settle(servers, now)
 
-    def homes(self, key: int, k: int) -> list[Node]:
+    def homes(self, key: int, k: int) -> list[Server]:
         """The key's k replicas in order, and last its spare.  A greater k leaves them there, but for those on
         the first slots: the same walk, with more digits."""
-        nodes = self.known.get((key, k))
-        if nodes is None:
+        servers = self.known.get((key, k))
+        if servers is None:
             found = draws(key, len(self.slots), self.parts)
             if self.sized:
                 found = self.sized_digits(found)
-            nodes = [self.slots[slot] for slot in spots(found, k)[: max(k, self.MOST)]]
-            self.known[key, k] = nodes
+            servers = [self.slots[slot] for slot in spots(found, k)[: max(k, self.MOST)]]
+            self.known[key, k] = servers
             if len(self.known) > self.KEPT:
                 self.known.popitem(last=False)
-        return nodes
+        return servers
 
     def sized_digits(self, found: list[int]) -> list[int]:
         """Quasi-digits (section V): slot l takes [0, k p_l) of the draw, in k equal parts, one a replica.
@@ -170,7 +172,7 @@
 
 
 class Popular:
-    """More replicas for a key that is hotter than its caches can bear, as own reqs show: a soft spot."""
+    """More replicas for a key that is hotter than its caches can bear, as own requests show: a soft spot."""
 
     KEPT = 64  # last keys: a key of a twentieth of the traffic shows thrice; a light proxy's last 15 s or so
     EACH = 0.33  # of a cache's mean load is what a key may add to a replica: half, quarter tried
@@ -179,7 +181,7 @@
         self.last: deque[int | None] = deque(maxlen=self.KEPT)
 
     def replicas(self, key: int | None, k: int, slots: int) -> int:
-        """At least k; the req itself does not count, so a key seen once gets k."""
+        """At least k; the request itself does not count, so a key seen once gets k."""
         loads = (self.last.count(key) - 1) / max(1, len(self.last)) * slots / self.EACH
         return max(k, min(slots, ceil(loads)))
 
@@ -188,122 +190,136 @@
 
 
 class Health:
-    """Tells nodes that can be sent work from those that get a trial now and then."""
-
-    FAILED = 2  # in a row: one can be chance, and each further one costs a req its time
-    PAUSE = 500_000  # before a down node's first trial; doubled a trial, up to eight times that
-    PASSED = 2  # own reqs passed by before that, doubled alike: guards a node against hundreds' trials
-
-    def up(self, node: Node) -> bool:
-        return node.failures < self.FAILED
-
-    def due(self, node: Node, now: int) -> bool:
-        return now >= node.trial_at and node.passed >= self.PASSED << min(max(node.trials - 1, 0), 3)
-
-    def failed(self, node: Node, broken: bool, now: int) -> None:
-        node.failures += 1
-        node.broken = node.broken or broken
-        if node.failures >= self.FAILED and now >= node.trial_at:
-            node.trial_at = now + (self.PAUSE << min(node.trials, 3))
-            node.trials += 1
-            node.passed = 0
-
-    def answered(self, node: Node, now: int) -> None:
-        if node.broken and node.trials > 2:  # still refused at a trial
-            node.started = now  # its process was gone, so it is back cold, though the list may not say so yet
-        node.broken = False
-        if node.failures >= self.FAILED:
-            node.failures = self.FAILED - 1  # on trial still: one that fails now and then is out at once
+    """Tells servers that can be sent work from those that get a trial now and then."""
+
+    FAILED = 2  # in a row: one can be chance, and each further one costs a request its time
+    PAUSE = 500_000  # before a down server's first trial; doubled a trial, up to eight times that
+    PASSED = 2  # own requests passed by before that, doubled alike: guards a server against hundreds' trials
+
+    def up(self, state: FailureState) -> bool:
+        return state.consecutive_failures < self.FAILED
+
+    def due(self, state: FailureState, now: int) -> bool:
+        return now >= state.next_probe_at and state.skipped_requests >= self.PASSED << min(
+            max(state.probes - 1, 0), 3
+        )
+
+    def failed(self, state: FailureState, broken: bool, now: int) -> None:
+        state.consecutive_failures += 1
+        state.connection_failed = state.connection_failed or broken
+        if state.consecutive_failures >= self.FAILED and now >= state.next_probe_at:
+            state.next_probe_at = now + (self.PAUSE << min(state.probes, 3))
+            state.probes += 1
+            state.skipped_requests = 0
+
+    def came_back(self, server: Server, now: int) -> None:
+        if server.health.connection_failed and server.health.probes > 2:  # still refused at a trial
+            server.started_at = (
+                now  # its process was gone, so it is back cold, though the list may not say so yet
+            )
+
+    def answered(self, state: FailureState) -> None:
+        state.connection_failed = False
+        if state.consecutive_failures >= self.FAILED:
+            state.consecutive_failures = (
+                self.FAILED - 1
+            )  # on trial still: one that fails now and then is out at once
         else:
-            node.failures, node.trials, node.trial_at = 0, 0, 0
+            state.consecutive_failures, state.probes, state.next_probe_at = 0, 0, 0
 
 
 # --- The ways to other zones ---
 
 
 class Ways:
-    """Tells zones out of reach from here: a slow or lossy way, or all of a zone's nodes at fault.
+    """Tells zones out of reach from here: a slow or lossy way, or all of a zone's servers at fault.
 
-    Guards reqs against homes that are well, and content with their own zone's proxies, but can't answer us in
-    time.  Judged as a node is, by bad endings in a row; never so that no zone is left."""
+    Guards requests against homes that are well, and content with their own zone's proxies, but can't answer
+    us in
+    time.  Judged as a server is, by bad endings in a row; never so that no zone is left."""
 
-    ROW = 8  # over all of its nodes: far more than chance or one sick node gives
+    ROW = 8  # over all of its servers: far more than chance or one sick server gives
 
     def __init__(self):
-        self.zones: dict[str, Errors] = {}
+        self.zones: dict[str, FailureState] = {}
 
     def ended(self, zone: str, well: bool) -> None:
-        one = self.zones.setdefault(zone, Errors())
+        one = self.zones.setdefault(zone, FailureState())
         if not well:
-            one.failures += 1
-        elif one.failures >= self.ROW:
-            one.failures = self.ROW - 1  # on trial still
+            one.consecutive_failures += 1
+        elif one.consecutive_failures >= self.ROW:
+            one.consecutive_failures = self.ROW - 1  # on trial still
         else:
-            self.zones[zone] = Errors()
+            self.zones[zone] = FailureState()
 
     def far(self, zone: str, now: int) -> bool:
         one = self.zones.get(zone)
-        bad = one and one.failures >= self.ROW and now < one.trial_at
-        return bool(bad) and any(other.failures < self.ROW for other in self.zones.values())
+        bad = one and one.consecutive_failures >= self.ROW and now < one.next_probe_at
+        return bool(bad) and any(other.consecutive_failures < self.ROW for other in self.zones.values())
 
     def sent(self, zone: str, now: int) -> None:
         """One that went to a far zone is its trial: the next one waits."""
         one = self.zones.get(zone)
-        if one and one.failures >= self.ROW and now >= one.trial_at:
-            one.trial_at = now + (Health.PAUSE << min(one.trials, 3))
-            one.trials += 1
+        if one and one.consecutive_failures >= self.ROW and now >= one.next_probe_at:
+            one.next_probe_at = now + (Health.PAUSE << min(one.probes, 3))
+            one.probes += 1
 
 
-# --- Live weights: where the list lowers a node's size by the reqs that it holds ---
+# --- Live weights: where the list lowers a server's size by the requests that it holds ---
 
 
 class Live:
-    """Tells a node's size from its load in such a weight, size / (1 + reqs held a core).
+    """Tells a server's size from its load in such a weight, size / (1 + requests held a core).
 
     Guards keys and proxies against sizes that move with each list: the greatest weight that a kind has shown
     is its size, since one at rest shows it, and a proxy that starts late finds the same."""
 
     STEPS = 4  # of sizes, a doubling: noise and what a kind still lacks of its size move no key
     AGE = 3_000_000  # a load counts in full when listed and not at all so much later: some lists on
-    REST = 1.0  # reqs held a core: none waits there
+    REST = 1.0  # requests held a core: none waits there
 
     def __init__(self):
         self.most: dict[int, float] = {}
         self.mean = 0.0  # load of the caches listed last
 
-    def sized(self, nodes: list[Node], now: int) -> bool:
+    def sized(self, servers: list[Server], now: int) -> bool:
         """Gives each its kind's size; whether that is news for any."""
-        before = [node.weight for node in nodes]
-        for node in nodes:
-            node.weight = 2 ** (round(log2(self.most.get(node.kind, 1.0)) * self.STEPS) / self.STEPS)
-        self.mean = sum(self.load(node, now) for node in nodes) / max(1, len(nodes))
-        return before != [node.weight for node in nodes]
-
-    def listed(self, node: Node, weight: float, now: int) -> None:
-        most = self.most[node.kind] = max(weight, self.most.get(node.kind, 0.0))
-        node.load, node.load_at = most / weight - 1, now
-
-    def reported(self, node: Node, figures: dict[str, float], now: int) -> None:
-        """What the node told of itself with an answer: reqs held, or at the least those that wait there."""
+        before = [server.weight for server in servers]
+        for server in servers:
+            server.weight = 2 ** (round(log2(self.most.get(server.kind, 1.0)) * self.STEPS) / self.STEPS)
+        self.mean = sum(self.load(server, now) for server in servers) / max(1, len(servers))
+        return before != [server.weight for server in servers]
+
+    def listed(self, server: Server, weight: float, now: int) -> None:
+        most = self.most[server.kind] = max(weight, self.most.get(server.kind, 0.0))
+        server.load, server.load_reported_at = most / weight - 1, now
+
+    def reported(self, server: Server, figures: dict[str, float], now: int) -> None:
+        """What the server told of itself with an answer: requests held, or at the least those that wait
+        there."""
         held = figures.get("active")
         if held is None and figures.get("waiting"):
-            held = self.REST * node.weight + figures["waiting"]
+            held = self.REST * server.weight + figures["waiting"]
         if held is not None:
-            node.load, node.load_at = held / node.weight, now
+            server.load, server.load_reported_at = held / server.weight, now
 
-    def load(self, node: Node, now: int) -> float:
+    def load(self, server: Server, now: int) -> float:
         """What is known of it, the less the older, and our own attempts since on top."""
-        return node.load * max(0.0, 1 - (now - node.load_at) / self.AGE) + node.in_flight / node.weight
+        return (
+            server.load * max(0.0, 1 - (now - server.load_reported_at) / self.AGE)
+            + server.in_flight / server.weight
+        )
 
 
-# --- Cold nodes: they take part of their keys' reqs, by chance ---
+# --- Cold servers: they take part of their keys' requests, by chance ---
 
 
 class Cold:
-    """A cold node is open to the part of its reqs that it can be counted on for, whoever sends them.
+    """A cold server is open to the part of its requests that it can be counted on for, whoever sends them.
 
-    Guards against pushing it over: each req draws its luck once, so all proxies' loads together are that part
-    of the node's usual load, however many they are and whatever they know; nothing is saved up."""
+    Guards against pushing it over: each request draws its luck once, so all proxies' loads together are that
+    part
+    of the server's usual load, however many they are and whatever they know; nothing is saved up."""
 
     def __init__(self, cold_share: float, cold: int, fall: float):
         self.share, self.cold = cold_share, cold
@@ -311,13 +327,13 @@
         # chance and clients that try again may make of its own part.
         self.spill = min(1.0, max(0.0, (fall - 2) / 2))
 
-    def warmth(self, node: Node, now: int) -> float:
+    def warmth(self, server: Server, now: int) -> float:
         """The part of its capacity that it can be counted on for; 1 once it is warm."""
-        if not node.started or not self.cold:
+        if not server.started_at or not self.cold:
             return 1.0
-        part = self.share + (1 - self.share) * max(0, now - node.started) / self.cold
+        part = self.share + (1 - self.share) * max(0, now - server.started_at) / self.cold
         # Guards it where all that is asked is more than the fleet can do, and its part with it.
-        held = node.load if now < node.load_at + Live.AGE else 0.0
+        held = server.load if now < server.load_reported_at + Live.AGE else 0.0
         return 1.0 if part >= 1 else part / max(Live.REST, held)
 
 
@@ -325,99 +341,125 @@
 
 
 class Room:
-    """How many of our attempts a node bears at once, and what part of our reqs: shown by what came in time.
+    """How many of our attempts a server bears at once, and what part of our requests: shown by what came in
+    time.
 
     Guards against the jam: where late work is not stopped, sending on keeps a queue full that makes all late.
     """
 
     LEAST, MOST = 0.05, 64.0  # one in 2 s shows when it is better; the most bounds a fall
-    CLOSED = 0.02  # of our reqs still go out, else slow errors or full nodes would close all for good
-    START = 12.0  # of a window: so that the least worth still has one place at a node that shows no strain
+    CLOSED = 0.02  # of our requests still go out, else slow errors or full servers would close all for good
+    START = 12.0  # of a window: so that the least worth still has one place at a server that shows no strain
     REST = 0.125  # of a latency budget, between attempts, over the window, when that is below one
     GROWTH, QUICK = 0.1, 4  # of a small window, an answer, times those in a row; faster where no share fell
     NUDGE = 0.25  # off a cache's that answered what was sent later: a lost connection, or long work, no jam
     FALL = 0.25  # of the window is left after a jam, shown by attempts that ran out of time
-    FALL_SHARE = 0.35  # of that of a node met seldom, by own and peers' time-outs: forty fed a jam with 0.5
+    FALL_SHARE = 0.35  # of that of a server met seldom, by own and peers' time-outs: forty fed a jam with 0.5
     FALL_ALL, BACK_ALL = 0.8, 0.02  # of the common share: one in eleven out of time leaves all of it
-    BACK = 0.15  # of a node's share with an answer: one in five out of time leaves all, one in two a third
+    BACK = 0.15  # of a server's share with an answer: one in five out of time leaves all, one in two a third
     EBB, SLOW_ASIDE, SLOW = 0.92, 0.5, 0.75  # left of both after a slow answer; in through mode after two
     LEFT = 0.7  # of an origin's window, when one of its answers has waited longer than it may
     TIMES = 12  # its last answers'; with 32 a way that has grown long was taken for a wait for too long
-    SLOW_HIT, FALL_HIT = 0.4, 0.7  # of a node's share with a hit that took such a part of the budget: a queue
-    FRESH = 500_000  # what the node itself showed this lately goes before what all show: some answers' time
+    SLOW_HIT, FALL_HIT = (
+        0.4,
+        0.7,
+    )  # of a server's share with a hit that took such a part of the budget: a queue
+    FRESH = 500_000  # what the server itself showed this lately goes before what all show: some answers' time
 
     def __init__(self):
-        self.common = 1.0  # of our reqs may go out: a light proxy meets nodes too seldom to go by each
-
-    def has(self, node: Node, part: float, now: int, calm=0.0, rest: float = 1e5, alone=False) -> bool:
-        # Listed at rest is as good: guards a good node against what the rest of the fleet shows.
-        rests = node.load <= Live.REST and now < node.load_at + Live.AGE
-        heard = (now < node.heard + self.FRESH or rests) and node.window >= 1
-        if (node.share if heard or alone else min(node.share, self.common)) < max(1 - part, calm):
+        self.common = 1.0  # of our requests may go out: a light proxy meets servers too seldom to go by each
+
+    def has(
+        self, server: Server, part: float, now: int, required_share=0.0, rest: float = 1e5, alone=False
+    ) -> bool:
+        # Listed at rest is as good: guards a good server against what the rest of the fleet shows.
+        rests = server.load <= Live.REST and now < server.load_reported_at + Live.AGE
+        heard = (now < server.last_outcome_at + self.FRESH or rests) and server.concurrency_limit >= 1
+        if (server.admitted_share if heard or alone else min(server.admitted_share, self.common)) < max(
+            1 - part, required_share
+        ):
             return False
-        room = part * node.window
+        room = part * server.concurrency_limit
         if room < 1:  # below one attempt at a time, one after a rest
-            return not node.in_flight and now >= node.sent + rest / room
-        return node.in_flight < room
+            return not server.in_flight and now >= server.last_sent_at + rest / room
+        return server.in_flight < room
 
-    def answered(self, node: Node, slow: bool) -> None:
+    def answered(self, server: Server, slow: bool) -> None:
         if slow:
-            self.told(node, False, self.EBB)
+            self.told(server, False, self.EBB)
             return self.strained(self.EBB)
-        node.in_time += 1
-        self.told(node, True)
+        server.consecutive_on_time += 1
+        self.told(server, True)
         self.common = min(1.0, self.common + self.BACK_ALL)
         # Beyond: only while the least worth finds no place: rank shall not bind where nothing is strained.
-        if node.window < self.START or Shares.LEAST * node.window < node.in_flight + 1:
-            quick = self.QUICK if min(node.share, self.common) == 1 else 1
-            growth = min(self.GROWTH * node.in_time * node.window, quick / node.window)
-            node.window = min(self.MOST, node.window + growth)
-
-    def origin_answered(self, node: Node, spent: int, budget: int, sent: int, now: int) -> None:
+        if (
+            server.concurrency_limit < self.START
+            or Shares.LEAST * server.concurrency_limit < server.in_flight + 1
+        ):
+            quick = self.QUICK if min(server.admitted_share, self.common) == 1 else 1
+            growth = min(
+                self.GROWTH * server.consecutive_on_time * server.concurrency_limit,
+                quick / server.concurrency_limit,
+            )
+            server.concurrency_limit = min(self.MOST, server.concurrency_limit + growth)
+
+    def origin_answered(self, server: Server, spent: int, budget: int, sent: int, now: int) -> None:
         """Its window goes by the wait there: what an answer took beyond the quickest of the last.
 
         Guards an origin that all share against proxies that fill its queue until every fetch is too late."""
-        node.times = (*node.times[1 - self.TIMES :], spent)
-        if not self.waited(node, spent, budget):
-            if node.in_flight + 1 >= node.window / 2:
-                node.window = min(self.MOST, node.window + self.QUICK / node.window)
-        elif sent >= node.cut:
-            node.cut = now
-            node.window = max(2.0, min(node.window, node.in_flight + 1) * self.LEFT)
-
-    def waited(self, node: Node, spent: int, budget: int) -> bool:
+        server.response_times = (*server.response_times[1 - self.TIMES :], spent)
+        if not self.waited(server, spent, budget):
+            if server.in_flight + 1 >= server.concurrency_limit / 2:
+                server.concurrency_limit = min(
+                    self.MOST, server.concurrency_limit + self.QUICK / server.concurrency_limit
+                )
+        elif sent >= server.limit_lowered_at:
+            server.limit_lowered_at = now
+            server.concurrency_limit = max(
+                2.0, min(server.concurrency_limit, server.in_flight + 1) * self.LEFT
+            )
+
+    def waited(self, server: Server, spent: int, budget: int) -> bool:
         """A whole latency budget beyond the quickest of the last: too late, however long the way."""
-        return spent - min(node.times, default=0) > budget
+        return spent - min(server.response_times, default=0) > budget
 
-    def told(self, node: Node, well: bool, left: float = FALL_SHARE) -> None:
-        node.share = min(1.0, node.share + self.BACK) if well else max(self.CLOSED, node.share * left)
+    def told(self, server: Server, well: bool, left: float = FALL_SHARE) -> None:
+        server.admitted_share = (
+            min(1.0, server.admitted_share + self.BACK)
+            if well
+            else max(self.CLOSED, server.admitted_share * left)
+        )
 
     def strained(self, left: float = FALL_ALL) -> None:
         self.common = max(self.CLOSED, self.common * left)
 
-    def ran_out(self, node: Node, origin: bool, up: bool, often: bool, sent: int, now: int) -> None:
-        node.in_time = 0
-        if sent < node.cut:  # it was out already when the window fell: one jam is held against a node once
+    def ran_out(self, server: Server, origin: bool, up: bool, often: bool, sent: int, now: int) -> None:
+        server.consecutive_on_time = 0
+        if (
+            sent < server.limit_lowered_at
+        ):  # it was out already when the window fell: one jam is held against a server once
             return
-        node.cut = now
-        self.told(node, False, self.FALL_ALL if often else self.FALL_SHARE)
-        if up and not origin:  # further failures in a row are the node's own
+        server.limit_lowered_at = now
+        self.told(server, False, self.FALL_ALL if often else self.FALL_SHARE)
+        if up and not origin:  # further failures in a row are the server's own
             self.strained()
         if origin:  # of what is in use, which the window may be far above
-            node.window = max(2.0, min(node.window, node.in_flight + 1) / 2)
+            server.concurrency_limit = max(2.0, min(server.concurrency_limit, server.in_flight + 1) / 2)
         else:
-            node.window = max(self.LEAST, node.window * self.FALL)
+            server.concurrency_limit = max(self.LEAST, server.concurrency_limit * self.FALL)
 
 
 class Shares:
-    """A req's rank by worth among the last says how much of a window it may use."""
+    """A request's rank by worth among the last says how much of a window it may use."""
 
-    KEPT = 200  # last reqs to be ranked among: a second or so of a busy proxy's
+    KEPT = 200  # last requests to be ranked among: a second or so of a busy proxy's
     LEAST = 0.1  # of a window, for the least worth
-    NEW = 4  # reqs below each by assumption: the first after a start has nothing to be ranked among, and goes
-    ALIKE = 8  # reqs: a light proxy's first dozens tell little of who sends more than its share
+    # requests below each by assumption: the first after a start has nothing to be ranked among, and goes
+    NEW = 4
+    ALIKE = 8  # requests: a light proxy's first dozens tell little of who sends more than its share
     KEYS = 1000  # last answered ones that a cache will mostly still hold
-    # Of reqs, rank as one of a class drawn from the last, if that is worth more: guards classes against being
+    # Of requests, rank as one of a class drawn from the last, if that is worth more: guards classes against
+    # being
     # shut out by rank for as long as a strain lasts.  A miss still ranks as one, excess as excess.
     FLOOR = 0.75
     MISS = 0.2  # of its worth for the rest: a miss costs the origin, and holds a place while it is fetched
@@ -426,28 +468,30 @@
         self.rng, self.tenants, self.excess, self.parts = rng, tenants, excess, parts
         self.worths: deque[float] = deque()
         self.asked: deque[float] = deque(maxlen=self.KEPT)  # worths of their classes
-        self.ordered: list[float] = []  # the same: looking at each for each req took an eighth of our time
-        self.last: deque[tuple[Tenant, int]] = deque()  # whose req came when
+        self.ordered: list[
+            float
+        ] = []  # the same: looking at each for each request took an eighth of our time
+        self.last: deque[tuple[Tenant, int]] = deque()  # whose request came when
         self.seen: OrderedDict[int, bool] = OrderedDict()
 
     def came(self, tenant: Tenant, now: int) -> None:
         self.last.append((tenant, now))
-        tenant.recent += 1
+        tenant.recent_requests += 1
         if len(self.last) > self.KEPT:
-            self.last.popleft()[0].recent -= 1
+            self.last.popleft()[0].recent_requests -= 1
 
     def within(self, tenant: Tenant, now: int) -> float:
         """The part of a tenant's traffic that its share covers.  We see an unknown part of all traffic: the
-        middle tenant's rate over its allowance is it."""
-        if not tenant.allowance:
+        middle tenant's rate over its quota is it."""
+        if not tenant.quota:
             return 1.0
-        due = sum(t.allowance for t in self.tenants)
+        due = sum(t.quota for t in self.tenants)
         rate = len(self.last) * 1_000_000 / max(1, now - self.last[0][1])
 
-        def part(t: Tenant) -> float:  # of its allowance that comes here, as if ALIKE more came in proportion
-            return (t.recent / t.allowance + self.ALIKE / due) / (len(self.last) + self.ALIKE) * rate
+        def part(t: Tenant) -> float:  # of its quota that comes here, as if ALIKE more came in proportion
+            return (t.recent_requests / t.quota + self.ALIKE / due) / (len(self.last) + self.ALIKE) * rate
 
-        parts = sorted(part(t) for t in self.tenants if t.allowance)
+        parts = sorted(part(t) for t in self.tenants if t.quota)
         return min(1.0, max(parts[len(parts) // 2], 1 / self.parts) / part(tenant))
 
     def answered(self, key: int | None) -> None:
@@ -456,17 +500,19 @@
         if len(self.seen) > self.KEYS:
             self.seen.popitem(last=False)
 
-    def part_of_window(self, req: Req, now: int, chance: float = 1.0) -> float:
-        worth = own = req.method.criticality
+    def part_of_window(self, request: Request, now: int, chance: float = 1.0) -> float:
+        worth = own = request.request_class.priority_weight
         if self.asked and self.rng.random() < self.FLOOR:
             worth = max(worth, self.rng.choice(self.asked))
         self.asked.append(own)
-        if req.tenant:
-            self.came(req.tenant, now)
-            if self.rng.random() > self.within(req.tenant, now):
+        if request.tenant:
+            self.came(request.tenant, now)
+            if self.rng.random() > self.within(request.tenant, now):
                 worth = own * self.excess
-                req.calm = 1 - self.excess  # the less it is worth, the less strain it may add to
-        if req.key not in self.seen:
+                request.required_share = (
+                    1 - self.excess
+                )  # the less it is worth, the less strain it may add to
+        if request.key not in self.seen:
             worth *= self.MISS
         worth = max(worth, 1e-9) * chance * (1 + 0.01 * self.rng.random())  # equals are parted by chance
         below = bisect_left(self.ordered, worth)
@@ -481,39 +527,45 @@
 
 
 class Links:
-    """Closes idle connections early where proxies are many, so that those of all fit a node's table.
+    """Closes idle connections early where proxies are many, so that those of all fit a server's table.
 
-    Guards against tables filled by idle ones: a node then refuses every proxy that has none.  Open ones are
-    at most a node's reqs a second times `keep`, whatever the number of proxies."""
+    Guards against tables filled by idle ones: a server then refuses every proxy that has none.  Open ones are
+    at most a server's requests a second times `keep`, whatever the number of proxies."""
 
-    FEW = 16  # proxies whose connections may stay as long as the nodes let them; 400 begin with 1/25 of that
+    FEW = (
+        16  # proxies whose connections may stay as long as the servers let them; 400 begin with 1/25 of that
+    )
     LEFT, BACK = 0.8, 1.005  # of `keep`, when a new one is turned away, or taken: settles at one in forty
-    AWAY = 500_000  # without a new one to a node that turned one away: some places are free again by then
+    AWAY = 500_000  # without a new one to a server that turned one away: some places are free again by then
 
     def __init__(self, idle: int, proxies: int):
         self.most = idle if proxies > self.FEW else 0
-        self.first = self.keep = self.most * self.FEW // proxies  # 0: for the nodes to close
-        self.idle: OrderedDict[Node, int] = OrderedDict()  # since when, oldest first
+        self.first = self.keep = self.most * self.FEW // proxies  # 0: for the servers to close
+        self.idle: OrderedDict[Server, int] = OrderedDict()  # since when, oldest first
 
-    def turned_away(self, node: Node, now: int) -> None:
-        node.crowded = now
+    def turned_away(self, server: Server, now: int) -> None:
+        server.connection_rejected_at = now
         self.keep = max(self.AWAY // 8, int(self.keep * self.LEFT))
 
     def taken(self) -> None:
         self.keep = min(self.most, int(self.keep * self.BACK) + 1)
 
-    def crowded(self, node: Node, now: int) -> bool:
-        return now < node.crowded + self.AWAY and not node.in_flight and node not in self.idle
+    def crowded(self, server: Server, now: int) -> bool:
+        return (
+            now < server.connection_rejected_at + self.AWAY
+            and not server.in_flight
+            and server not in self.idle
+        )
 
-    def freed(self, node: Node, now: int) -> None:
-        if self.keep and not node.in_flight:
-            self.idle[node] = now
+    def freed(self, server: Server, now: int) -> None:
+        if self.keep and not server.in_flight:
+            self.idle[server] = now
 
-    def due(self, now: int) -> list[Req]:
-        """Standing reqs, one for each node whose idle connections are to be closed now."""
+    def due(self, now: int) -> list[CloseIdleConnections]:
+        """One for each server whose idle connections are to be closed now."""
         found = []
         while self.idle and self.rest() <= now:
-            found.append(Req(None, now, now, closing=self.idle.popitem(last=False)[0]))
+            found.append(CloseIdleConnections(self.idle.popitem(last=False)[0]))
         return found
 
     def rest(self) -> int | None:
@@ -524,40 +576,41 @@
 
 
 class Hearsay:
-    """Tells some peers now and then how our last attempts to each node ended, and takes in what they tell.
+    """Tells some peers now and then how our last attempts to each server ended, and takes in what they tell.
 
-    Guards against learning of a full or hung node by hundreds of proxies one by one.  It moves known nodes'
+    Guards against learning of a full or hung server by hundreds of proxies one by one.  It moves known
+    servers'
     shares alone, as one attempt of ours would, so a lost, late, repeated or wrong message does little."""
 
-    EVERY = 250_000  # well below the time in which forty proxies, none of which has seen it, jam a node
+    EVERY = 250_000  # well below the time in which forty proxies, none of which has seen it, jam a server
     SOON = 30_000  # one with a bad ending: a jam grows by what comes meanwhile, and endings come in bursts
     TO = 12  # peers each, drawn anew: everyone then hears of that many times the endings of its own
 
     def __init__(self, rng: Random, me: int, proxies: int):
         self.rng, self.others = rng, [peer for peer in range(proxies) if peer != me]
-        self.ended: dict[Node, int] = {}  # 0: badly, 1: well, 2: late for a hit
-        self.marked: dict[bytes, Node] = {}
+        self.ended: dict[Server, int] = {}  # 0: badly, 1: well, 2: late for a hit
+        self.marked: dict[bytes, Server] = {}
         self.next_at: int | None = None
 
-    def note(self, node: Node, well: int, now: int) -> None:
+    def note(self, server: Server, well: int, now: int) -> None:
         if self.others:
-            self.ended[node] = well
+            self.ended[server] = well
             at = now + (self.EVERY // 2 + self.rng.randrange(self.EVERY) if well else self.SOON)
             self.next_at = at if self.next_at is None else min(at, self.next_at)
 
-    def due(self, now: int) -> list[Req]:
+    def due(self, now: int) -> list[SendGossip]:
         if self.next_at is None or now < self.next_at:
             return []
         self.next_at = None
         words = endings([*self.ended.items()][-64:])
         self.ended.clear()
         peers = self.rng.sample(self.others, min(self.TO, len(self.others)))
-        return [Req(None, now, now, saying=(peer, words)) for peer in peers]
+        return [SendGossip(peer, words) for peer in peers]
 
-    def knows(self, nodes: list[Node]) -> None:
-        self.marked = {mark(node): node for node in nodes}
+    def knows(self, servers: list[Server]) -> None:
+        self.marked = {mark(server): server for server in servers}
 
-    def told(self, words: bytes) -> list[tuple[Node, int]]:
+    def told(self, words: bytes) -> list[tuple[Server, int]]:
         return [(self.marked[one], well) for one, well in read_endings(words) if one in self.marked]
 
 
@@ -579,7 +632,7 @@
         self.replies: deque[tuple[int, bytes]] = deque(maxlen=256)
         self.parts: dict[bytes, dict[int, bytes]] = {}
 
-    def due(self, now: int) -> list[Req]:
+    def due(self, now: int) -> list[SendGossip]:
         said, self.replies = [*self.replies], deque(maxlen=256)
         self.grown_at = self.grown_at or now + self.YOUNG
         if self.next_at is not None and now >= self.next_at:
@@ -588,9 +641,9 @@
                 self.next_at = now + self.EVERY
                 asked = self.rng.sample(self.others, min(self.TO, len(self.others)))
                 said += [(peer, question(self.me)) for peer in asked]
-        return [Req(None, now, now, saying=one) for one in said]
+        return [SendGossip(peer, words) for peer, words in said]
 
-    def told(self, words: bytes, slots: list[Node], now: int) -> list[bytes]:
+    def told(self, words: bytes, slots: list[Server], now: int) -> list[bytes]:
         """Answers a question; of an answer that has come whole, the marks in order of slots."""
         young, peer = self.grown_at is None or now < self.grown_at, asker(words)
         if peer is not None and not young:
@@ -634,15 +687,17 @@
 # --- The choice ---
 
 
-class Choice:
+class Balancer:
     FLOOR = 2  # the skip rule's least bound, the design page's
     SKIP = 2.0  # times the mean in flight a cache: the design page's; 1.5 and 3 were tried
-    FURTHER = 0.15  # further attempts and second copies earned by each satisfied req
-    FURTHER_MOST = 20.0  # and kept at most: enough for what a dying node held
+    FURTHER = 0.15  # further attempts and second copies earned by each satisfied request
+    FURTHER_MOST = 20.0  # and kept at most: enough for what a dying server held
     # Of reads, to their key's first replica, with each that finds no room at the origin, or some: guards an
     # origin that can't bear two copies' fetches.
     LEAN, LEAN_OFF = 0.05, -0.005
-    HOPELESS = 0.05  # chance of an answer in time, below which hardly any req goes out: shown by 20 answers
+    HOPELESS = (
+        0.05  # chance of an answer in time, below which hardly any request goes out: shown by 20 answers
+    )
     MARGIN = 2  # ticks that an answer needs to get back to the client in time
 
     def __init__(
@@ -654,386 +709,486 @@
         self.room, self.shares, self.links = room, shares, links
         self.hearsay, self.order, self.live = hearsay, order, live
         self.popular, self.ways = Popular(), Ways()
-        self.many = links.keep > 0  # proxies: what one sees of a node itself is a small part, however often
+        self.many = links.keep > 0  # proxies: what one sees of a server itself is a small part, however often
         self.origin_kind, self.most, self.may_duplicate = origin, most_write_outs, may_duplicate
         self.come_back, self.tick = come_back, tick
-        self.nodes: dict[str, Node] = {}
-        self.origins: list[Node] = []
+        self.servers: dict[str, Server] = {}
+        self.origins: list[Server] = []
         self.in_flight = self.count = 0
         self.spare, self.lean = self.FURTHER_MOST, 0.0
-        self.due: list[tuple[int, int, Req]] = []
-        self.first: deque[Req] = deque()
-        self.further: deque[Req] = deque()
-
-    def listed(self, nodes: list[Node], whole: bool, now: int) -> None:
-        """List news: nodes as now listed.  One known before keeps its object."""
-        for new in nodes:
-            node = self.nodes.setdefault(new.name, new)
-            node.window = node.window or (Room.MOST if node.kind == self.origin_kind else Room.START)
-            if not 0 < new.weight < inf:  # guards the node's keys: such a weight tells nothing
+        self.due: list[tuple[int, int, Request]] = []
+        self.first: deque[Request] = deque()
+        self.further: deque[Request] = deque()
+
+    def update_endpoints(self, servers: list[Server], whole: bool, now: int) -> None:
+        """List news: servers as now listed.  One known before keeps its object."""
+        for new in servers:
+            server = self.servers.setdefault(new.name, new)
+            server.concurrency_limit = server.concurrency_limit or (
+                Room.MOST if server.kind == self.origin_kind else Room.START
+            )
+            if not 0 < new.weight < inf:  # guards the server's keys: such a weight tells nothing
                 new.weight = 1.0
             elif self.placement.live:
-                self.live.listed(node, new.weight, now)
-            if node is not new:
-                if new.state == READY and new.started > node.started:
-                    node.started, node.failures, node.trials, node.errors = new.started, 0, 0, {}
-                node.zone, node.cell, node.state = new.zone, new.cell, new.state
-            if node.state == LEFT:
-                node.left_at = now
+                self.live.listed(server, new.weight, now)
+            if server is not new:
+                if new.state == ServerState.READY and new.started_at > server.started_at:
+                    (
+                        server.started_at,
+                        server.health.consecutive_failures,
+                        server.health.probes,
+                        server.class_failures,
+                    ) = new.started_at, 0, 0, {}
+                server.zone, server.cell, server.state = new.zone, new.cell, new.state
+            if server.state == ServerState.GONE:
+                server.gone_at = now
             else:
-                node.drained = node.state != READY
-        names = {node.name for node in nodes} if whole else self.nodes
-        for node in self.nodes.values():
-            if node.name not in names and node.state != LEFT:
-                node.state, node.left_at = LEFT, now
-        caches = [node for node in self.nodes.values() if node.kind != self.origin_kind]
-        self.origins = [n for n in self.nodes.values() if n.kind == self.origin_kind and n.state == READY]
+                server.was_draining = server.state != ServerState.READY
+        names = {server.name for server in servers} if whole else self.servers
+        for server in self.servers.values():
+            if server.name not in names and server.state != ServerState.GONE:
+                server.state, server.gone_at = ServerState.GONE, now
+        caches = [server for server in self.servers.values() if server.kind != self.origin_kind]
+        self.origins = [
+            n for n in self.servers.values() if n.kind == self.origin_kind and n.state == ServerState.READY
+        ]
         if self.placement.live and self.live.sized(caches, now):
             self.placement.known.clear()
         self.placement.settle(caches, now)
-        # Guards the memory: what is known of a node goes with it, once no slot awaits it; ids are ever new.
-        kept = {*self.placement.slots, *(n for n in self.nodes.values() if n.state != LEFT or n.in_flight)}
-        self.nodes = {name: node for name, node in self.nodes.items() if node in kept}
-        zones = {node.zone for node in self.nodes.values()}
+        # Guards the memory: what is known of a server goes with it, once no slot awaits it; ids are ever new.
+        kept = {
+            *self.placement.slots,
+            *(n for n in self.servers.values() if n.state != ServerState.GONE or n.in_flight),
+        }
+        self.servers = {name: server for name, server in self.servers.items() if server in kept}
+        zones = {server.zone for server in self.servers.values()}
         self.ways.zones = {zone: one for zone, one in self.ways.zones.items() if zone in zones}
         if self.hearsay:
-            self.hearsay.knows([*self.nodes.values()])
+            self.hearsay.knows([*self.servers.values()])
 
-    def told(self, words: bytes, now: int) -> None:
+    def receive_gossip(self, words: bytes, now: int) -> None:
         """A peer's message: news like the list's."""
         if self.order and len(words) % ENDING:
             marks = self.order.told(words, self.placement.slots, now)
             if marks and marks != [*map(mark, self.placement.slots)]:
-                caches = [node for node in self.nodes.values() if node.kind != self.origin_kind]
+                caches = [server for server in self.servers.values() if server.kind != self.origin_kind]
                 self.placement.adopt(marks, caches, now)
             return
-        for node, well in self.hearsay.told(words) if self.hearsay else []:
-            often = not self.many and now < node.heard + self.room.FRESH
+        for server, well in self.hearsay.told(words) if self.hearsay else []:
+            often = not self.many and now < server.last_outcome_at + self.room.FRESH
             left = self.room.FALL_ALL if often else self.room.FALL_SHARE
-            self.room.told(node, well == 1 or often and well == 2, self.room.FALL_HIT if well == 2 else left)
-
-    def where(self, req: Req, now: int) -> tuple:
-        if req.closing or req.saying:
-            return GO, req.closing, 0
-        if req.over:
-            return DONE, None, 0
-        end = self.end(req)
-        out = [w for w in req.attempts if w.outcome is None]
-        if not req.ranked:
-            req.ranked, req.luck = True, self.rng.random()
-            self.popular.last.append(req.key)
-            chance = self.chance(req.method, end - now)
-            req.part = self.shares.part_of_window(req, now, chance)
-            if chance < self.HOPELESS and req.luck > Room.CLOSED:
-                return self.never(req)
-        again = bool(req.attempts) and req.attempts[-1].outcome not in NEVER_RAN
-        spent = now >= end or len(req.attempts) >= self.most or (out and not self.may_duplicate)
+            self.room.told(
+                server, well == 1 or often and well == 2, self.room.FALL_HIT if well == 2 else left
+            )
+
+    def route(self, request: Request, now: int) -> Decision:
+        if request.concluded:
+            return Done()
+        end = self.end(request)
+        out = [w for w in request.attempts if w.outcome is None]
+        if not request.is_ranked:
+            request.is_ranked, request.warm_up_draw = True, self.rng.random()
+            self.popular.last.append(request.key)
+            chance = self.chance(request.request_class, end - now)
+            request.limit_fraction = self.shares.part_of_window(request, now, chance)
+            if chance < self.HOPELESS and request.warm_up_draw > Room.CLOSED:
+                return self.never(request)
+        again = bool(request.attempts) and request.attempts[-1].outcome not in NEVER_RAN
+        spent = now >= end or len(request.attempts) >= self.most or (out and not self.may_duplicate)
         if spent or (again and self.spare < 1):
-            late = out and now >= end and all(self.fills(req, w.node) for w in out)
-            return self.never(req) if late or not out else (WAIT, None, 0)
-        node = self.pick(req, now)
-        if node is None:
-            return (WAIT, None, 0) if out else self.hold(req, now, end)
+            late = out and now >= end and all(self.fills(request, w.server) for w in out)
+            return self.never(request) if late or not out else Wait()
+        server = self.pick(request, now)
+        if server is None:
+            return Wait() if out else self.hold(request, now, end)
         self.spare -= again
-        until = self.until(req, node, now, end)
-        sick = self.sick(node, req.method)
-        latest = self.latest(req)
-        at = dict(latest=latest, zone=node.zone, cell=node.cell)
-        attempt = Attempt(req, node, now, until, trial=sick is not None, **at)
+        until = self.until(request, server, now, end)
+        sick = self.sick(server, request.request_class)
+        latest = self.latest(request)
+        at = dict(send_by=latest, zone=server.zone, cell=server.cell)
+        attempt = Attempt(request, server, now, until, is_probe=sick is not None, **at)
         for one in out:  # one that still waits to go out is the repeat then, and this the first
-            one.latest = min(one.latest, latest)
+            one.send_by = min(one.send_by, latest)
         if sick:
             self.health.failed(sick, False, now)
-        req.attempts.append(attempt)
-        node.in_flight, node.sent = node.in_flight + 1, now
-        self.ways.sent(node.zone, now)
-        self.links.idle.pop(node, None)
+        request.attempts.append(attempt)
+        server.in_flight, server.last_sent_at = server.in_flight + 1, now
+        self.ways.sent(server.zone, now)
+        self.links.idle.pop(server, None)
         self.in_flight += 1
         if until > end:  # its client is answered then; the fetch goes on
-            self.later(req, end)
-        elif until < end or (self.may_duplicate and self.repeatable(req)):
-            self.later(req, now + self.patience(req.method, end - now, attempt.trial))
-        return GO, node, until
-
-    def after(self, attempt: Attempt, outcome: str, now: int, load=None, hit: bool = False) -> tuple:
-        req = attempt.req
-        if outcome == CLIENT_GONE:
-            return (DONE, None, 0), [w for w in req.attempts if w.outcome is None]
-        node, method, origin = attempt.node, req.method, attempt.node.kind == self.origin_kind
+            self.later(request, end)
+        elif until < end or (self.may_duplicate and self.repeatable(request)):
+            self.later(request, now + self.patience(request.request_class, end - now, attempt.is_probe))
+        return Send(server, until)
+
+    def client_gone(self, request: Request) -> list[Attempt]:
+        """The client needs no answer any more: the attempts to call off."""
+        return request.outstanding()
+
+    def record_outcome(
+        self, attempt: Attempt, outcome: Outcome, now: int, load=None, hit: bool = False
+    ) -> OutcomeDecision:
+        request = attempt.request
+        server, request_class, origin = (
+            attempt.server,
+            request.request_class,
+            attempt.server.kind == self.origin_kind,
+        )
         attempt.outcome = outcome
         if self.live and load:
-            self.live.reported(node, load, now)
-        node.in_flight, self.in_flight = node.in_flight - 1, self.in_flight - 1
-        self.links.freed(node, now)
-        spent = now - attempt.sent
-        often = now < node.heard + self.room.FRESH  # a node met often shows soon whether this was chance
-        node.heard = now
-        # Guards good nodes, here and at peers: tables that idle connections fill are no jam.
-        away = outcome == FULL and attempt.fresh and self.many
+            self.live.reported(server, load, now)
+        server.in_flight, self.in_flight = server.in_flight - 1, self.in_flight - 1
+        self.links.freed(server, now)
+        spent = now - attempt.sent_at
+        often = (
+            now < server.last_outcome_at + self.room.FRESH
+        )  # a server met often shows soon whether this was chance
+        server.last_outcome_at = now
+        # Guards good servers, here and at peers: tables that idle connections fill are no jam.
+        away = outcome == Outcome.OVERLOADED and attempt.first_on_connection and self.many
         # Not in a small fleet that tells no loads: leaving a zone of it, merely loaded, jams the rest.
         judged = not origin and (self.many or self.live)
-        if judged and outcome in (SATISFIED, MISSED, OVERDUE, REFUSED, SEVERED):
-            soon = spent <= self.room.SLOW_ASIDE * method.latency_budget
-            self.ways.ended(node.zone, soon and outcome in (SATISFIED, MISSED))
-        if outcome in (SATISFIED, MISSED):
-            if attempt.fresh:
+        if judged and outcome in (
+            Outcome.SUCCEEDED,
+            Outcome.CACHE_MISS,
+            Outcome.TIMED_OUT,
+            Outcome.CONNECTION_REFUSED,
+            Outcome.CONNECTION_LOST,
+        ):
+            soon = spent <= self.room.SLOW_ASIDE * request_class.latency_objective
+            self.ways.ended(server.zone, soon and outcome in (Outcome.SUCCEEDED, Outcome.CACHE_MISS))
+        if outcome in (Outcome.SUCCEEDED, Outcome.CACHE_MISS):
+            if attempt.first_on_connection:
                 self.links.taken()
-            for one in {node, node.errors.get(method, node)}:
-                self.health.answered(one, now)
-            node.proven = max(node.proven, attempt.sent)
-            method.times.append(spent)
-            aside = self.origin_kind not in (-1, node.kind)
+            self.health.came_back(server, now)
+            self.health.answered(server.health)
+            if request_class in server.class_failures:
+                self.health.answered(server.class_failures[request_class])
+            server.latest_success_sent_at = max(server.latest_success_sent_at, attempt.sent_at)
+            request_class.attempt_times.append(spent)
+            aside = self.origin_kind not in (-1, server.kind)
             part = self.room.SLOW_ASIDE if aside else self.room.SLOW
-            before, node.slow = node.slow, spent > part * method.latency_budget
-            late = hit and not aside and spent > self.room.SLOW_HIT * method.latency_budget
+            before, server.last_was_slow = (
+                server.last_was_slow,
+                spent > part * request_class.latency_objective,
+            )
+            late = hit and not aside and spent > self.room.SLOW_HIT * request_class.latency_objective
             well = not late or (often and not self.many)  # a busy proxy's windows show its queues
-            if spent > method.latency_budget and node.load > Live.REST and now < node.load_at + Live.AGE:
-                self.room.ran_out(node, origin, True, often, attempt.sent, now)
+            if (
+                spent > request_class.latency_objective
+                and server.load > Live.REST
+                and now < server.load_reported_at + Live.AGE
+            ):
+                self.room.ran_out(server, origin, True, often, attempt.sent_at, now)
             elif origin:
-                self.room.told(node, True)
-                self.room.origin_answered(node, spent, method.latency_budget, attempt.sent, now)
+                self.room.told(server, True)
+                self.room.origin_answered(
+                    server, spent, request_class.latency_objective, attempt.sent_at, now
+                )
             elif not well:
-                self.room.told(node, False, self.room.FALL_HIT)
+                self.room.told(server, False, self.room.FALL_HIT)
             else:  # else it is long work
-                self.room.answered(node, node.slow and (aside or before and (self.many or not often)))
-            if outcome == SATISFIED:
-                method.took.append(spent)
+                self.room.answered(
+                    server, server.last_was_slow and (aside or before and (self.many or not often))
+                )
+            if outcome == Outcome.SUCCEEDED:
+                request_class.success_times.append(spent)
                 self.spare = min(self.FURTHER_MOST, self.spare + self.FURTHER)
-                self.shares.answered(req.key)
-        elif outcome == OVERDUE and 2 * (attempt.until - attempt.sent) < method.latency_budget:
-            pass  # it went out late: not the node's doing, and above all not the origin's after a slow miss
-        elif outcome == OVERDUE and origin and spent < 2 * min(node.times, default=0):
+                self.shares.answered(request.key)
+        elif (
+            outcome == Outcome.TIMED_OUT
+            and 2 * (attempt.timeout_at - attempt.sent_at) < request_class.latency_objective
+        ):
+            pass  # it went out late: not the server's doing, and above all not the origin's after a slow miss
+        elif outcome == Outcome.TIMED_OUT and origin and spent < 2 * min(server.response_times, default=0):
             pass  # too short a time for the way there: guards an origin that is well, but far or cut off
-        elif outcome == OVERDUE and (self.passed_by(attempt) or (often and not node.failures)):
-            node.failures += not (attempt.doubted or self.passed_by(attempt))
-            node.window = max(min(node.window, 1.0), node.window - self.room.NUDGE)
-        elif outcome == ERRORED and 2 * spent >= method.latency_budget:
-            # Slow errors are fetches that ran out of time: the origin behind all is pressed, not the node.
+        elif outcome == Outcome.TIMED_OUT and (
+            self.passed_by(attempt) or (often and not server.health.consecutive_failures)
+        ):
+            server.health.consecutive_failures += not (attempt.suspected or self.passed_by(attempt))
+            server.concurrency_limit = max(
+                min(server.concurrency_limit, 1.0), server.concurrency_limit - self.room.NUDGE
+            )
+        elif outcome == Outcome.ERROR and 2 * spent >= request_class.latency_objective:
+            # Slow errors are fetches that ran out of time: the origin behind all is pressed, not the server.
             self.room.strained()
-        elif outcome == ERRORED:  # held against it by method: some nodes fail one and serve the rest
-            self.health.failed(node.errors.setdefault(method, Errors()), False, now)
-        elif outcome in (REFUSED, SEVERED, OVERDUE):
-            if not attempt.doubted:
-                self.health.failed(node, outcome == REFUSED, now)
-            if outcome == OVERDUE:
-                method.times.append(spent)
-            # An origin that refuses is full of all proxies' reqs, and there is no other: guards what is left.
-            if outcome == OVERDUE or origin:
-                self.room.ran_out(node, origin, self.health.up(node), often, attempt.sent, now)
+        elif (
+            outcome == Outcome.ERROR
+        ):  # held against it by request_class: some servers fail one and serve the rest
+            self.health.failed(server.class_failures.setdefault(request_class, FailureState()), False, now)
+        elif outcome in (Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT):
+            if not attempt.suspected:
+                self.health.failed(server.health, outcome == Outcome.CONNECTION_REFUSED, now)
+            if outcome == Outcome.TIMED_OUT:
+                request_class.attempt_times.append(spent)
+            # An origin that refuses is full of all proxies' requests, and there is no other: guards what is
+            # left.
+            if outcome == Outcome.TIMED_OUT or origin:
+                self.room.ran_out(server, origin, self.health.up(server.health), often, attempt.sent_at, now)
         elif away:
-            self.links.turned_away(node, now)
-        elif outcome == FULL and not self.live:
-            self.room.ran_out(node, origin, self.health.up(node), often, attempt.sent, now)
-        elif outcome == FULL:  # where loads are told it tells of that moment alone, and nothing of others
-            cold = self.cold.warmth(node, now) < 1  # what it turns away counts towards its fall
-            self.room.told(node, False, self.room.FALL_SHARE if cold else self.room.FALL_ALL)
-        if self.hearsay and outcome not in (RECALLED, SUPERSEDED) and not away:
-            self.hearsay.note(node, 0 if outcome not in (SATISFIED, MISSED) else 1 if well else 2, now)
-        out = [w for w in req.attempts if w.outcome is None]
-        if outcome in (SATISFIED, UNFIT) or req.over:
-            return (DONE if outcome != UNFIT or req.over else FAIL, None, 0), out
-        if not out and (now >= self.end(req) or not self.may_send_again(req, now)):
-            return self.never(req), []
-        self.further += [] if out else [req]
-        return (WAIT, None, 0), []
-
-    def wait(self, now: int) -> tuple[int | None, list[Req]]:
+            self.links.turned_away(server, now)
+        elif outcome == Outcome.OVERLOADED and not self.live:
+            self.room.ran_out(server, origin, self.health.up(server.health), often, attempt.sent_at, now)
+        elif (
+            outcome == Outcome.OVERLOADED
+        ):  # where loads are told it tells of that moment alone, and nothing of others
+            cold = self.cold.warmth(server, now) < 1  # what it turns away counts towards its fall
+            self.room.told(server, False, self.room.FALL_SHARE if cold else self.room.FALL_ALL)
+        if self.hearsay and outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and not away:
+            self.hearsay.note(
+                server, 0 if outcome not in (Outcome.SUCCEEDED, Outcome.CACHE_MISS) else 1 if well else 2, now
+            )
+        out = [w for w in request.attempts if w.outcome is None]
+        if outcome in (Outcome.SUCCEEDED, Outcome.INVALID_REQUEST) or request.concluded:
+            failed = outcome == Outcome.INVALID_REQUEST and not request.concluded
+            return OutcomeDecision(Fail() if failed else Done(), out)
+        if not out and (now >= self.end(request) or not self.may_send_again(request, now)):
+            return OutcomeDecision(self.never(request), [])
+        self.further += [] if out else [request]
+        return OutcomeDecision(Wait(), [])
+
+    def next_wakeup(self, now: int) -> Wakeup:
         while self.due and self.due[0][0] <= now:
-            req = heapq.heappop(self.due)[2]
-            if not req.over:
-                self.doubt(req, now)
-                (self.further if req.attempts else self.first).append(req)
+            request = heapq.heappop(self.due)[2]
+            if not request.concluded:
+                self.doubt(request, now)
+                (self.further if request.attempts else self.first).append(request)
         talks = [talk for talk in (self.hearsay, self.order) if talk]
         ready = [*self.first, *self.further, *self.links.due(now), *(r for t in talks for r in t.due(now))]
         self.first, self.further = deque(), deque()
         standing = [self.links.rest(), *(talk.next_at for talk in talks)]
         next_at = [at for at in (self.due[0][0] if self.due else None, *standing) if at is not None]
-        return (min(next_at) - now if next_at else None), ready
-
-    def chance(self, method: Method, left: int) -> float:
-        """The part of its last answers that came in such a time.  Guards nodes that work on when a client has
-        gone against clients that give up before any answer can come: all their reqs' work is for nothing."""
-        if left >= max(method.took, default=0):  # mostly: a look at each took a tenth of our time
+        return Wakeup(min(next_at) - now if next_at else None, ready)
+
+    def chance(self, request_class: RequestClass, left: int) -> float:
+        """The part of its last answers that came in such a time.  Guards servers that work on when a client
+        has
+        gone against clients that give up before any answer can come: all their requests' work is for
+        nothing."""
+        if left >= max(
+            request_class.success_times, default=0
+        ):  # mostly: a look at each took a tenth of our time
             return 1.0
-        return (1 + sum(took <= left for took in method.took)) / (1 + len(method.took))
+        return (1 + sum(took <= left for took in request_class.success_times)) / (
+            1 + len(request_class.success_times)
+        )
 
-    def end(self, req: Req) -> int:
+    def end(self, request: Request) -> int:
         """When an answer is worth nothing any more, or nobody waits for it."""
-        end = req.give_up_at
-        if not req.method.tardy:
-            end = min(end, req.arrived + req.method.latency_budget)
+        end = request.deadline
+        if not request.request_class.late_priority_weight:
+            end = min(end, request.arrived_at + request.request_class.latency_objective)
         return end - self.MARGIN * self.tick
 
-    def patience(self, method: Method, left: int, trial: bool = False) -> int:
+    def patience(self, request_class: RequestClass, left: int, trial: bool = False) -> int:
         """How long an attempt may take before another is worth trying: three times what nine in ten took, at
         least half of what is left: a copy sent sooner feeds the queue that made it late."""
-        times = sorted(method.times)
-        if trial:  # the node is down for all we know, and the req shall not suffer for our finding out
+        times = sorted(request_class.attempt_times)
+        if trial:  # the server is down for all we know, and the request shall not suffer for our finding out
             return min(2 * times[len(times) // 2], left // 3) if times else left // 3
         usual = 3 * times[len(times) * 9 // 10] if len(times) >= 8 else left
         return max(min(usual, left), left // 2)
 
-    def until(self, req: Req, node: Node, now: int, end: int) -> int:
-        last = len(req.attempts) + 1 >= self.most or node.kind == self.origin_kind  # no other is there
-        if self.fills(req, node):
+    def until(self, request: Request, server: Server, now: int, end: int) -> int:
+        last = len(request.attempts) + 1 >= self.most or server.kind == self.origin_kind  # no other is there
+        if self.fills(request, server):
             # Guards the caches while the origin is slow: given up, a fetch leaves no copy.  Twice the slowest
             # of the last: one that was lost would hold a place for nothing.
-            usual = 2 * max(node.times, default=end - now)
-            return max(end, min(now + usual, req.give_up_at - self.MARGIN * self.tick))
-        if self.may_duplicate or not self.repeatable(req) or last:
+            usual = 2 * max(server.response_times, default=end - now)
+            return max(end, min(now + usual, request.deadline - self.MARGIN * self.tick))
+        if self.may_duplicate or not self.repeatable(request) or last:
             return end
-        return now + self.patience(req.method, end - now)
+        return now + self.patience(request.request_class, end - now)
 
-    def fills(self, req: Req, node: Node) -> bool:
+    def fills(self, request: Request, server: Server) -> bool:
         """A read at the origin after a cache's miss: its answer is kept there, also when it comes late."""
-        missed = any(w.outcome == MISSED for w in req.attempts)
-        return missed and not req.write and node.kind == self.origin_kind
+        missed = any(w.outcome == Outcome.CACHE_MISS for w in request.attempts)
+        return missed and not request.is_write and server.kind == self.origin_kind
 
-    def later(self, req: Req, at: int) -> None:
+    def later(self, request: Request, at: int) -> None:
         self.count += 1
-        heapq.heappush(self.due, (at, self.count, req))
+        heapq.heappush(self.due, (at, self.count, request))
 
-    def hold(self, req: Req, now: int, end: int) -> tuple:
+    def hold(self, request: Request, now: int, end: int) -> Decision:
         """Nowhere to send it now: look again soon, for a part of its time only; a quick nack costs less."""
-        soon, last = now + 20_000, req.arrived + (end - req.arrived) // 8  # later ones seldom come in time
-        if soon >= last or (req.attempts and not self.may_nack(req)):
-            return self.never(req)
-        self.later(req, soon)
-        return WAIT, None, 0
-
-    def may_have_run(self, req: Req) -> list[Attempt]:
-        return [w for w in req.attempts if w.outcome not in NEVER_RAN]
-
-    def repeatable(self, req: Req) -> bool:
-        return req.method.semantics != NON_RETRYABLE
-
-    def may_nack(self, req: Req) -> bool:
-        deduplicated = req.method.semantics == DEDUPLICATED and req.method.group == "all"
-        return req.method.semantics == RETRYABLE or deduplicated or not self.may_have_run(req)
+        soon, last = (
+            now + 20_000,
+            request.arrived_at + (end - request.arrived_at) // 8,
+        )  # later ones seldom come in time
+        if soon >= last or (request.attempts and not self.may_nack(request)):
+            return self.never(request)
+        self.later(request, soon)
+        return Wait()
+
+    def may_have_run(self, request: Request) -> list[Attempt]:
+        return [w for w in request.attempts if w.outcome not in NEVER_RAN]
+
+    def repeatable(self, request: Request) -> bool:
+        return request.request_class.idempotency != Idempotency.NOT_IDEMPOTENT
+
+    def may_nack(self, request: Request) -> bool:
+        deduplicated = (
+            request.request_class.idempotency == Idempotency.KEYED
+            and request.request_class.dedup_group == DedupGroup.ALL
+        )
+        return (
+            request.request_class.idempotency == Idempotency.IDEMPOTENT
+            or deduplicated
+            or not self.may_have_run(request)
+        )
 
-    def may_send_again(self, req: Req, now: int) -> bool:
-        return not req.once and len(req.attempts) < self.most and now < self.latest(req)
+    def may_send_again(self, request: Request, now: int) -> bool:
+        return not request.partly_sent and len(request.attempts) < self.most and now < self.latest(request)
 
-    def latest(self, req: Req) -> float:
+    def latest(self, request: Request) -> float:
         """By when the last byte of its next attempt must have gone out.  Guards the effect: a decision made
         within the window says nothing of when a connection comes up, or a socket takes what is written."""
-        ran = self.may_have_run(req)
-        if not ran or req.method.semantics == RETRYABLE:
+        ran = self.may_have_run(request)
+        if not ran or request.request_class.idempotency == Idempotency.IDEMPOTENT:
             return inf
-        # Ends a tick early: the window is the nodes' to keep, and the repeat must reach one within it.
-        window = req.method.window - self.MARGIN * self.tick
-        return ran[0].sent + window if req.method.semantics == DEDUPLICATED else -inf
-
-    def within_group(self, req: Req, node: Node) -> bool:
-        if req.method.semantics != DEDUPLICATED or req.method.group == "all":
+        # Ends a tick early: the window is the servers' to keep, and the repeat must reach one within it.
+        window = request.request_class.dedup_window - self.MARGIN * self.tick
+        return ran[0].sent_at + window if request.request_class.idempotency == Idempotency.KEYED else -inf
+
+    def within_group(self, request: Request, server: Server) -> bool:
+        if (
+            request.request_class.idempotency != Idempotency.KEYED
+            or request.request_class.dedup_group == DedupGroup.ALL
+        ):
             return True
         return all(
-            node.zone == w.zone and (req.method.group == "zone" or node.cell == w.cell)
-            for w in self.may_have_run(req)
+            server.zone == w.zone
+            and (request.request_class.dedup_group == DedupGroup.ZONE or server.cell == w.cell)
+            for w in self.may_have_run(request)
         )
 
-    def never(self, req: Req) -> tuple:
+    def never(self, request: Request) -> Decision:
         """Given up: its answer goes out at once, a nack where that is true."""
-        return (NACK, None, self.come_back) if self.may_nack(req) else (FAIL, None, 0)
+        return Reject(self.come_back) if self.may_nack(request) else Fail()
 
-    def pick(self, req: Req, now: int) -> Node | None:
-        if not self.may_send_again(req, now):
+    def pick(self, request: Request, now: int) -> Server | None:
+        if not self.may_send_again(request, now):
             return None
-        rest = self.room.REST * req.method.latency_budget
-        missed = req.attempts and req.attempts[-1].outcome == MISSED
+        rest = self.room.REST * request.request_class.latency_objective
+        missed = request.attempts and request.attempts[-1].outcome == Outcome.CACHE_MISS
         # The last attempt too: a cache that lacks the key would use it up for nothing.
-        if self.origin_kind >= 0 and (req.write or missed or 1 < len(req.attempts) + 1 == self.most):
-            # The rank counts half: it already let the req miss, and turned away here that was for nothing.
-            part = (1 + req.part) / 2
-            fit = [node for node in self.origins if self.room.has(node, part, now, 0, rest, True)]
-            fit = [node for node in fit if self.within_group(req, node)]
-            if not req.write:
+        if self.origin_kind >= 0 and (
+            request.is_write or missed or 1 < len(request.attempts) + 1 == self.most
+        ):
+            # The rank counts half: it already let the request miss, and turned away here that was for
+            # nothing.
+            part = (1 + request.limit_fraction) / 2
+            fit = [server for server in self.origins if self.room.has(server, part, now, 0, rest, True)]
+            fit = [server for server in fit if self.within_group(request, server)]
+            if not request.is_write:
                 self.lean = min(1.0, max(0.0, self.lean + (self.LEAN_OFF if fit else self.LEAN)))
-            return min(fit, key=lambda node: node.in_flight, default=None)
+            return min(fit, key=lambda server: server.in_flight, default=None)
         slots = self.placement.slots
         if not slots:
             return None
-        key, k = self.rng.getrandbits(50) if req.key is None else req.key, self.placement.K
-        k = k if req.key is None else self.popular.replicas(key, k, len(slots))
+        key, k = self.rng.getrandbits(50) if request.key is None else request.key, self.placement.K
+        k = k if request.key is None else self.popular.replicas(key, k, len(slots))
         homes = self.placement.homes(key, k)
         replicas = homes[:k]
-        again = (SUPERSEDED,) if self.live else (SUPERSEDED, FULL)  # after these the same node may be asked
-        tried = [w.node for w in req.attempts if w.outcome not in again]
+        again = (
+            (Outcome.NOT_SENT,) if self.live else (Outcome.NOT_SENT, Outcome.OVERLOADED)
+        )  # after these the same server may be asked
+        tried = [w.server for w in request.attempts if w.outcome not in again]
         start = self.rng.randrange(len(replicas))
         if self.lean and self.rng.random() < self.lean:
             start = 0
         if self.live and k > self.placement.K:  # by size: guards small ones, a hot key brings each alike
-            start = self.rng.choices(range(len(replicas)), [node.weight for node in replicas])[0]
+            start = self.rng.choices(range(len(replicas)), [server.weight for server in replicas])[0]
         turn = replicas[start:] + replicas[:start]
 
-        def there(node: Node) -> bool:
+        def there(server: Server) -> bool:
             # A cold one beyond its own turn by the spill: guards it against what others are too few to take.
-            warmth = self.cold.warmth(node, now)
-            warmth *= 1 if node is turn[0] or warmth == 1 else self.cold.spill
-            up = node.state == READY and node not in tried and not self.sick(node, req.method)
-            up = up and not self.ways.far(node.zone, now)
-            return up and req.luck < warmth and self.within_group(req, node)
-
-        def jammed(node: Node) -> bool:
-            down = node.state == READY and not self.health.up(node) and not node.broken
-            return down and not self.ways.far(node.zone, now)
-
-        def able(node: Node) -> bool:
-            has = self.room.has(node, req.part, now, req.calm, rest) and not self.links.crowded(node, now)
-            return has and there(node) and not self.queued(node, req.method, now)
-
-        # Trial: a down node whose pause is over gets one retryable req of its own keys, or of its bad method.
-        for node in turn:
-            sick = self.sick(node, req.method)
-            if sick and now == req.arrived:
-                sick.passed += 1
-            may = not req.attempts and (req.method.semantics == RETRYABLE or sick is not node)
-            if sick and may and node.state == READY and self.health.due(sick, now):
-                if req.luck < self.cold.warmth(node, now):
-                    return node
-        fit = [node for node in turn if able(node)]
+            warmth = self.cold.warmth(server, now)
+            warmth *= 1 if server is turn[0] or warmth == 1 else self.cold.spill
+            up = (
+                server.state == ServerState.READY
+                and server not in tried
+                and not self.sick(server, request.request_class)
+            )
+            up = up and not self.ways.far(server.zone, now)
+            return up and request.warm_up_draw < warmth and self.within_group(request, server)
+
+        def jammed(server: Server) -> bool:
+            down = (
+                server.state == ServerState.READY
+                and not self.health.up(server.health)
+                and not server.health.connection_failed
+            )
+            return down and not self.ways.far(server.zone, now)
+
+        def able(server: Server) -> bool:
+            has = self.room.has(
+                server, request.limit_fraction, now, request.required_share, rest
+            ) and not self.links.crowded(server, now)
+            return has and there(server) and not self.queued(server, request.request_class, now)
+
+        # Trial: a down server whose pause is over gets one retryable request of its own keys, or of its bad
+        # request_class.
+        for server in turn:
+            sick = self.sick(server, request.request_class)
+            if sick and now == request.arrived_at:
+                sick.skipped_requests += 1
+            may = not request.attempts and (
+                request.request_class.idempotency == Idempotency.IDEMPOTENT or sick is not server.health
+            )
+            if sick and may and server.state == ServerState.READY and self.health.due(sick, now):
+                if request.warm_up_draw < self.cold.warmth(server, now):
+                    return server
+        fit = [server for server in turn if able(server)]
         if not fit:
-            fit = [node for node in homes if able(node)]  # both replicas are out of reach: the spare
+            fit = [server for server in homes if able(server)]  # both replicas are out of reach: the spare
         # Guards the keys whose homes are all gone, refuse us, are cold or far.  Never for strain: it spreads.
-        far = len(slots) if self.live or any(self.ways.far(node.zone, now) for node in homes) else 0
-        while not fit and len(homes) < far and not any(there(node) or jammed(node) for node in homes):
+        far = len(slots) if self.live or any(self.ways.far(server.zone, now) for server in homes) else 0
+        while not fit and len(homes) < far and not any(there(server) or jammed(server) for server in homes):
             homes = self.placement.homes(key, 2 * len(homes))
-            fit = [node for node in homes if able(node)]
+            fit = [server for server in homes if able(server)]
         bound = max(self.FLOOR, self.SKIP * self.in_flight / len(slots))
-        for node in fit:
-            if node.in_flight <= bound and not (self.live and self.heavy(node, now)):
-                return node
+        for server in fit:
+            if server.in_flight <= bound and not (self.live and self.heavy(server, now)):
+                return server
         return min(fit, key=lambda n: self.live.load(n, now) if self.live else n.in_flight, default=None)
 
-    def queued(self, node: Node, method: Method, now: int) -> bool:
-        """What waits there takes over a quarter of the latency budget.  Guards against the jam of nodes whose
+    def queued(self, server: Server, request_class: RequestClass, now: int) -> bool:
+        """What waits there takes over a quarter of the latency budget.  Guards against the jam of servers
+        whose
         late work goes on: all proxies see it at one moment, so they leave it by chance, more the longer."""
-        if not self.live or len(method.times) < 8:
+        if not self.live or len(request_class.attempt_times) < 8:
             return False
-        wait = self.live.load(node, now) * sorted(method.times)[len(method.times) // 4]
-        return self.rng.random() * wait > method.latency_budget // 4
+        wait = (
+            self.live.load(server, now)
+            * sorted(request_class.attempt_times)[len(request_class.attempt_times) // 4]
+        )
+        return self.rng.random() * wait > request_class.latency_objective // 4
 
-    def heavy(self, node: Node, now: int) -> bool:
-        """The skip rule by the load of all proxies' reqs.  By chance: all learn of it at one moment."""
+    def heavy(self, server: Server, now: int) -> bool:
+        """The skip rule by the load of all proxies' requests.  By chance: all learn of it at one moment."""
         bound = max(self.live.REST, self.SKIP * self.live.mean)
-        return self.rng.random() * self.live.load(node, now) > bound
+        return self.rng.random() * self.live.load(server, now) > bound
 
-    def doubt(self, req: Req, now: int) -> None:
-        """An attempt that outlasts patience counts against its node at once: a silent one is fed no more.
+    def doubt(self, request: Request, now: int) -> None:
+        """An attempt that outlasts patience counts against its server at once: a silent one is fed no more.
         Where peers may talk they learn of a queue while it still grows."""
-        for attempt in req.attempts:
-            if attempt.outcome is None and not attempt.doubted and not self.passed_by(attempt):
-                attempt.doubted = True
-                self.health.failed(attempt.node, False, attempt.sent)
+        for attempt in request.attempts:
+            if attempt.outcome is None and not attempt.suspected and not self.passed_by(attempt):
+                attempt.suspected = True
+                self.health.failed(attempt.server.health, False, attempt.sent_at)
                 if self.hearsay and self.many:
-                    self.room.told(attempt.node, False, self.room.FALL_HIT)
-                    self.hearsay.note(attempt.node, 2, now)
+                    self.room.told(attempt.server, False, self.room.FALL_HIT)
+                    self.hearsay.note(attempt.server, 2, now)
 
     def passed_by(self, attempt: Attempt) -> bool:
-        """The node, no origin, has answered what went out after this: it is not behind that this is late."""
-        return attempt.sent < attempt.node.proven
-
-    def sick(self, node: Node, method: Method) -> Node | Errors | None:
-        """What keeps a method's reqs from a node: failures of the node, or its errors to that method."""
-        errors = node.errors.get(method, node)
-        return next((one for one in (node, errors) if not self.health.up(one)), None)
+        """The server, no origin, has answered what went out after this: it is not behind that this is
+        late."""
+        return attempt.sent_at < attempt.server.latest_success_sent_at
+
+    def sick(self, server: Server, request_class: RequestClass) -> FailureState | None:
+        """What keeps a request_class's requests from a server: failures of the server, or its errors to that
+        request_class."""
+        errors = server.class_failures.get(request_class, server.health)
+        return next((one for one in (server.health, errors) if not self.health.up(one)), None)
--- a/ivystack/drill/wire.py
+++ b/ivystack/drill/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: lines in, calls to the decisions, lines out.  Keeps timers and reqs in hand."""
+"""The simulator's wire: lines in, calls to the decisions, lines out.  Keeps timers and requests in hand."""
 
 from __future__ import annotations
 
@@ -7,42 +7,34 @@
 import orjson
 
 from ..model import (
-    CLIENT_GONE,
-    DONE,
-    ERRORED,
-    FAIL,
-    FULL,
-    GO,
-    LEAVING,
-    LEFT,
-    MISSED,
-    NACK,
-    OVERDUE,
-    READY,
-    RECALLED,
-    REFUSED,
-    SATISFIED,
-    SEVERED,
-    SUPERSEDED,
-    Node,
-    Req,
     Attempt,
-    figures,
+    CloseIdleConnections,
+    Decision,
+    Done,
+    Fail,
+    Outcome,
+    Reject,
+    Request,
+    Send,
+    SendGossip,
+    Server,
+    ServerState,
+    usable_figures,
 )
 from ..settings import Settings, us
 
 ENDINGS = {
-    "completed": SATISFIED,
-    "errored": ERRORED,
-    "saturated": FULL,
-    "overdue": OVERDUE,
-    "refused_conn": REFUSED,
-    "severed": SEVERED,
-    "recalled": RECALLED,
-    "superseded": SUPERSEDED,
-    "lookup_miss": MISSED,
+    "completed": Outcome.SUCCEEDED,
+    "errored": Outcome.ERROR,
+    "saturated": Outcome.OVERLOADED,
+    "overdue": Outcome.TIMED_OUT,
+    "refused_conn": Outcome.CONNECTION_REFUSED,
+    "severed": Outcome.CONNECTION_LOST,
+    "recalled": Outcome.CANCELLED,
+    "superseded": Outcome.NOT_SENT,
+    "lookup_miss": Outcome.CACHE_MISS,
 }
-STATES = {"active": READY, "leaving": LEAVING, "left": LEFT}
+STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 
 
 class BadLineError(Exception):
@@ -62,14 +54,14 @@
 
 
 class Instance:
-    """One proxy: its decisions, its reqs in hand, its timers."""
+    """One proxy: its decisions, its requests in hand, its timers."""
 
     def __init__(self, name: str, seed: int, config: dict, now: int):
         self.name = name
         self.settings = Settings(seed, config)
-        self.choice = self.settings.choice
-        self.reqs: dict[int, Req] = {}
-        self.refs: dict[Req, int] = {}
+        self.balancer = self.settings.balancer
+        self.requests: dict[int, Request] = {}
+        self.refs: dict[Request, int] = {}
         self.timer_at: int | None = None
         self.out: list[list] = []
         self.calling = False  # a call for the list is out
@@ -84,76 +76,79 @@
         method,
         tenant=None,
         key=None,
-        give_up_at=None,
+        deadline=None,
         hint=None,
         size=None,
         repeat=False,
         write=False,
         *_,
     ):
-        method = self.settings.methods.get(method)
-        if method is None or give_up_at is None or ref in self.reqs or not isinstance(key, int | None):
-            raise BadLineError("a req of an unknown method, without an end, or with an id used before")
+        method = self.settings.request_classes.get(method)
+        if method is None or deadline is None or ref in self.requests or not isinstance(key, int | None):
+            raise BadLineError("a request of an unknown method, without an end, or with an id used before")
         tenant = self.settings.tenants.get(tenant) if isinstance(tenant, str) else None
-        req = Req(method, now, us(give_up_at), key, tenant, bool(write), bool(repeat))
-        self.reqs[ref] = req
-        self.refs[req] = ref
-        self.carry(req, decided(self.choice.where, req, now))
+        request = Request(method, now, us(deadline), key, tenant, bool(write), bool(repeat))
+        self.requests[ref] = request
+        self.refs[request] = ref
+        self.carry(request, decided(self.balancer.route, request, now))
 
-    def carry(self, req: Req, answer: tuple) -> None:
-        """Writes what an answer says."""
-        word, node, when = answer
-        if req.saying:
-            peer, words = req.saying
-            self.out.append(["ANNOUNCE", self.name, peer, b64encode(words).decode()])
-            return
-        if req.closing:
-            self.out.append(["RELEASE", self.name, node.name])
-            return
-        ref = self.refs.get(req)
-        if word == GO:
-            self.out.append(["TRANSMIT", self.name, ref, when * 1000, node.name])
-        elif word == NACK:
-            self.out.append(["DENY", self.name, ref, when * 1000])
-            self.close(req)
-        elif word == FAIL:
-            self.out.append(["LOSE", self.name, ref])
-            self.close(req)
-        elif word == DONE:
-            self.close(req)
+    def act(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
+        """Writes what is due now, or asks for and writes the decision on a request."""
+        match action:
+            case SendGossip(peer, datagram):
+                self.out.append(["ANNOUNCE", self.name, peer, b64encode(datagram).decode()])
+            case CloseIdleConnections(server):
+                self.out.append(["RELEASE", self.name, server.name])
+            case request:
+                self.carry(request, decided(self.balancer.route, request, now))
+
+    def carry(self, request: Request, decision: Decision) -> None:
+        """Writes what a decision says."""
+        ref = self.refs.get(request)
+        match decision:
+            case Send(server, timeout_at):
+                self.out.append(["TRANSMIT", self.name, ref, timeout_at * 1000, server.name])
+            case Reject(retry_after):
+                self.out.append(["DENY", self.name, ref, retry_after * 1000])
+                self.close(request)
+            case Fail():
+                self.out.append(["LOSE", self.name, ref])
+                self.close(request)
+            case Done():
+                self.close(request)
 
-    def close(self, req: Req) -> None:
-        req.over = True
-        if all(attempt.outcome is not None for attempt in req.attempts):
-            ref = self.refs.pop(req, None)
-            self.reqs.pop(ref, None)
+    def close(self, request: Request) -> None:
+        request.concluded = True
+        if all(attempt.outcome is not None for attempt in request.attempts):
+            ref = self.refs.pop(request, None)
+            self.requests.pop(ref, None)
 
     def finished(self, now, ref, number, node, ending, delay=None, last=False, info=None, told=None, *_):
-        req = self.reqs.get(ref)
-        if req is None or not 0 <= number < len(req.attempts) or ending not in ENDINGS:
+        request = self.requests.get(ref)
+        if request is None or not 0 <= number < len(request.attempts) or ending not in ENDINGS:
             raise BadLineError("an ending of an attempt that was never made, or of no known kind")
-        attempt = req.attempts[number]
+        attempt = request.attempts[number]
         if attempt.outcome is not None:
             raise BadLineError("a second ending of one attempt")
         if last:
-            req.over = True
-        load = figures(told, self.settings.columns)
-        answer, off = decided(self.choice.after, attempt, ENDINGS[ending], now, load, info == 1)
-        self.call_off(req, off)
-        self.carry(req, (DONE, None, 0) if req.over else answer)
+            request.concluded = True
+        load = usable_figures(told, self.settings.columns)
+        outcome = decided(self.balancer.record_outcome, attempt, ENDINGS[ending], now, load, info == 1)
+        self.call_off(request, outcome.cancel)
+        self.carry(request, Done() if request.concluded else outcome.decision)
 
-    def call_off(self, req: Req, off: list[Attempt]) -> None:
+    def call_off(self, request: Request, off: list[Attempt]) -> None:
         for attempt in off:
-            self.out.append(["CANCEL", self.name, self.refs[req], req.attempts.index(attempt)])
+            self.out.append(["CANCEL", self.name, self.refs[request], request.attempts.index(attempt)])
 
     def client_gone(self, now, ref, *_):
-        req = self.reqs.get(ref)
-        if req is None or req.over:
+        request = self.requests.get(ref)
+        if request is None or request.concluded:
             return  # we ended it a moment ago
-        req.over = True
-        if req.attempts:
-            self.call_off(req, decided(self.choice.after, req.attempts[-1], CLIENT_GONE, now)[1])
-        self.close(req)
+        request.concluded = True
+        if request.attempts:
+            self.call_off(request, decided(self.balancer.client_gone, request))
+        self.close(request)
 
     def listed(self, now, entries, how):
         calling, self.calling = self.calling, self.calling and how == "C"
@@ -163,10 +158,10 @@
             return
         if calling and how != "C":
             self.asking.failures = 0
-        nodes = []
+        servers = []
         for flavor, name, share, bay, mode, zone, came_up, *_ in entries:
-            nodes.append(
-                Node(
+            servers.append(
+                Server(
                     name,
                     self.settings.kinds.get(flavor, -2),
                     share or 0.0,  # null tells nothing
@@ -176,16 +171,17 @@
                     us(came_up),
                 )
             )
-        decided(self.choice.listed, nodes, how != "D", now)
+        decided(self.balancer.update_endpoints, servers, how != "D", now)
 
     def settle(self, now: int) -> None:
         """After the events of a batch: what is due now, and a timer for what is due next."""
         while True:
-            rest, due = decided(self.choice.wait, now)
-            if not due:
+            wakeup = decided(self.balancer.next_wakeup, now)
+            if not wakeup.due:
                 break
-            for req in due:
-                self.carry(req, decided(self.choice.where, req, now))
+            for action in wakeup.due:
+                self.act(action, now)
+        rest = wakeup.delay
         if self.asking and self.asking.due(now):
             self.calling = True
             self.out.append(["WATCH", self.name, True])
@@ -264,7 +260,7 @@
         elif name == "CANCELLED_BY_CLIENT":
             instance.client_gone(self.now, *values)
         elif name == "INBOX":
-            decided(instance.choice.told, b64decode(values[1]), self.now)
+            decided(instance.balancer.receive_gossip, b64decode(values[1]), self.now)
         elif name not in ("TIMER", "CHECKED", "BEGUN"):
             raise BadLineError(f"no such event: {name}")
 
--- a/ivystack/duties/trials.py
+++ b/ivystack/duties/trials.py
@@ -1,8 +1,9 @@
 """`node-trials`: one proxy looks whether nodes that are down can be reached, and tells the others.
 
 Owns whom the holder looks at and when, and what a word of it does here.  It must never take a node out, send
-it a req or call it well: a node's own answers alone do that (Health).  A word only spaces this proxy's own
-trials of a node that it holds down itself, and for no longer than MOST after one was due.  No req waits.
+it a request or call it well: a node's own answers alone do that (Health).  A word only spaces this proxy's
+own
+trials of a node that it holds down itself, and for no longer than MOST after one was due.  No request waits.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from loguru import logger
 from twisted.internet.protocol import ClientFactory
 
-from ..model import READY
+from ..model import ServerState
 from ..net.resp import Resp, command
 
 EVERY = 500_000  # microseconds to the second look at a node, as to its first trial; doubled twice
@@ -75,25 +76,34 @@
 
     def down(self) -> list[str]:
         """Nodes on our list that we hold down ourselves."""
-        choice = self.proxy.choice
-        found = [n.name for n in choice.nodes.values() if n.state == READY and not choice.health.up(n)]
+        balancer = self.proxy.balancer
+        found = [
+            n.name
+            for n in balancer.servers.values()
+            if n.state == ServerState.READY and not balancer.health.up(n.health)
+        ]
         return found[:NAMES]
 
     def want(self, names: down_of, now: int) -> None:
         """Another proxy holds these down.  Names that our list lacks are not kept: a liar's have no end."""
         for name in names[:NAMES]:
-            if name in self.proxy.choice.nodes:
+            if name in self.proxy.balancer.servers:
                 self.wanted[name] = now + WANTED
 
     def look(self, now: int, held: Callable[[], bool]) -> None:
         """The holder's round; `held` is asked right before each look."""
-        choice, places = self.proxy.choice, self.proxy.nodes.places
+        balancer, places = self.proxy.balancer, self.proxy.nodes.places
         self.wanted = {name: until for name, until in self.wanted.items() if until > now}
         self.looked = {name: one for name, one in self.looked.items() if now - one[1] < WANTED}
         for name in dict.fromkeys([*self.down(), *self.wanted]):
-            node, place = choice.nodes.get(name), places.get(name)
+            node, place = balancer.servers.get(name), places.get(name)
             # Nothing goes to a node that drains or has left, not even a look.
-            if node is None or place is None or node.state != READY or len(self.looking) >= AT_ONCE:
+            if (
+                node is None
+                or place is None
+                or node.state != ServerState.READY
+                or len(self.looking) >= AT_ONCE
+            ):
                 continue
             count, next_at = self.looked.get(name, (0, now))
             if name in self.looking or now < next_at or not held():
@@ -126,22 +136,22 @@
 
     def take(self, word: dict[str, bool], now: int) -> None:
         """A word of the holder.  One that was not reached is tried by ourselves a little later."""
-        choice = self.proxy.choice
-        still = {node.name for node in choice.nodes.values() if not choice.health.up(node)}
+        balancer = self.proxy.balancer
+        still = {node.name for node in balancer.servers.values() if not balancer.health.up(node.health)}
         self.since = {name: at for name, at in self.since.items() if name in still}
         for name, reached in word.items():
-            node = choice.nodes.get(name)
-            if node is None or choice.health.up(node):
+            node = balancer.servers.get(name)
+            if node is None or balancer.health.up(node.health):
                 continue
             if reached:  # our own trial goes on as it would by itself
                 if self.since.pop(name, None) is not None:
-                    node.trial_at = min(node.trial_at, now)
+                    node.health.next_probe_at = min(node.health.next_probe_at, now)
                 continue
-            if name not in self.since or self.since[name][0] != node.trials:
-                self.since[name] = node.trials, node.trial_at
+            if name not in self.since or self.since[name][0] != node.health.probes:
+                self.since[name] = node.health.probes, node.health.next_probe_at
             until = min(now + HOLD, self.since[name][1] + MOST)
-            if until > node.trial_at:
-                node.trial_at = until
+            if until > node.health.next_probe_at:
+                node.health.next_probe_at = until
                 self.spaced += 1
 
     def state(self) -> dict:
--- a/ivystack/model.py
+++ b/ivystack/model.py
@@ -1,144 +1,236 @@
-"""Plain types shared by the decisions and whoever asks for them; nothing is decided here.
+"""Records and enums that the balancing decisions share with their callers; nothing is decided here.
 
-Times are whole microseconds of the caller's clock.  Objects point to each other; ids stay at the door.
+All times and spans are whole microseconds of the caller's clock, unless a name or docstring says otherwise.
 """
 
 from __future__ import annotations
 
+import enum
 from collections import deque
 from dataclasses import dataclass, field
 from math import inf
 
-# What `where` and `after` answer with: (GO, node, until), (WAIT, None, 0), (NACK, None, come_back_in),
-# (FAIL, None, 0), or (DONE, None, 0) when nothing more is owed.
-GO, WAIT, NACK, FAIL, DONE = "go", "wait", "nack", "fail", "done"
+LONG_AGO = -1_000_000_000  # microseconds: before any moment that a clock shows
+RESPONSE_TIMES_KEPT = 64  # samples of a request class
 
-# How an attempt can end.
-SATISFIED, ERRORED, FULL, OVERDUE, REFUSED, SEVERED, RECALLED, SUPERSEDED, MISSED, UNFIT = (
-    "satisfied",
-    "errored",
-    "full",
-    "overdue",
-    "refused",
-    "severed",
-    "recalled",
-    "superseded",
-    "missed",
-    "unfit",  # the node can't use such a req; nor could another
-)
-CLIENT_GONE = "client gone"  # no ending of an attempt: its req needs no answer any more
 
-# What a method's reqs bear.
-RETRYABLE, DEDUPLICATED, NON_RETRYABLE = "retryable", "deduplicated", "non-retryable"
+class Idempotency(enum.Enum):
+    """What a request class bears, from the loosest to the strictest."""
 
-READY, LEAVING, LEFT = "ready", "leaving", "left"
+    IDEMPOTENT = "idempotent"
+    KEYED = "keyed"  # servers drop a repeat with the same key, within a group and a window
+    NOT_IDEMPOTENT = "not-idempotent"
+
+
+class DedupGroup(enum.Enum):
+    """Which servers know each other's keys and drop a repeat, from the widest to the narrowest."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class ServerState(enum.Enum):
+    """A server's state in the endpoint list."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class Outcome(enum.Enum):
+    """How an attempt can end; `str()` gives the word used in log lines."""
+
+    SUCCEEDED = "succeeded"
+    ERROR = "error"
+    OVERLOADED = "overloaded"
+    TIMED_OUT = "timed-out"
+    CONNECTION_REFUSED = "connection-refused"
+    CONNECTION_LOST = "connection-lost"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not-sent"
+    CACHE_MISS = "cache-miss"
+    INVALID_REQUEST = "invalid-request"  # the server can't use such a request; nor could another
+
+    def __str__(self) -> str:
+        return self.value
 
 
 @dataclass(eq=False, slots=True)
-class Errors:
-    """What a node answers one method with, judged as a node is."""
+class FailureState:
+    """The recent failures of a server, or of one request class at a server."""
 
-    failures: int = 0
-    broken: bool = False
-    trial_at: int = 0
-    trials: int = 0
-    passed: int = 0
+    consecutive_failures: int = 0
+    connection_failed: bool = False  # one of them was a broken or refused connection
+    next_probe_at: int = 0  # while ejected: no probe before this
+    probes: int = 0  # since it was ejected
+    skipped_requests: int = 0  # own requests that would have gone there since the last probe
 
 
 @dataclass(eq=False, slots=True)
-class Node:
-    """A cache node (or the origin) as the list names it, and what this proxy has seen of it."""
+class Server:
+    """A cache server (or the origin) as listed, and what this process has observed of it."""
 
     name: str
-    kind: int = 0
+    kind: int = 0  # index of its machine kind in the settings
     weight: float = 1.0
     zone: str = ""
     cell: int = 0
-    state: str = READY
-    started: int = 0  # 0: long ago
-    unnamed: bool = False  # known by another proxy's slots alone, its name their mark for it
-    drained: bool = False  # seen leaving since it last was ready
-    left_at: int = 0
-    in_flight: int = 0  # own attempts there
-    sent: int = 0  # when the last went out
-    failures: int = 0  # in a row
-    broken: bool = False  # one of them was a broken or refused connection
-    trial_at: int = 0  # when down: not before this
-    trials: int = 0  # since it went down
-    passed: int = 0  # own reqs that would have gone there since the last trial
-    proven: int = 0  # when the latest of those that were answered in time had gone out
-    errors: dict = field(default_factory=dict)  # by method: answered with an error last
-    heard: int = -1_000_000_000  # when an attempt there last ended
-    in_time: int = 0  # answers in a row
-    slow: bool = False  # the last answer was, for its latency budget
-    cut: int = 0  # when the window fell last
-    crowded: int = -1_000_000_000  # when it last turned away a new connection of ours
-    window: float = 0.0  # own attempts it bears at once
-    times: tuple[int, ...] = ()  # an origin's last answers'
-    load: float = 0.0  # reqs that it held a core, as told last
-    load_at: int = -1_000_000_000
-    share: float = 1.0  # of the reqs that would go there: those of highest rank
+    state: ServerState = ServerState.READY
+    started_at: int = 0  # 0: long ago
+    is_placeholder: bool = False  # known by another process's slot order alone; its name is the hash there
+    was_draining: bool = False  # seen draining since it last was ready
+    gone_at: int = 0
+    in_flight: int = 0  # own attempts
+    last_sent_at: int = 0
+    health: FailureState = field(default_factory=FailureState)
+    class_failures: dict[RequestClass, FailureState] = field(default_factory=dict)
+    latest_success_sent_at: int = 0  # when the latest of the attempts that it answered in time was sent
+    last_outcome_at: int = LONG_AGO
+    consecutive_on_time: int = 0  # answers
+    last_was_slow: bool = False  # the last answer, for its latency objective
+    limit_lowered_at: int = 0
+    connection_rejected_at: int = LONG_AGO  # when it last rejected a new connection of ours
+    concurrency_limit: float = 0.0  # own attempts; 0: not set yet
+    response_times: tuple[int, ...] = ()  # an origin's last
+    load: float = 0.0  # requests in flight a core, as last reported
+    load_reported_at: int = LONG_AGO
+    admitted_share: float = 1.0  # of the requests that would go there: those of highest priority
 
 
 @dataclass(eq=False, slots=True)
-class Method:
+class RequestClass:
+    """The limits and weights that the settings give to one class of requests, and its recent samples."""
+
     name: str
-    semantics: str = RETRYABLE
-    latency_budget: int = 1_000_000
-    criticality: float = 1.0
-    group: str = "all"  # deduplicated: which nodes drop a repeat: all, zone or cell
-    window: int = 0  # and for how long
-    tardy: float = 0.0  # what an answer after the latency budget is worth
-    times: deque = field(default_factory=lambda: deque(maxlen=64))  # its last attempts' times
-    took: deque = field(default_factory=lambda: deque(maxlen=64))  # those of them that were answered
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    latency_objective: int = 1_000_000
+    priority_weight: float = 1.0
+    dedup_group: DedupGroup = DedupGroup.ALL  # for keyed classes
+    dedup_window: int = 0  # for keyed classes
+    late_priority_weight: float = 0.0  # of an answer after the latency objective
+    attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
+    success_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
 
 
 @dataclass(eq=False, slots=True)
 class Tenant:
+    """A tenant and its quota."""
+
     name: str
-    allowance: float = 0.0  # reqs a second over all proxies
-    recent: int = 0  # among the last reqs here
+    quota: float = 0.0  # requests a second over all processes; 0: none
+    recent_requests: int = 0  # among the last requests here
 
 
 @dataclass(eq=False, slots=True)
-class Req:
-    method: Method | None
-    arrived: int
-    give_up_at: int
+class Request:
+    """A client's request, from its arrival to its one final answer."""
+
+    request_class: RequestClass
+    arrived_at: int
+    deadline: int
     key: int | None = None
     tenant: Tenant | None = None
-    write: bool = False
-    repeat: bool = False
-    over: bool = False  # concluded, by whom ever
-    ranked: bool = False
-    part: float = 1.0  # of a node's window that it may use, by its rank
-    calm: float = 0.0  # the share of reqs that a node must take to be given this one
-    luck: float = 0.0  # drawn once: a node as warm as this may take it
-    attempts: list = field(default_factory=list)
-    once: bool = False  # some of its bytes have gone out and are nowhere else: it can't go out again
-    saying: tuple[int, bytes] | None = None  # standing req: a message to the peer of that number
-    closing: Node | None = None  # standing req: close the idle connections to this node
+    is_write: bool = False
+    is_client_retry: bool = False
+    concluded: bool = False  # it has its final answer, or its client has gone
+    is_ranked: bool = False  # the three draws below are made
+    limit_fraction: float = 1.0  # of a server's concurrency limit that it may use, by its priority
+    required_share: float = 0.0  # the admitted share that a server must have to be sent this one
+    warm_up_draw: float = 0.0  # uniform in [0, 1): a server that is warmed up at least so far may take it
+    attempts: list[Attempt] = field(default_factory=list)
+    partly_sent: bool = False  # some of its bytes have been sent and are not kept: it can't be sent again
+
+    def outstanding(self) -> list[Attempt]:
+        """Return the attempts that have no outcome yet."""
+        return [attempt for attempt in self.attempts if attempt.outcome is None]
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    req: Req
-    node: Node | None
-    sent: int
-    until: int
-    outcome: str | None = None  # None: still out
-    latest: float = inf  # by when its last byte must have gone out, else it must not go out at all
-    zone: str = ""  # its node's when it was decided: a node's name may come back elsewhere
+    """One attempt of a request at one server."""
+
+    request: Request
+    server: Server
+    sent_at: int
+    timeout_at: int
+    outcome: Outcome | None = None  # None: in flight
+    send_by: float = inf  # its last byte must have been sent by then, else it must not be sent at all
+    zone: str = ""  # the server's when it was decided: the name may come back elsewhere
     cell: int = 0
-    doubted: bool = False  # its lateness was already held against the node
-    fresh: bool = False  # the first on its connection, where the caller knows of these
-    trial: bool = False
+    suspected: bool = False  # its lateness was already counted as a failure of the server
+    first_on_connection: bool = False  # where the caller knows of connections
+    is_probe: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Send:
+    """Decision: send the request's last attempt to `server`, which has until `timeout_at`."""
+
+    server: Server
+    timeout_at: int
+
+
+@dataclass(frozen=True, slots=True)
+class Wait:
+    """Decision: nothing to do now; the request is decided again later."""
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Decision: answer that the request had no effect, to be retried after `retry_after` (0: not told)."""
+
+    retry_after: int
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Decision: answer that the request failed and may have had its effect."""
+
+
+@dataclass(frozen=True, slots=True)
+class Done:
+    """Decision: the request has its final answer; nothing more is owed."""
+
+
+Decision = Send | Wait | Reject | Fail | Done
+
+
+@dataclass(frozen=True, slots=True)
+class OutcomeDecision:
+    """What follows an attempt's outcome: a decision for its request, and the attempts to cancel."""
+
+    decision: Decision
+    cancel: list[Attempt]
+
+
+@dataclass(frozen=True, slots=True)
+class SendGossip:
+    """Action: send a datagram to the peer of that number."""
+
+    peer: int
+    datagram: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class CloseIdleConnections:
+    """Action: close the idle connections to a server."""
+
+    server: Server
+
+
+@dataclass(frozen=True, slots=True)
+class Wakeup:
+    """What is due now, in order, and in how many microseconds the next thing is due (None: nothing is)."""
+
+    delay: int | None
+    due: list[Request | SendGossip | CloseIdleConnections]
 
 
-def figures(report: dict | None, columns: frozenset[str]) -> dict[str, float]:
-    """What of a node's load report can be used: the figures that the settings name, finite and not negative.
+def usable_figures(report: dict | None, columns: frozenset[str]) -> dict[str, float]:
+    """Return the figures of a server's load report that the settings name, finite and not negative.
 
-    >>> figures({"active": 3, "waiting": -1, "cpu": None, "new": 5}, frozenset(["active", "waiting", "cpu"]))
+    >>> usable_figures({"active": 3, "waiting": -1, "cpu": None, "new": 5}, frozenset(["active", "waiting"]))
     {'active': 3}
     """
     return {
--- a/ivystack/net/front.py
+++ b/ivystack/net/front.py
@@ -13,9 +13,9 @@
 from loguru import logger
 from twisted.internet.protocol import ServerFactory
 
-from ..model import NACK, SATISFIED
 from .ends import Ends
 from .relay import Relay, Upload
+from .reply import Failed, Rejected, Reply, Value
 from .resp import LONGEST, PARTS, VALUE, Given, Resp, bulk, no_delay
 from .tables import Slots
 from .trace import trace
@@ -43,18 +43,19 @@
         return [self.before, bulk(b"%b%d%b" % (self.fields, wait_ms, self.after)), self.value]
 
 
-def told(word: str, what: bytes | int | Relay) -> bytes | Relay:
+def encode_reply(reply: Reply) -> bytes | Relay:
     """An answer in the protocol's words, or what passes on a long one.
 
-    >>> from ivystack.model import FAIL
-    >>> told(SATISFIED, b"v"), told(NACK, 20), told(NACK, 0), told(FAIL, 0)
-    (b'$1\\r\\nv\\r\\n', b'-BUSY 20\\r\\n', b'-BUSY\\r\\n', b'-ERR failed\\r\\n')
+    >>> [encode_reply(reply) for reply in (Value(b"v"), Rejected(20), Rejected(0), Failed())]
+    [b'$1\\r\\nv\\r\\n', b'-BUSY 20\\r\\n', b'-BUSY\\r\\n', b'-ERR failed\\r\\n']
     """
-    if word == SATISFIED:
-        return bulk(what) if isinstance(what, bytes) else what
-    if word == NACK:
-        return b"-BUSY %d\r\n" % what if what else BUSY
-    return FAILED
+    match reply:
+        case Value(value):
+            return bulk(value) if isinstance(value, bytes) else value
+        case Rejected(retry_after_ms):
+            return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else BUSY
+        case Failed():
+            return FAILED
 
 
 def key_of(text: bytes) -> int:
@@ -174,7 +175,7 @@
     def malformed(self, why: str) -> None:
         """Guards against taking bytes for commands that are none: what is owed goes out, and then the end."""
         upload, self.upload = self.upload, None
-        if upload is not None and upload.req is not None:
+        if upload is not None and upload.request is not None:
             self.front.cut(upload)
         self.front.idle.pop(self, None)
         self.deafen()
@@ -355,7 +356,7 @@
     # Idle ones beyond that are closed after the first; beyond twice as many, or where busy ones hold most of
     # the part that clients may have, after the second: hundreds a second ask once and stay.
     IDLE, SOON = 2_000_000, 50_000
-    YOUNG = 100_000  # a usual client's first req is here by then
+    YOUNG = 100_000  # a usual client's first request is here by then
     PRESSED = 20_000  # nearly as surely; for where nobody else could make way
     MAKING_WAY = 16  # connections beyond the bound for as long as others make way
     SPARE = 32  # descriptors for these and for all else: the list, peers, operators, the log, Python's own
@@ -380,7 +381,7 @@
         self.fresh: OrderedDict[Client, None] = OrderedDict()  # nothing whole said yet; longest silent first
         self.idle: OrderedDict[Client, None] = OrderedDict()  # of the others; longest idle first
         self.retiring: dict[Client, bool] = {}  # to be closed unless more comes; also with half a command
-        self.ids: set[bytes] = set()  # of the reqs in hand
+        self.ids: set[bytes] = set()  # of the requests in hand
         self.draining = ""  # the code with which connections are closed; empty: they are kept
         self.refuses = False  # PING is answered no
         self.until = 0  # by when idle ones are to be closed
@@ -403,7 +404,7 @@
             self.fitting = self.deadlines.at(self.now() + self.SLICE, self.fit)
 
     def knows(self, methods: dict, tenants: dict) -> None:
-        """The classes and tenants that commands may name from now on; reqs that are held keep theirs."""
+        """The classes and tenants that commands may name from now on; requests that are held keep theirs."""
         self.methods = {name.encode(): method for name, method in methods.items()}
         self.tenants = {name.encode(): tenant for name, tenant in tenants.items()}
 
@@ -414,7 +415,7 @@
         """Guards usual clients, who may hold but a part of the descriptors, against connections that ask once
         and stay for good."""
         busy = len(self.clients) - len(self.fresh) - len(self.idle)
-        third = (self.most + self.SPARE) // 2  # of the descriptors: clients may hold no more for reqs
+        third = (self.most + self.SPARE) // 2  # of the descriptors: clients may hold no more for requests
         most = self.most // self.KEEP
         kept = min(most, max(2, third // 2 - busy))
         while len(self.idle) > kept:
@@ -475,7 +476,7 @@
                 fault = b"-ERR a class c= and a wait d= are wanted\r\n"
             elif not args[1] or not args[2]:
                 fault = b"-ERR a key and an id are wanted\r\n"
-            elif args[2] in self.ids:  # another req's, or sent twice: two answers could not be told apart
+            elif args[2] in self.ids:  # another request's, or sent twice: two answers could not be told apart
                 fault = b"-ERR the id is in use\r\n"
             elif self.bytes > self.held:  # guards the memory; nothing of it has run
                 fault = BUSY
@@ -494,11 +495,11 @@
         place[2] = len(args[-1])
         self.bytes += place[2]
 
-        def reply(word: str, what: bytes | int) -> None:
+        def reply(answer: Reply) -> None:
             self.ids.discard(ident)
             if upload is not None and not upload.whole:
                 upload.discard()
-            client.answer(place, told(word, what))
+            client.answer(place, encode_reply(answer))
 
         place[3] = ident
         place[1] = self.admit(
@@ -549,14 +550,14 @@
         relays = [place[0] for place in client.owed if isinstance(place[0], Relay)]
         client.owed.clear()
         self.gone([place[1] for place in owed if place[1] is not None])
-        for relay in relays:  # last: what lies behind a long answer may end one of those reqs
+        for relay in relays:  # last: what lies behind a long answer may end one of those requests
             relay.left()
 
     # Sending clients away: for the operators, at the end, and in an upgrade; callers differ in how it ends.
 
     def drain(self, code: str, within: int, halves: int, refuses: bool = True) -> None:
         """Closes what is idle in slices, and all else after its answers; so long after that, commands that
-        have not come whole: a req taken late would still be held at the end."""
+        have not come whole: a request taken late would still be held at the end."""
         self.draining, self.refuses = code, refuses
         self.until = self.now() + within
         self.halves = self.until + halves
@@ -582,7 +583,7 @@
         self.next = self.deadlines.at(now + self.SLICE, self.slice)
 
     def part(self, going: list[Client], halves: bool, code: str = "") -> None:
-        """Guards a req that crosses the end: one that has come meanwhile is served first."""
+        """Guards a request that crosses the end: one that has come meanwhile is served first."""
         code = self.draining or code
         for client in going:
             if code and not client.owed and not client.deaf and (halves or client.between()):
--- a/ivystack/net/handover.py
+++ b/ivystack/net/handover.py
@@ -19,8 +19,8 @@
 from twisted.internet.protocol import ClientFactory, ServerFactory
 from twisted.protocols.basic import LineReceiver
 
-from ..choice import Choice, Room
-from ..model import LEFT, Errors, Node
+from ..choice import Balancer, Room
+from ..model import FailureState, Server, ServerState
 from . import listener
 
 VERSION = 1  # of what is told; another one's is not understood
@@ -82,56 +82,59 @@
     common: float
 
 
-def tried(one: Node | Errors) -> Tried:
-    return Tried(one.failures, one.broken, one.trial_at, one.trials)
+def tried(state: FailureState) -> Tried:
+    return Tried(state.consecutive_failures, state.connection_failed, state.next_probe_at, state.probes)
 
 
-def told(choice: Choice, methods: dict, generation: int, instances: list[dict]) -> State:
+def told(balancer: Balancer, methods: dict, generation: int, instances: list[dict]) -> State:
     """What this process knows, for the next one."""
     names = {method: name for name, method in methods.items()}
     nodes = {
         node.name: Seen(
-            tried(node), {names[m]: tried(one) for m, one in node.errors.items() if m in names}, node.started,
-            node.drained, node.left_at, node.window, node.share,
+            tried(node.health), {names[m]: tried(one) for m, one in node.class_failures.items() if m in
+            names}, node.started_at,
+            node.was_draining, node.gone_at, node.concurrency_limit, node.admitted_share,
         )
-        for node in {*choice.nodes.values(), *choice.placement.slots} if not node.unnamed
+        for node in {*balancer.servers.values(), *balancer.placement.slots} if not node.is_placeholder
     }  # fmt: skip
-    slots = [node.name for node in choice.placement.slots if not node.unnamed]
-    times = {name: [*method.times] for name, method in methods.items()}
-    return State(VERSION, generation, instances, slots, nodes, times, choice.room.common)
+    slots = [node.name for node in balancer.placement.slots if not node.is_placeholder]
+    times = {name: [*method.attempt_times] for name, method in methods.items()}
+    return State(VERSION, generation, instances, slots, nodes, times, balancer.room.common)
 
 
-def take(state: State, choice: Choice, methods: dict, now: int) -> None:
+def take(state: State, balancer: Balancer, methods: dict, now: int) -> None:
     """Goes on where the other process is: slot order, nodes' health, cold starts, windows and samples."""
     for name, seen in state.nodes.items():
-        node = choice.nodes.get(name)
+        node = balancer.servers.get(name)
         if node is None:  # not listed any more: awaited at its slot as long as the other would
-            node = Node(name, -2, state=LEFT, drained=seen.drained, left_at=min(seen.left_at, now))
-            node.weight = sum(n.weight for n in choice.nodes.values()) / max(1, len(choice.nodes))
-            choice.nodes[name] = node
-        retry(node, seen.tried, now)
+            node = Server(
+                name, -2, state=ServerState.GONE, was_draining=seen.drained, gone_at=min(seen.left_at, now)
+            )
+            node.weight = sum(n.weight for n in balancer.servers.values()) / max(1, len(balancer.servers))
+            balancer.servers[name] = node
+        retry(node.health, seen.tried, now)
         for method, one in seen.errors.items():
             if method in methods:
-                retry(node.errors.setdefault(methods[method], Errors()), one, now)
-        node.started = max(node.started, min(seen.started, now))
-        node.window = min(Room.MOST, max(Room.LEAST, seen.window))
-        node.share = min(1.0, max(Room.CLOSED, seen.share))
+                retry(node.class_failures.setdefault(methods[method], FailureState()), one, now)
+        node.started_at = max(node.started_at, min(seen.started, now))
+        node.concurrency_limit = min(Room.MOST, max(Room.LEAST, seen.window))
+        node.admitted_share = min(1.0, max(Room.CLOSED, seen.share))
     for name, times in state.times.items():
         if name in methods:
-            methods[name].times.extend(time for time in times[-64:] if time >= 0)
-    choice.room.common = min(1.0, max(Room.CLOSED, state.common))
-    order = [choice.nodes[name] for name in dict.fromkeys(state.slots) if name in choice.nodes]
-    choice.placement.slots = [node for node in order if node.kind != choice.origin_kind]
-    choice.placement.known.clear()
-    choice.placement.settle([n for n in choice.nodes.values() if n.kind != choice.origin_kind], now)
-    if choice.order:  # the order is known: nobody is to be asked
-        choice.order.grown_at, choice.order.next_at = now, None
-
-
-def retry(one: Node | Errors, seen: Tried, now: int) -> None:
-    one.failures, one.trials = max(0, seen.failures), max(0, seen.trials)
-    one.broken = seen.broken
-    one.trial_at = min(seen.trial_at, now + 10_000_000)  # longer than any pause
+            methods[name].attempt_times.extend(time for time in times[-64:] if time >= 0)
+    balancer.room.common = min(1.0, max(Room.CLOSED, state.common))
+    order = [balancer.servers[name] for name in dict.fromkeys(state.slots) if name in balancer.servers]
+    balancer.placement.slots = [node for node in order if node.kind != balancer.origin_kind]
+    balancer.placement.known.clear()
+    balancer.placement.settle([n for n in balancer.servers.values() if n.kind != balancer.origin_kind], now)
+    if balancer.order:  # the order is known: nobody is to be asked
+        balancer.order.grown_at, balancer.order.next_at = now, None
+
+
+def retry(one: FailureState, seen: Tried, now: int) -> None:
+    one.consecutive_failures, one.probes = max(0, seen.failures), max(0, seen.trials)
+    one.connection_failed = seen.broken
+    one.next_probe_at = min(seen.trial_at, now + 10_000_000)  # longer than any pause
 
 
 # --- The way from one process to the other ---
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -12,20 +12,7 @@
 from twisted.internet.error import ConnectBindError
 from twisted.internet.protocol import ClientFactory
 
-from ..model import (  # fmt: skip
-    ERRORED,
-    FULL,
-    MISSED,
-    OVERDUE,
-    RECALLED,
-    REFUSED,
-    RETRYABLE,
-    SATISFIED,
-    SEVERED,
-    SUPERSEDED,
-    UNFIT,
-    Attempt,
-)
+from ..model import Attempt, Idempotency, Outcome
 from . import tables
 from .relay import Relay, Upload
 from .resp import LONGEST, VALUE, Given, Resp, no_delay
@@ -121,7 +108,7 @@
         super().part(part)
         # A report that never comes whole must not keep the end of a value from the client.
         if self.relay and self.open and len(self.open[0][0]) == 2:
-            if outcome_of([*self.open[0][0], None]) == SATISFIED:
+            if outcome_of([*self.open[0][0], None]) == Outcome.SUCCEEDED:
                 self.relay.whole()
 
     def received(self, value) -> None:
@@ -138,7 +125,7 @@
 
     def malformed(self, why: str) -> None:
         report = [*self.open[0][0], None] if self.open and len(self.open[0][0]) == 2 else None
-        if self.out and report and outcome_of(report) == SATISFIED:
+        if self.out and report and outcome_of(report) == Outcome.SUCCEEDED:
             self.nodes.answered(self, report)  # the value is whole: a bad load report must not spoil it
         self.nodes.spoilt(self, why)
 
@@ -166,22 +153,22 @@
     """The outcome that an answer of the protocol's table proves; None if it is not in the table.  Where nodes
     read through, that no value was found is no answer at all: it proves nothing.
 
-    >>> outcome_of([b"value", b"hit", None]), outcome_of("-BUSY"), outcome_of("-ERR failed")
-    ('satisfied', 'full', 'errored')
-    >>> outcome_of("-ERR bad request"), outcome_of([b"value"]), outcome_of(":5"), outcome_of(None)
-    ('unfit', None, None, None)
-    >>> outcome_of([None, b"miss", None]), outcome_of([None, b"miss", None], aside=True)
-    (None, 'missed')
+    >>> [str(outcome_of(answer)) for answer in ([b"value", b"hit", None], "-BUSY", "-ERR failed")]
+    ['succeeded', 'overloaded', 'error']
+    >>> [str(outcome_of(answer)) for answer in ("-ERR bad request", [b"value"], ":5", None)]
+    ['invalid-request', 'None', 'None', 'None']
+    >>> [str(outcome_of([None, b"miss", None], aside)) for aside in (False, True)]
+    ['None', 'cache-miss']
     """
     if isinstance(value, list) and len(value) == 3 and isinstance(value[1], bytes | None):
         if isinstance(value[0], bytes | Given):
-            return SATISFIED
-        return MISSED if aside and value[0] is None and value[1] == b"miss" else None
+            return Outcome.SUCCEEDED
+        return Outcome.CACHE_MISS if aside and value[0] is None and value[1] == b"miss" else None
     if not isinstance(value, str) or not value.startswith("-"):
         return None
     if value.startswith(("-ERR bad", "-SYNTAX")):
-        return UNFIT
-    return FULL if value.split(" ")[0] == "-BUSY" else ERRORED
+        return Outcome.INVALID_REQUEST
+    return Outcome.OVERLOADED if value.split(" ")[0] == "-BUSY" else Outcome.ERROR
 
 
 class Nodes:
@@ -189,7 +176,9 @@
     PART = 3  # of the descriptors, one in so many is for nodes
     AHEAD = 0.8  # of the time after which a node closes an idle one, we do: theirs may cross an attempt
     FEW = 6  # connections to a node before an attempt goes behind others instead of on a new one
-    COPY = 5_000  # two equal values so soon after each other are one and its copy: each is made for its req
+    COPY = (
+        5_000  # two equal values so soon after each other are one and its copy: each is made for its request
+    )
     DOUBT = 100_000  # so soon after another a -BUSY may be that one's copy: they come some milliseconds late
     STALLS = 10_000_000  # without a byte of a long answer that is being passed on: peers take seconds for one
     LITTLE = 262_144  # bytes of an answer nobody wants that are sooner read than a connection made anew
@@ -233,7 +222,7 @@
             place.address = address
             self.leave(place, "moved")
             for sending in [*place.waiting]:  # meant for that one: where it goes now is decided anew
-                self.end(sending, SUPERSEDED)
+                self.end(sending, Outcome.NOT_SENT)
 
     def listed(self, name: str, ready: bool) -> None:
         """Nothing new goes to one that is not ready, nor does it keep a connection that has nothing to do:
@@ -245,7 +234,7 @@
         if not ready:
             self.leave(place, "unlisted")
             for sending in [*place.waiting]:
-                self.end(sending, SUPERSEDED)
+                self.end(sending, Outcome.NOT_SENT)
 
     def keep(self, names) -> None:
         """Guards the memory: a node's place goes once it is not named any more and has no connection left."""
@@ -278,7 +267,7 @@
             if link.code is None:
                 return self.write(link, sending)
         few = min(self.FEW, max(2, self.most // len(self.places)))  # all nodes' shall fit our table
-        latest = sending.attempt.latest
+        latest = sending.attempt.send_by
         # One that must be there in time goes behind nothing: what holds back those before it would hold it
         # back too, in our socket or in theirs, past the time at which it may still begin.
         if len(place.links) >= few and self.deep > 1 and latest > until + self.linger:
@@ -314,10 +303,10 @@
 
     def write(self, link: Link, sending: Sending) -> None:
         sending.link = link
-        sending.attempt.fresh = not link.carried  # a -BUSY then is of the node's table
+        sending.attempt.first_on_connection = not link.carried  # a -BUSY then is of the node's table
         link.out.append(sending)
         link.carried += 1
-        rest = max(1, (sending.attempt.until - self.now()) // 1000)
+        rest = max(1, (sending.attempt.timeout_at - self.now()) // 1000)
         if trace.enabled:
             trace.step(sending.frame.ident, "sent", node=link.place.name, link=link.slot, told_ms=rest)
         if sending.upload is not None:
@@ -327,26 +316,37 @@
         sending.last_byte = link.written
 
     def call_off(self, sending: Sending) -> None:
-        self.give_up(sending, RECALLED)
+        self.give_up(sending, Outcome.CANCELLED)
 
     def out_of_time(self, sending: Sending) -> None:
-        self.give_up(sending, OVERDUE)
+        self.give_up(sending, Outcome.TIMED_OUT)
 
     def no_link_came(self, sending: Sending) -> None:
         if sending.link is None:  # where we opened none, it is our table that was full, not the node
-            late = self.now() >= sending.attempt.latest
-            self.end(sending, SUPERSEDED if late else REFUSED if sending.place.opening else FULL)
+            late = self.now() >= sending.attempt.send_by
+            self.end(
+                sending,
+                Outcome.NOT_SENT
+                if late
+                else Outcome.CONNECTION_REFUSED
+                if sending.place.opening
+                else Outcome.OVERLOADED,
+            )
 
     def give_up(self, sending: Sending, outcome: str) -> None:
         """Nobody waits any more.  Where a second copy may be out, the answer is let come a little longer, to
-        be thrown away: a new connection costs the node more work than that, and the next req its time."""
+        be thrown away: a new connection costs the node more work than that, and the next request its time."""
         if sending.over:
             return
-        link, code = sending.link, "called-off" if outcome == RECALLED else "out-of-time"
+        link, code = sending.link, "called-off" if outcome == Outcome.CANCELLED else "out-of-time"
         if link is None:
-            return self.end(sending, SUPERSEDED if outcome == RECALLED else REFUSED)
+            return self.end(
+                sending, Outcome.NOT_SENT if outcome == Outcome.CANCELLED else Outcome.CONNECTION_REFUSED
+            )
         if sending.partial():
-            self.end(sending, SUPERSEDED if outcome == RECALLED else REFUSED)
+            self.end(
+                sending, Outcome.NOT_SENT if outcome == Outcome.CANCELLED else Outcome.CONNECTION_REFUSED
+            )
             return link.drop(code)
         others = [other for other in link.out if other is not sending]
         if not self.linger and all(other.over for other in others):
@@ -358,7 +358,7 @@
 
     def lingered(self, link: Link, code: str) -> None:
         if link.relay is None and all(sending.over for sending in link.out):
-            # Guards the next req there: where one connection says nothing more, idle ones are no better.
+            # Guards the next request there: where one connection says nothing more, idle ones are no better.
             self.leave(link.place, "suspect")
             return link.drop(code)
         link.deadline = self.deadlines.at(self.now() + self.LINGER, self.lingered, link, code)
@@ -395,12 +395,14 @@
         place = link.place
         while place.waiting and not link.out:  # telling of one's end may have sent another on this link
             sending = place.waiting[0]
-            if not self.wanted(sending.attempt.req):
-                self.end(sending, SUPERSEDED)  # its client has gone
+            if not self.wanted(sending.attempt.request):
+                self.end(sending, Outcome.NOT_SENT)  # its client has gone
                 continue
-            if self.now() < sending.attempt.latest:
+            if self.now() < sending.attempt.send_by:
                 return self.write(link, place.waiting.popleft())
-            self.end(place.waiting[0], SUPERSEDED)  # the link came too late for its window, not for its time
+            self.end(
+                place.waiting[0], Outcome.NOT_SENT
+            )  # the link came too late for its window, not for its time
         if link.out:
             return
         if not place.ready:
@@ -436,38 +438,41 @@
             link.transport.bufferSize = VALUE
             link.last = relay.size, self.now()
             relay.whole()
-        elif outcome == SATISFIED:
-            # Guards the next req against a second copy of this answer that crossed its attempt.
+        elif outcome == Outcome.SUCCEEDED:
+            # Guards the next request against a second copy of this answer that crossed its attempt.
             last, link.last = link.last, (hash(value[0]), self.now())
             if last[0] == link.last[0] and link.last[1] - last[1] < self.COPY:
                 return self.spoilt(link, "a second copy")
-        elif outcome in (ERRORED, UNFIT) and value != "-ERR failed":
+        elif outcome in (Outcome.ERROR, Outcome.INVALID_REQUEST) and value != "-ERR failed":
             logger.warning("node {}: unexpected answer {!r:.80}", link.place.name, value)
         sending = link.out.popleft()
-        if outcome == FULL:
+        if outcome == Outcome.OVERLOADED:
             busy_at, link.busy_at = link.busy_at, self.now()
             # Guards the effect against a second copy of a -BUSY that crossed this attempt: it proves
             # nothing of it.  A value's copy is told by the value, this one by nothing.
-            if link.busy_at - busy_at < self.DOUBT and sending.attempt.req.method.semantics != RETRYABLE:
-                outcome = RECALLED
+            if (
+                link.busy_at - busy_at < self.DOUBT
+                and sending.attempt.request.request_class.idempotency != Idempotency.IDEMPOTENT
+            ):
+                outcome = Outcome.CANCELLED
         link.answers += 1
         link.place.broke = 0
         early = sending.partial()
         if not any(other.over for other in link.out):
             self.deadlines.drop(link.deadline)
-        if outcome in (SATISFIED, MISSED):
+        if outcome in (Outcome.SUCCEEDED, Outcome.CACHE_MISS):
             sending.report, sending.hit = value[2], value[1] in ("hit", b"hit")
         if not sending.over:
-            if early and outcome in (SATISFIED, MISSED):
-                outcome = ERRORED  # to what it has not seen whole
-            self.end(sending, outcome, value[0] if outcome == SATISFIED else None)
+            if early and outcome in (Outcome.SUCCEEDED, Outcome.CACHE_MISS):
+                outcome = Outcome.ERROR  # to what it has not seen whole
+            self.end(sending, outcome, value[0] if outcome == Outcome.SUCCEEDED else None)
         if early:
             link.drop("early: an answer to half a write")
 
     # Long answers.
 
     def begun(self, link: Link, size: int):
-        """A long answer begins: its req is satisfied by it, and who asked gets it as it comes."""
+        """A long answer begins: its request is satisfied by it, and who asked gets it as it comes."""
         if not link.out:
             return link.drop("strange: an answer to nothing")
         if link.last[0] == size and self.now() - link.last[1] < self.COPY:
@@ -479,7 +484,7 @@
         window = max(Relay.LEAST, min(VALUE, self.pieces // (3 * (len(self.relaying) + 1))))
         relay = link.relay = self.relaying[link] = Relay(link, size, window)
         link.place.broke = 0
-        self.end(sending, SATISFIED, relay)
+        self.end(sending, Outcome.SUCCEEDED, relay)
         self.stalled(link, relay, -1)
         return relay.piece
 
@@ -512,13 +517,13 @@
         """What came is no answer: the attempt it came for has failed and may have run.  Those behind it get
         no answer any more; that is held against the node once, not once for each."""
         link.drop(f"strange: {why}")
-        self.end_all(link, ERRORED)
+        self.end_all(link, Outcome.ERROR)
 
     def end_all(self, link: Link, outcome: str) -> None:
         for sending in [*link.out]:
             if not sending.over:
                 self.end(sending, outcome)
-                outcome = RECALLED
+                outcome = Outcome.CANCELLED
 
     def lost(self, link: Link, code: str) -> None:
         place = link.place
@@ -535,10 +540,18 @@
             place.broke += 1
             for sending in [*link.out]:
                 if sending.partial():  # it never ran
-                    self.end(sending, SUPERSEDED if place.broke == 1 and link.answers else REFUSED)
-            self.end_all(link, RECALLED if place.broke == 1 and link.answers else SEVERED)
+                    self.end(
+                        sending,
+                        Outcome.NOT_SENT if place.broke == 1 and link.answers else Outcome.CONNECTION_REFUSED,
+                    )
+            self.end_all(
+                link, Outcome.CANCELLED if place.broke == 1 and link.answers else Outcome.CONNECTION_LOST
+            )
         if failed and code != "connect-timeout" and place.waiting:  # of those each has a deadline of its own
-            self.end(place.waiting[0], FULL if code == "no-descriptor" else REFUSED)
+            self.end(
+                place.waiting[0],
+                Outcome.OVERLOADED if code == "no-descriptor" else Outcome.CONNECTION_REFUSED,
+            )
         for wanting in [place] if place.waiting else self.wanting():
             self.open(wanting)
 
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -1,7 +1,8 @@
 """One proxy: ties clients, nodes, discovery and peers to the decisions.
 
-Owns the table of reqs in hand, the deadlines, and every call to the decisions.  It must never decide
-anything, answer a req twice, or let a failure of the decisions end more than the req it was asked for.
+Owns the table of requests in hand, the deadlines, and every call to the decisions.  It must never decide
+anything, answer a request twice, or let a failure of the decisions end more than the request it was asked
+for.
 """
 
 from __future__ import annotations
@@ -13,22 +14,23 @@
 from twisted.internet.error import CannotListenError, ConnectionDone
 from twisted.python.failure import Failure
 
-from ..model import (  # fmt: skip
-    CLIENT_GONE,
-    DONE,
-    FAIL,
-    GO,
-    LEAVING,
-    LEFT,
-    NACK,
-    READY,
-    SATISFIED,
-    SUPERSEDED,
-    WAIT,
+from ..model import (
     Attempt,
-    Node,
-    Req,
-    figures,
+    CloseIdleConnections,
+    Decision,
+    Done,
+    Fail,
+    Outcome,
+    OutcomeDecision,
+    Reject,
+    Request,
+    Send,
+    SendGossip,
+    Server,
+    ServerState,
+    Wait,
+    Wakeup,
+    usable_figures,
 )
 from ..settings import Run, address, doubtful
 from .admin import Admin
@@ -39,22 +41,33 @@
 from .nodes import Nodes, Sending
 from .peers import Peers
 from .relay import Upload
+from .reply import Failed, Rejected, Reply, Value
 from .resp import SHORT
 from .tables import Clock, Deadlines, Slots
 from .trace import trace
 
-STATES = {"SERVING": READY, "DRAINING": LEAVING, "DELETED": LEFT}
+STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
 BROKEN_PAUSE = 50_000  # before decisions that failed are asked again
 
 
 class Held:
-    """A req in hand: what came, and how to answer."""
-
-    __slots__ = ("req", "frame", "upload", "wait", "reply", "still_there", "slot", "last_call", "place_by")
-
-    def __init__(self, req: Req, frame: Frame, reply, upload: Upload | None, wait: int, still_there):
+    """A request in hand: what came, and how to answer."""
+
+    __slots__ = (
+        "request",
+        "frame",
+        "upload",
+        "wait",
+        "reply",
+        "still_there",
+        "slot",
+        "last_call",
+        "place_by",
+    )
+
+    def __init__(self, request: Request, frame: Frame, reply, upload: Upload | None, wait: int, still_there):
         self.still_there = still_there
-        self.req, self.frame, self.reply, self.slot = req, frame, reply, -1
+        self.request, self.frame, self.reply, self.slot = request, frame, reply, -1
         self.upload, self.wait = upload, wait
         self.last_call: list | None = None
         self.place_by: list | None = None  # a long write's deadline for going anywhere
@@ -62,7 +75,7 @@
 
 class Proxy:
     COMING = 60_000_000  # a long write may take so long to come; its own time counts from its last byte
-    LAST = 2_000  # after its end a req is answered whatever the decisions do; they come first
+    LAST = 2_000  # after its end a request is answered whatever the decisions do; they come first
     BACKLOG = 1024  # clients that the kernel keeps for us until we accept them
     listen = staticmethod(listen)
     LOOK_AGAIN = 20_000  # so much later it is asked again whether a request's client is there
@@ -77,12 +90,12 @@
 
     def __init__(self, run: Run, reactor, now=None):
         self.run, self.reactor, self.now = run, reactor, now or Clock()
-        self.settings, self.choice = run.settings, run.settings.choice
+        self.settings, self.balancer = run.settings, run.settings.balancer
         self.deadlines = Deadlines(reactor, self.now)
-        self.reqs = Slots()
-        self.held: dict[Req, Held] = {}
+        self.requests = Slots()
+        self.held: dict[Request, Held] = {}
         self.sendings: dict[Attempt, Sending] = {}
-        self.ends: deque[tuple[Attempt, str, dict, bool]] = deque()  # outcomes still to be told
+        self.ends: deque[tuple[Attempt, Outcome, dict, bool]] = deque()  # outcomes still to be told
         self.settling = False
         self.alarm: list | None = None
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
@@ -93,7 +106,7 @@
         most = run.sockets - self.nodes.most - Front.SPARE
         self.front = Front(
             reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
-            self.settings.methods, self.settings.tenants, most, run.memory,
+            self.settings.request_classes, self.settings.tenants, most, run.memory,
         )  # fmt: skip
         self.discovery = Discovery(
             reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
@@ -146,7 +159,7 @@
             if state.generation >= self.discovery.generation:
                 listing = dict(generation=state.generation, reset=True, instances=state.instances)
                 self.discovery.known(listing)
-            take(state, self.choice, self.settings.methods, self.now())
+            take(state, self.balancer, self.settings.request_classes, self.now())
         except Exception as fault:  # guards the start against whatever an old process may tell
             logger.error("handover: could not go on from it: {}: {}", type(fault).__name__, fault)
         else:
@@ -161,7 +174,7 @@
         else:
             self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
         self.discovery.watch()
-        logger.info("start name={} nodes={}", self.run.name, len(self.choice.nodes))
+        logger.info("start name={} nodes={}", self.run.name, len(self.balancer.servers))
         self.started = True
         self.settle()
 
@@ -170,18 +183,19 @@
     def state(self) -> State:
         """What the next process is told."""
         kinds = {place: name for name, place in self.settings.kinds.items()}
-        listed = {READY: "SERVING", LEAVING: "DRAINING"}
+        listed = {ServerState.READY: "SERVING", ServerState.DRAINING: "DRAINING"}
         instances = [
             {
                 "instanceId": node.name, "hostPort": "{}:{}".format(*self.nodes.places[node.name].address),
                 "zone": node.zone, "machineType": kinds.get(node.kind), "cell": node.cell,
-                "lifecycle": listed[node.state], "startedAtMs": node.started // 1000,
+                "lifecycle": listed[node.state], "startedAtMs": node.started_at // 1000,
                 # Live ones are no sizes: the list tells them anew each second.
-                "weight": None if self.choice.live else node.weight,
+                "weight": None if self.balancer.live else node.weight,
             }
-            for node in self.choice.nodes.values() if node.state in listed and node.name in self.nodes.places
+            for node in self.balancer.servers.values()
+            if node.state in listed and node.name in self.nodes.places
         ]  # fmt: skip
-        return told(self.choice, self.settings.methods, self.discovery.generation, instances)
+        return told(self.balancer, self.settings.request_classes, self.discovery.generation, instances)
 
     def two(self, two: bool) -> None:
         """Another process is there, or has gone: together they keep within the bounds of one."""
@@ -210,15 +224,15 @@
         self.warn(run)
         former = self.settings.take(run.settings)
         run.settings, self.run = self.settings, run
-        self.front.knows(self.settings.methods, self.settings.tenants)
+        self.front.knows(self.settings.request_classes, self.settings.tenants)
         self.nodes.tune(run.idle, run.connect_timeout, self.deep(), self.aside())
         logger.info(
             "configuration taken discovery={}:{} classes={} changed={}", *run.discovery,
-            len(self.settings.methods), len(former),
+            len(self.settings.request_classes), len(former),
         )  # fmt: skip
         if former:
-            last = max((held.req.give_up_at for held in self.held.values()), default=0)
-            over = max(last, self.now()) + 2 * self.LAST  # by then none of their reqs is left
+            last = max((held.request.deadline for held in self.held.values()), default=0)
+            over = max(last, self.now()) + 2 * self.LAST  # by then none of their requests is left
             self.deadlines.at(over, self.settings.forget, former)
         self.peers.at(run.peers)
         self.discovery.move(run.discovery)
@@ -228,7 +242,7 @@
         return self.settings.streams if self.settings.may_duplicate else 1
 
     def aside(self) -> bool:
-        return self.choice.origin_kind >= 0
+        return self.balancer.origin_kind >= 0
 
     def terminate(self) -> None:
         """A planned end: serve a little longer, then finish what is held."""
@@ -238,7 +252,7 @@
         rest = min(self.LONGEST, self.settings.longest_wait()) + self.UNTIL_KILL - self.HELD_UP
         self.last_answer_at = self.now() + rest
         inherited = self.run.fd is not None  # another process accepts there, or will
-        logger.info("stop asked reqs={}", len(self.reqs))
+        logger.info("stop asked requests={}", len(self.requests))
         self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
         if inherited:
             self.peers.leave()
@@ -258,7 +272,7 @@
         self.port.connectionLost(Failure(ConnectionDone()))  # in this turn: later, more would have come
 
     def finish(self) -> None:
-        if self.reqs or self.front.clients:
+        if self.requests or self.front.clients:
             self.deadlines.at(self.now() + 10_000, self.finish)
         else:
             logger.info("stop")
@@ -275,7 +289,7 @@
 
     def drain(self) -> tuple[int, str]:
         if not self.ending and not self.front.draining:
-            logger.info("drain clients={} reqs={}", len(self.front.clients), len(self.reqs))
+            logger.info("drain clients={} requests={}", len(self.front.clients), len(self.requests))
             self.front.drain("drained", Front.SPREAD, Front.HALVES)
         return 200, "draining"
 
@@ -288,7 +302,7 @@
         return 200, "serving"
 
     def ready(self) -> bool:
-        return any(node.state == READY for node in self.choice.nodes.values())
+        return any(node.state == ServerState.READY for node in self.balancer.servers.values())
 
     # Clients.
 
@@ -300,153 +314,165 @@
         if self.ending:
             wait = max(0, min(wait, self.last_answer_at - now))
         arrives = now if upload is None else now + self.COMING
-        req = Req(method, arrives, arrives + wait, key, tenant, write, repeat)
-        held = Held(req, frame, reply, upload, wait, still_there)
+        request = Request(method, arrives, arrives + wait, key, tenant, write, repeat)
+        held = Held(request, frame, reply, upload, wait, still_there)
         if upload is not None:
-            upload.req, upload.through = req, self.through
-            upload.rest = max(1, (self.choice.end(req) - arrives) // 1000)
-        held.slot = self.reqs.put(held)
-        self.held[req] = held
-        # Guards against a req that failing decisions have lost: its client gets an answer all the same.
-        held.last_call = self.deadlines.at(req.give_up_at + self.LAST, self.last_answer, req)
+            upload.request, upload.through = request, self.through
+            upload.rest = max(1, (self.balancer.end(request) - arrives) // 1000)
+        held.slot = self.requests.put(held)
+        self.held[request] = held
+        # Guards against a request that failing decisions have lost: its client gets an answer all the same.
+        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
         return held.slot
 
     def begin_on(self, slot: int) -> None:
         """Decides on a request that was admitted; whatever fails here, it keeps its last call."""
-        req = self.reqs[slot].req
+        request = self.requests[slot].request
         try:
-            self.ask(req, req.arrived if self.reqs[slot].upload is None else self.now())
+            self.ask(request, request.arrived_at if self.requests[slot].upload is None else self.now())
             self.settle()
         except Exception:  # guards the client's connection and what else is asked on it
             logger.exception("a request could not be begun")
-            self.answer(req, FAIL)
+            self.answer(request, Failed())
 
     def through(self, upload: Upload) -> None:
         """A long write's last byte has gone out: it is taken now, and the node can begin."""
-        held = self.held.get(upload.req)
+        held = self.held.get(upload.request)
         if held is None:
             return
-        req, now = held.req, self.now()
-        req.arrived, req.give_up_at = now, now + held.wait
-        attempt = req.attempts[-1]
-        attempt.sent, attempt.until = now, self.choice.end(req)
-        self.nodes.through(self.sendings[attempt], attempt.until)
+        request, now = held.request, self.now()
+        request.arrived_at, request.deadline = now, now + held.wait
+        attempt = request.attempts[-1]
+        attempt.sent_at, attempt.timeout_at = now, self.balancer.end(request)
+        self.nodes.through(self.sendings[attempt], attempt.timeout_at)
         self.deadlines.drop(held.last_call)
-        held.last_call = self.deadlines.at(req.give_up_at + self.LAST, self.last_answer, req)
+        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
 
     def cut(self, upload: Upload) -> None:
         """A long write will never come whole."""
-        self.answer(upload.req, FAIL)
-        self.call_off([w for w in upload.req.attempts if w.outcome is None])
+        self.answer(upload.request, Failed())
+        self.call_off(upload.request.outstanding())
 
     def gone(self, slots: list[int]) -> None:
-        """A client has left, and these were its reqs.  All are closed first: calling one's attempts off
+        """A client has left, and these were its requests.  All are closed first: calling one's attempts off
         settles what is due, and nothing of the others may be sent on by then."""
-        left = [self.reqs[slot] for slot in slots]
+        left = [self.requests[slot] for slot in slots]
         for held in left:
             self.close(held)
-        for req in (held.req for held in left if held.req.attempts):
+        for request in (held.request for held in left if held.request.attempts):
             try:
-                off = self.choice.after(req.attempts[-1], CLIENT_GONE, self.now())[1]
+                off = self.balancer.client_gone(request)
             except Exception:
                 logger.exception("decisions failed: a client went away")
-                off = [w for w in req.attempts if w.outcome is None]
+                off = request.outstanding()
             self.call_off(off)
         self.settle()
 
     def close(self, held: Held) -> None:
-        held.req.over = True
+        held.request.concluded = True
         self.deadlines.drop(held.last_call)
         self.deadlines.drop(held.place_by)
-        del self.held[held.req]
-        self.reqs.drop(held.slot)
+        del self.held[held.request]
+        self.requests.drop(held.slot)
 
-    def answer(self, req: Req, word: str, what: bytes | int = 0) -> None:
-        """The req's one final answer: satisfied with a value, nacked for so many milliseconds, or failed."""
-        held = self.held.get(req)
+    def answer(self, request: Request, reply: Reply) -> None:
+        """The request's one final answer."""
+        held = self.held.get(request)
         if held is not None:
             if trace.enabled:
-                self.trace_answer(held, word, what)
+                self.trace_answer(held, reply)
             self.close(held)
-            held.reply(word, what)
+            held.reply(reply)
 
-    def last_answer(self, req: Req) -> None:
+    def last_answer(self, request: Request) -> None:
         """Its time is over and it has no answer: nor may it be sent on, where decisions failed."""
-        self.answer(req, FAIL)
-        self.call_off([attempt for attempt in req.attempts if attempt in self.sendings])
+        self.answer(request, Failed())
+        self.call_off([attempt for attempt in request.attempts if attempt in self.sendings])
 
-    def trace_answer(self, held: Held, word: str, what) -> None:
+    def trace_answer(self, held: Held, reply: Reply) -> None:
         """Logs a request's final answer, and for a refusal or failure what had become of its attempts."""
-        attempts = held.req.attempts
-        ends = ",".join(str(attempt.outcome or "out") for attempt in attempts) or "none"
-        fields = dict(word=word, after_ms=(self.now() - held.req.arrived) // 1000, attempts=ends)
-        if word == NACK:
-            fields["retry_after_ms"] = what
+        attempts = held.request.attempts
+        ends = ",".join(str(attempt.outcome or "in-flight") for attempt in attempts) or "none"
+        fields: dict[str, object] = {
+            "answer": type(reply).__name__.lower(),
+            "after_ms": (self.now() - held.request.arrived_at) // 1000,
+            "attempts": ends,
+        }
+        if isinstance(reply, Rejected):
+            fields["retry_after_ms"] = reply.retry_after_ms
         trace.step(held.frame.ident, "answered", **fields)
 
     # Decisions.
 
-    def ask(self, req: Req, now: int) -> None:
+    def act(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
+        """Does what is due, or decides on a request."""
+        match action:
+            case SendGossip(peer, datagram):
+                self.peers.say(peer, datagram)
+            case CloseIdleConnections(server):
+                self.nodes.release(server.name)
+            case request:
+                self.ask(request, now)
+
+    def ask(self, request: Request, now: int) -> None:
+        decision: Decision
         try:
-            answer = self.choice.where(req, now)
-        except Exception:  # guards the proxy and the effect: the req ends, unknown whether it ran, so no nack
-            logger.exception("decisions failed: where")
-            answer = (FAIL, None, 0)
-        self.carry(req, answer)
-
-    def carry(self, req: Req, answer: tuple) -> None:
-        word, node, when = answer
-        if req.saying:
-            if word == GO:
-                self.peers.say(*req.saying)
-        elif req.closing:
-            if word == GO:
-                self.nodes.release(node.name)
-        elif word == GO and not self.wanted(req):
-            self.ends.append((req.attempts[-1], SUPERSEDED, {}, False))  # it never went out
-            self.settle()
-        elif word == GO:
-            attempt, held = req.attempts[-1], self.held[req]
-            self.deadlines.drop(held.place_by)
-            sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
-            if trace.enabled:
-                number, left = len(req.attempts), (when - self.now()) // 1000
-                trace.step(held.frame.ident, "attempt", number=number, node=node.name, left_ms=left)
-            self.nodes.send(sending, node.name, when)
-        elif word == WAIT:
-            self.seek(self.held.get(req))
-        elif word == NACK:
-            self.answer(req, NACK, -(-when // 1000))
-        elif word == FAIL:
-            self.answer(req, FAIL)
-        elif word == DONE and req in self.held:
-            logger.error("decisions failed: a req was let go without an answer")
-            self.answer(req, FAIL)
-
-    def wanted(self, req: Req) -> bool:
+            decision = self.balancer.route(request, now)
+        except Exception:  # the request ends; it is unknown whether it ran, so it is not rejected
+            logger.exception("decisions failed: route")
+            decision = Fail()
+        self.carry(request, decision)
+
+    def carry(self, request: Request, decision: Decision) -> None:
+        match decision:
+            case Send() if not self.wanted(request):
+                self.ends.append((request.attempts[-1], Outcome.NOT_SENT, {}, False))
+                self.settle()
+            case Send(server, timeout_at):
+                self.send(request, server, timeout_at)
+            case Wait():
+                self.seek(self.held.get(request))
+            case Reject(retry_after):
+                self.answer(request, Rejected(-(-retry_after // 1000)))
+            case Fail():
+                self.answer(request, Failed())
+            case Done() if request in self.held:
+                logger.error("decisions failed: a request was let go without an answer")
+                self.answer(request, Failed())
+
+    def send(self, request: Request, server: Server, timeout_at: int) -> None:
+        attempt, held = request.attempts[-1], self.held[request]
+        self.deadlines.drop(held.place_by)
+        sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
+        if trace.enabled:
+            number, left = len(request.attempts), (timeout_at - self.now()) // 1000
+            trace.step(held.frame.ident, "attempt", number=number, node=server.name, left_ms=left)
+        self.nodes.send(sending, server.name, timeout_at)
+
+    def wanted(self, request: Request) -> bool:
         """Whether the request's client is still there.  Asked before what goes out later than in the turn
         that read the request: after a hold-up the client's end may lie unread behind what is acted on."""
-        if len(req.attempts) <= 1 and self.now() - req.arrived < self.LOOK_AGAIN:
+        if len(request.attempts) <= 1 and self.now() - request.arrived_at < self.LOOK_AGAIN:
             return True
-        held = self.held.get(req)
-        return held is not None and held.still_there() and req in self.held
+        held = self.held.get(request)
+        return held is not None and held.still_there() and request in self.held
 
     def seek(self, held: Held | None) -> None:
         """A long write's time has not begun: what the decisions give one to find a place is given here."""
-        if held is None or held.upload is None or held.upload.whole or held.req.once:
+        if held is None or held.upload is None or held.upload.whole or held.request.partly_sent:
             return
         if held.place_by is None or held.place_by[2] is None:
             held.place_by = self.deadlines.at(self.now() + held.wait // 8, self.no_place, held)
 
     def no_place(self, held: Held) -> None:
-        if all(attempt.outcome for attempt in held.req.attempts):
-            self.answer(held.req, NACK, -(-self.choice.come_back // 1000))
+        if all(attempt.outcome for attempt in held.request.attempts):
+            self.answer(held.request, Rejected(-(-self.balancer.come_back // 1000)))
 
-    def ended(self, sending: Sending, outcome: str, value: bytes | None) -> None:
+    def ended(self, sending: Sending, outcome: Outcome, value: bytes | None) -> None:
         """An attempt has ended; the client of a satisfied one gets its answer before all else."""
         del self.sendings[sending.attempt]
-        if outcome == SATISFIED:
-            self.answer(sending.attempt.req, SATISFIED, value)
+        if outcome == Outcome.SUCCEEDED:
+            self.answer(sending.attempt.request, Value(value))
         self.ends.append((sending.attempt, outcome, self.load(sending.report), sending.hit))
         self.settle()
 
@@ -455,20 +481,20 @@
         if not self.settings.columns or not isinstance(report, bytes) or len(report) > SHORT:
             return {}
         try:
-            return figures(orjson.loads(report), self.settings.columns)
+            return usable_figures(orjson.loads(report), self.settings.columns)
         except (ValueError, AttributeError):  # no JSON, no object
             return {}
 
-    def after(self, attempt: Attempt, outcome: str, load: dict[str, float], hit: bool) -> None:
-        req = attempt.req
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, load: dict[str, float], hit: bool) -> None:
+        request = attempt.request
         try:
-            answer, off = self.choice.after(attempt, outcome, self.now(), load, hit)
+            follow_up = self.balancer.record_outcome(attempt, outcome, self.now(), load, hit)
         except Exception:
-            logger.exception("decisions failed: after")
-            answer, off = (FAIL, None, 0), [w for w in req.attempts if w in self.sendings]
-        self.call_off(off)
-        if not req.over and answer[0] != DONE:
-            self.carry(req, answer)
+            logger.exception("decisions failed: record_outcome")
+            follow_up = OutcomeDecision(Fail(), [w for w in request.attempts if w in self.sendings])
+        self.call_off(follow_up.cancel)
+        if not request.concluded and follow_up.decision != Done():
+            self.carry(request, follow_up.decision)
 
     def call_off(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
@@ -483,21 +509,21 @@
         try:
             while True:
                 while self.ends:
-                    self.after(*self.ends.popleft())
+                    self.record_outcome(*self.ends.popleft())
                 now = self.now()
                 try:
-                    rest, due = self.choice.wait(now)
+                    wakeup = self.balancer.next_wakeup(now)
                 except Exception:
-                    logger.exception("decisions failed: wait")
-                    rest, due = BROKEN_PAUSE, []
-                if not due:
+                    logger.exception("decisions failed: next_wakeup")
+                    wakeup = Wakeup(BROKEN_PAUSE, [])
+                if not wakeup.due:
                     break
-                for req in due:
-                    self.ask(req, now)
+                for action in wakeup.due:
+                    self.act(action, now)
         finally:
             self.settling = False
-        if rest is not None:
-            at = now + max(rest, 1)
+        if wakeup.delay is not None:
+            at = now + max(wakeup.delay, 1)
             if self.alarm is None or self.alarm[2] is None or at < self.alarm[0]:
                 self.deadlines.drop(self.alarm)
                 self.alarm = self.deadlines.at(at, self.wake)
@@ -522,37 +548,41 @@
                         new = True
                         self.useless.append(told)
                         logger.error("list: an entry that can't be used: {}: {}", type(fault).__name__, fault)
-            self.choice.listed(nodes, whole, self.now())
-            for node in self.choice.nodes.values():
-                self.nodes.listed(node.name, node.state == READY)
+            self.balancer.update_endpoints(nodes, whole, self.now())
+            for node in self.balancer.servers.values():
+                self.nodes.listed(node.name, node.state == ServerState.READY)
         finally:
             self.settling = settling
-        self.nodes.keep(self.choice.nodes)
+        self.nodes.keep(self.balancer.servers)
         self.settle()
         return not useless, new
 
-    def entry(self, entry: dict) -> Node:
+    def entry(self, entry: dict) -> Server:
         name, where = entry["instanceId"], entry.get("hostPort")
         if not isinstance(name, str):
             raise TypeError(f"instanceId: wanted a name, got {name!r}")
-        node = Node(
+        node = Server(
             name,
             self.settings.kinds.get(entry.get("machineType"), -2),
             float(entry.get("weight") or 0),  # null tells nothing
             entry.get("zone") or "",
             entry.get("cell") or 0,
-            STATES.get(entry.get("lifecycle"), LEAVING),  # an unknown word: nothing new goes there
+            STATES.get(
+                entry.get("lifecycle"), ServerState.DRAINING
+            ),  # an unknown word: nothing new goes there
             int(entry.get("startedAtMs") or 0) * 1000,
         )
-        if node.state == READY:  # one that leaves needs no address: guards its drain against a spoilt one
-            known = self.choice.nodes.get(name)
-            restarted = known is not None and node.started > known.started
+        if (
+            node.state == ServerState.READY
+        ):  # one that leaves needs no address: guards its drain against a spoilt one
+            known = self.balancer.servers.get(name)
+            restarted = known is not None and node.started_at > known.started_at
             self.nodes.known(name, address(where, "hostPort"), restarted)
         return node
 
     def told(self, words: bytes) -> None:
         try:
-            self.choice.told(words, self.now())
+            self.balancer.receive_gossip(words, self.now())
         except Exception:  # guards against whatever another proxy, or a stranger in its place, may send
             logger.exception("decisions failed: a peer's words")
         self.settle()
--- a/ivystack/net/relay.py
+++ b/ivystack/net/relay.py
@@ -83,7 +83,7 @@
         self.client, self.size, self.window = client, size, window
         client.transport.bufferSize = window
         self.link = None
-        self.req = None
+        self.request = None
         self.rest = 0  # milliseconds that the node is told we wait
         self.through = None  # called once the node has been written all of it
         self.held = False  # the client is not read on
@@ -117,7 +117,7 @@
         self.client.go_on()
 
     def discard(self) -> None:
-        """Its req has been answered, or can't go out again: the rest is read and thrown away."""
+        """Its request has been answered, or can't go out again: the rest is read and thrown away."""
         self.over = True
         self.kept.clear()
         self.read_on()
@@ -136,7 +136,7 @@
             self.read_on()
 
     def write(self, data: bytes) -> None:
-        self.req.once = True
+        self.request.partly_sent = True
         self.link.send([data])
 
     def finish(self) -> None:
@@ -157,7 +157,7 @@
     def broke(self) -> None:
         """The attempt has ended before it was whole."""
         self.leave()
-        if self.req.once:
+        if self.request.partly_sent:
             self.discard()
 
     def pauseProducing(self) -> None:  # noqa: N802
--- /dev/null
+++ b/ivystack/net/reply.py
@@ -0,0 +1,29 @@
+"""A request's one final answer, as the connections to clients are given it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .relay import Relay
+
+
+@dataclass(frozen=True, slots=True)
+class Value:
+    """The request succeeded: its value, or the stream that passes on a long one."""
+
+    value: bytes | Relay
+
+
+@dataclass(frozen=True, slots=True)
+class Rejected:
+    """The request had no effect and may be sent again after so many milliseconds (0: not told)."""
+
+    retry_after_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class Failed:
+    """The request failed, or may have had its effect without an answer."""
+
+
+Reply = Value | Rejected | Failed
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -1,8 +1,9 @@
 """Many instances of the decisions before shared cache nodes, in virtual time: what a fleet does at once.
 
 Owns the virtual world: clients, proxies' timers, nodes' queues and copies, the origin behind them, and what
-became of each req by class.  It must never decide for a proxy, nor change what it settles: each proxy is a
-Choice made from settings, called as the network part calls it.  There are no sockets and no frames; of a
+became of each request by class.  It must never decide for a proxy, nor change what it settles: each proxy is
+a
+Balancer made from settings, called as the network part calls it.  There are no sockets and no frames; of a
 connection only its place in a node's table is kept, one for each proxy that has any there.
 
     swarm = Swarm(Random(1), loads, World(nodes=60, proxies=40, reqs_per_s=900))
@@ -20,21 +21,19 @@
 from itertools import accumulate
 from random import Random
 
-from ..choice import Choice
-from ..model import (  # fmt: skip
-    FAIL,
-    FULL,
-    GO,
-    LEFT,
-    MISSED,
-    NACK,
-    OVERDUE,
-    READY,
-    REFUSED,
-    SATISFIED,
-    Node,
-    Req,
+from ..choice import Balancer
+from ..model import (
     Attempt,
+    CloseIdleConnections,
+    Decision,
+    Fail,
+    Outcome,
+    Reject,
+    Request,
+    Send,
+    SendGossip,
+    Server,
+    ServerState,
 )
 from ..settings import Settings
 
@@ -44,12 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A class of reqs: its part of all, a req's work in microseconds of a core, and what settings state."""
+    """A class of requests: its part of all, a request's work in microseconds of a core, and what settings
+    state."""
 
     name: str
     part: float
     work: int
-    criticality: float
+    priority_weight: float
     budget: int
     semantics: str = "pure"
     proxies: int | None = None  # only so many send it
@@ -58,7 +58,8 @@
 
     def sheet(self) -> dict:
         return {
-            "name": self.name, "criticality": self.criticality, "semantics": self.semantics, "group": "all",
+            "name": self.name, "criticality": self.priority_weight, "semantics": self.semantics, "group":
+            "all",
             "latency_budget": self.budget * 1000, "give_up": 2 * self.budget * 1000, "window": 12 * S * 1000,
         }  # fmt: skip
 
@@ -71,7 +72,7 @@
 
 
 def work(loads: list[Load]) -> float:
-    """Seconds of a core that a req takes, over all classes."""
+    """Seconds of a core that a request takes, over all classes."""
     return sum(one.part * one.work for one in loads) / sum(one.part for one in loads) / S
 
 
@@ -104,11 +105,11 @@
     tenants: dict[str, float] = field(default_factory=dict)  # and what each is allowed, a second
     excess: float = 0.1
     chance: Random = field(default_factory=lambda: Random(3))
-    mean: float = 1.0  # work of a req, in microseconds of a core; the swarm's to say
+    mean: float = 1.0  # work of a request, in microseconds of a core; the swarm's to say
 
 
-class Server:
-    """A cache node: cores that do one req each, in order, late ones too, and the copies that it keeps."""
+class SimulatedServer:
+    """A cache node: cores that do one request each, in order, late ones too, and the copies that it keeps."""
 
     def __init__(self, name: str, world: World, started: int = 0):
         self.name, self.world, self.started = name, world, started
@@ -127,7 +128,8 @@
         return min(1.0, least + (1 - least) * (now - self.started) / self.world.cold)
 
     def takes(self, work: float, now: int) -> None:
-        """Counts towards its fall, also what it turns away.  N reqs of mean work are its budget, and beyond
+        """Counts towards its fall, also what it turns away.  N requests of mean work are its budget, and
+        beyond
         that 2 x root of N + 2 are chance."""
         if self.warmth(now) == 1 or not self.started:
             return
@@ -190,16 +192,16 @@
 class Proxy:
     """One instance with its timer; `settings` makes it anew at a restart."""
 
-    def __init__(self, swarm: Swarm, number: int, nodes: list[Node], now: int):
+    def __init__(self, swarm: Swarm, number: int, nodes: list[Server], now: int):
         self.swarm, self.number = swarm, number
         settings = Settings(swarm.rng.getrandbits(60), swarm.sheet(number))
-        self.choice: Choice = settings.choice
-        self.methods, self.tenants = settings.methods, settings.tenants
+        self.balancer: Balancer = settings.balancer
+        self.request_classes, self.tenants = settings.request_classes, settings.tenants
         self.alarm: int | None = None
         self.out: dict[Attempt, Asked] = {}
-        self.asked: dict[Req, Asked] = {}
+        self.asked: dict[Request, Asked] = {}
         self.dead = False
-        self.choice.listed(nodes, True, now)
+        self.balancer.update_endpoints(nodes, True, now)
 
 
 class Swarm:
@@ -211,20 +213,22 @@
         self.now, self.count = 1_000 * S, 0
         self.begun = self.now
         self.due: list[tuple[int, int, Callable]] = []
-        self.servers = {name: Server(name, world) for name in (f"n{i:04}" for i in range(world.nodes))}
+        self.servers = {
+            name: SimulatedServer(name, world) for name in (f"n{i:04}" for i in range(world.nodes))
+        }
         self.origin = Origin(world)
-        # Zipf's law with an offset: the most popular key has some hundredth of the reqs.
+        # Zipf's law with an offset: the most popular key has some hundredth of the requests.
         self.popular = [*accumulate(1 / (rank + 5) for rank in range(world.keys))]
         rates = [rng.lognormvariate(0, world.spread) for _ in range(world.proxies)]
         self.rates = [rate / sum(rates) * world.reqs_per_s for rate in rates]
-        self.listed = {name: Node(name) for name in self.servers}
+        self.listed = {name: Server(name) for name in self.servers}
         if world.aside:
-            self.listed[ORIGIN] = Node(ORIGIN, kind=1)
+            self.listed[ORIGIN] = Server(ORIGIN, kind=1)
         self.proxies = [Proxy(self, i, self.list(), self.now) for i in range(world.proxies)]
         self.asked: Counter[tuple[str, int]] = Counter()  # by class and second
         self.in_time: Counter[tuple[str, int]] = Counter()
         self.ends: Counter[tuple[str, str]] = Counter()  # by class and how a try ended
-        self.most_runs = 0  # of a req whose effect must not come twice
+        self.most_runs = 0  # of a request whose effect must not come twice
         for number in range(world.proxies):
             for load in loads:
                 self.next_req(number, load)
@@ -243,8 +247,8 @@
             },
         }  # fmt: skip
 
-    def list(self) -> list[Node]:
-        return [Node(n.name, n.kind, state=n.state, started=n.started) for n in self.listed.values()]
+    def list(self) -> list[Server]:
+        return [Server(n.name, n.kind, state=n.state, started_at=n.started_at) for n in self.listed.values()]
 
     def at(self, time: int, call: Callable, *given) -> None:
         self.count += 1
@@ -279,41 +283,47 @@
         if proxy.dead:
             return self.ended(asked, "down")
         asked.tries += 1
-        method = proxy.methods[asked.load.name]
+        method = proxy.request_classes[asked.load.name]
         give_up = self.now + (asked.load.budget // 20 if asked.hurried else 2 * asked.load.budget)
         tenant = proxy.tenants.get(asked.load.tenant)
-        req = Req(method, self.now, give_up, asked.key, tenant, write=asked.load.write)
-        proxy.asked[req] = asked
-        self.carry(proxy, req, proxy.choice.where(req, self.now))
+        request = Request(method, self.now, give_up, asked.key, tenant, is_write=asked.load.write)
+        proxy.asked[request] = asked
+        self.carry(proxy, request, proxy.balancer.route(request, self.now))
         self.settle(proxy)
 
     def ended(self, asked: Asked, how: str) -> None:
         self.ends[asked.load.name, how] += 1
-        if how in (NACK, "down") and asked.tries < self.world.tries:
+        if how in ("nack", "down") and asked.tries < self.world.tries:
             self.at(self.now + self.rng.randrange(self.world.pause * 2), self.try_again, asked)
 
     # Proxies.
 
-    def carry(self, proxy: Proxy, req: Req, answer: tuple) -> None:
-        word, node, until = answer
-        if req.saying:
-            peer, words = req.saying
-            self.at(self.now + self.world.way, self.hears, peer, words)
-        elif req.closing:
-            if node.name in self.servers:
-                self.servers[node.name].held.discard(proxy)
-        elif word == GO:
-            self.send(proxy, req.attempts[-1], until)
-        elif word in (NACK, FAIL):
-            self.over(proxy, req, word)
-
-    def over(self, proxy: Proxy, req: Req, how: str) -> None:
-        if not req.over:
-            req.over = True
-            asked = proxy.asked.pop(req)
-            if how == SATISFIED:
-                well = self.now - req.arrived <= req.method.latency_budget
-                self.ends[asked.load.name, SATISFIED if well else "late"] += 1
+    def act(self, proxy: Proxy, action: Request | SendGossip | CloseIdleConnections) -> None:
+        match action:
+            case SendGossip(peer, datagram):
+                self.at(self.now + self.world.way, self.hears, peer, datagram)
+            case CloseIdleConnections(server):
+                if server.name in self.servers:
+                    self.servers[server.name].held.discard(proxy)
+            case request:
+                self.carry(proxy, request, proxy.balancer.route(request, self.now))
+
+    def carry(self, proxy: Proxy, request: Request, decision: Decision) -> None:
+        match decision:
+            case Send(timeout_at=timeout_at):
+                self.send(proxy, request.attempts[-1], timeout_at)
+            case Reject():
+                self.over(proxy, request, "nack")
+            case Fail():
+                self.over(proxy, request, "fail")
+
+    def over(self, proxy: Proxy, request: Request, how: str) -> None:
+        if not request.concluded:
+            request.concluded = True
+            asked = proxy.asked.pop(request)
+            if how == "satisfied":
+                well = self.now - request.arrived_at <= request.request_class.latency_objective
+                self.ends[asked.load.name, "satisfied" if well else "late"] += 1
                 self.in_time[asked.load.name, (asked.since - self.begun) // S] += well and not asked.hurried
             else:
                 self.ended(asked, how)
@@ -321,16 +331,17 @@
     def hears(self, peer: int, words: bytes) -> None:
         proxy = self.proxies[peer]
         if not proxy.dead:
-            proxy.choice.told(words, self.now)
+            proxy.balancer.receive_gossip(words, self.now)
             self.settle(proxy)
 
     def settle(self, proxy: Proxy) -> None:
         while True:
-            rest, due = proxy.choice.wait(self.now)
-            if not due:
+            wakeup = proxy.balancer.next_wakeup(self.now)
+            if not wakeup.due:
                 break
-            for req in due:
-                self.carry(proxy, req, proxy.choice.where(req, self.now))
+            for action in wakeup.due:
+                self.act(proxy, action)
+        rest = wakeup.delay
         if rest is not None and (proxy.alarm is None or self.now + max(rest, 1) < proxy.alarm):
             proxy.alarm = self.now + max(rest, 1)
             self.at(proxy.alarm, self.wake, proxy, proxy.alarm)
@@ -341,47 +352,53 @@
             self.settle(proxy)
 
     def send(self, proxy: Proxy, attempt: Attempt, until: int) -> None:
-        self.at(until, self.after, proxy, attempt, OVERDUE)
+        self.at(until, self.record_outcome, proxy, attempt, Outcome.TIMED_OUT)
         self.at(self.now + self.world.way, self.comes, proxy, attempt)
 
     def fetches(self, attempt: Attempt) -> int:
         """When the origin has answered a proxy; of a read the cache that missed keeps the value."""
-        missed = [w.node.name for w in attempt.req.attempts if w.outcome == MISSED]
+        missed = [w.server.name for w in attempt.request.attempts if w.outcome == Outcome.CACHE_MISS]
         if missed and missed[-1] in self.servers:
-            self.servers[missed[-1]].keep(attempt.req.key)
+            self.servers[missed[-1]].keep(attempt.request.key)
         return self.origin.fetched_at(self.now)
 
     def comes(self, proxy: Proxy, attempt: Attempt) -> None:
-        if attempt.node.name == ORIGIN:
-            return self.at(self.fetches(attempt) + self.world.way, self.after, proxy, attempt, SATISFIED)
-        server = self.servers.get(attempt.node.name)
+        if attempt.server.name == ORIGIN:
+            return self.at(
+                self.fetches(attempt) + self.world.way, self.record_outcome, proxy, attempt, Outcome.SUCCEEDED
+            )
+        server = self.servers.get(attempt.server.name)
         if server is None or server.gone:
-            return self.at(self.now + self.world.way, self.after, proxy, attempt, REFUSED)
+            return self.at(
+                self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.CONNECTION_REFUSED
+            )
         if server.hung or attempt.outcome is not None or proxy.dead:
             return
-        attempt.fresh = proxy not in server.held
-        if attempt.fresh and len(server.held) >= self.world.table:
-            return self.at(self.now + self.world.way, self.after, proxy, attempt, FULL)
+        attempt.first_on_connection = proxy not in server.held
+        if attempt.first_on_connection and len(server.held) >= self.world.table:
+            return self.at(self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.OVERLOADED)
         server.held.add(proxy)
-        if self.world.aside and not server.has(attempt.req.key):
-            return self.at(self.now + self.world.way, self.after, proxy, attempt, MISSED)
-        asked = proxy.asked.get(attempt.req)
+        if self.world.aside and not server.has(attempt.request.key):
+            return self.at(self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.CACHE_MISS)
+        asked = proxy.asked.get(attempt.request)
         work = (asked.load.work if asked else self.loads[0].work) * self.rng.gammavariate(3, 1 / 3)
         server.takes(work, self.now)
-        done = server.done_at(work, attempt.req.key, self.now, self.origin)
-        self.at(done + self.world.way, self.after, proxy, attempt, SATISFIED)
+        done = server.done_at(work, attempt.request.key, self.now, self.origin)
+        self.at(done + self.world.way, self.record_outcome, proxy, attempt, Outcome.SUCCEEDED)
 
-    def after(self, proxy: Proxy, attempt: Attempt, outcome: str) -> None:
+    def record_outcome(self, proxy: Proxy, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.outcome is not None or proxy.dead:
             return
-        answer, off = proxy.choice.after(attempt, outcome, self.now, None, outcome == SATISFIED)
-        if outcome == SATISFIED:
-            self.over(proxy, attempt.req, SATISFIED)
-        for other in off:
+        follow_up = proxy.balancer.record_outcome(
+            attempt, outcome, self.now, None, outcome == Outcome.SUCCEEDED
+        )
+        if outcome == Outcome.SUCCEEDED:
+            self.over(proxy, attempt.request, "satisfied")
+        for other in follow_up.cancel:
             if other.outcome is None:
-                proxy.choice.after(other, "recalled", self.now)
-        if not attempt.req.over:
-            self.carry(proxy, attempt.req, answer)
+                proxy.balancer.record_outcome(other, Outcome.CANCELLED, self.now)
+        if not attempt.request.concluded:
+            self.carry(proxy, attempt.request, follow_up.decision)
         self.settle(proxy)
 
     # Faults and the list.
@@ -392,9 +409,9 @@
             news = [n for n in self.list() if n.name in names]
             self.at(self.now + self.rng.randrange(200_000), self.hears_list, proxy, news)
 
-    def hears_list(self, proxy: Proxy, news: list[Node]) -> None:
+    def hears_list(self, proxy: Proxy, news: list[Server]) -> None:
         if not proxy.dead:
-            proxy.choice.listed(news, False, self.now)
+            proxy.balancer.update_endpoints(news, False, self.now)
             self.settle(proxy)
 
     def replace(self, names: list[str]) -> None:
@@ -402,10 +419,10 @@
         fresh = []
         for name in names:
             self.servers[name].gone = True
-            self.listed[name].state = LEFT
+            self.listed[name].state = ServerState.GONE
             new = f"{name}+"
-            self.servers[new] = Server(new, self.world, self.now)
-            self.listed[new] = Node(new, state=READY, started=self.now)
+            self.servers[new] = SimulatedServer(new, self.world, self.now)
+            self.listed[new] = Server(new, state=ServerState.READY, started_at=self.now)
             fresh.append(new)
         self.tell(*names, *fresh)
 
@@ -459,7 +476,7 @@
 
 
 def hung(swarm: Swarm) -> None:
-    """A tenth of the nodes take reqs and answer none."""
+    """A tenth of the nodes take requests and answer none."""
     swarm.hang(sorted(swarm.servers)[::10])
 
 
