--- a/ivystack/settings.py
+++ b/ivystack/settings.py
@@ -17,11 +17,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .choice import Asking, Choice, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
-from .model import DEDUPLICATED, NON_RETRYABLE, RETRYABLE, Method, Tenant
+from .choice import Asking, Balancer, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
+from .model import DedupGroup, Idempotency, RequestClass, Tenant
 
-SEMANTICS = {"pure": RETRYABLE, "token": DEDUPLICATED, "side_effect": NON_RETRYABLE}  # the stricter the later
-GROUPS = ("all", "zone", "cell")  # likewise
+IDEMPOTENCY_OF_SEMANTICS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.KEYED,
+    "side_effect": Idempotency.NOT_IDEMPOTENT,
+}
 
 FALL_MULTIPLE = 4.0  # of its capacity that pushes a cold node over, where the rules state none
 
@@ -83,7 +86,7 @@
     worst_class: Figure = None
     worst_tenant: Figure = None
     tail_part: Figure = None
-    miss_share: Part = None  # of a method's reqs in 5 s: what the tail part leaves unpunished
+    miss_share: Part = None  # of a method's requests in 5 s: what the tail part leaves unpunished
     availability: Figure = None
     nines_wanted: Figure = None
 
@@ -173,7 +176,7 @@
         specifics = sheet.specifics or SpecificsSheet()
         self.sheet = sheet
         self.kinds = {name: place for place, name in enumerate(sheet.kinds or [])}
-        self.methods = {m.name: method(m) for m in sheet.methods or []}
+        self.request_classes = {one.name: request_class(one) for one in sheet.methods or []}
         self.tenants = {t.name: Tenant(t.name, t.allowance_per_s or 0.0) for t in sheet.parties or []}
         reporting = sheet.reporting or ReportingSheet()
         self.columns = frozenset(reporting.columns or []) if reporting.how == "answers" else frozenset()
@@ -187,7 +190,7 @@
         self.idle, self.connect_timeout = us(limits.conn_idle), us(limits.connect_timeout)
         self.asking = Asking(Random(seed + 1), *self.pauses)
         origin, excess, proxies = specifics.origin_kind, sheet.excess_criticality, sheet.n_instances or 1
-        self.choice = Choice(
+        self.balancer = Balancer(
             rng,
             Placement(sheet.weight_source in ("nominal", "rough"), live),
             Health(),
@@ -216,19 +219,19 @@
 
     # Retuning: what another sheet says is handed to the parts in use.  What they have seen stays theirs.
 
-    def take(self, new: Settings) -> list[Method]:
+    def take(self, new: Settings) -> list[RequestClass]:
         """From now on all is as the new settings say.  Tells which methods' objects are not in use any more;
-        reqs under way keep theirs."""
+        requests under way keep theirs."""
         for name in ("sheet", "columns", "pauses", "may_duplicate", "streams", "idle", "connect_timeout"):
             setattr(self, name, getattr(new, name))
         self.asking.least, self.asking.most = new.pauses
-        ours, theirs = self.choice, new.choice
+        ours, theirs = self.balancer, new.balancer
         for name in ("most", "may_duplicate", "come_back", "tick", "many"):
             setattr(ours, name, getattr(theirs, name))
         self.take_kinds(new)
         former = self.take_methods(new)
-        for name, tenant in new.tenants.items():  # one that stays keeps its last reqs
-            self.tenants.setdefault(name, tenant).allowance = tenant.allowance
+        for name, tenant in new.tenants.items():  # one that stays keeps its last requests
+            self.tenants.setdefault(name, tenant).quota = tenant.quota
         self.tenants = {name: self.tenants[name] for name in new.tenants}
         ours.shares.tenants = [*self.tenants.values()]
         ours.shares.excess, ours.shares.parts = theirs.shares.excess, theirs.shares.parts
@@ -247,28 +250,28 @@
         names = [*new.kinds]
         for name in names:
             self.kinds.setdefault(name, len(self.kinds))
-        origin = new.choice.origin_kind
-        self.choice.origin_kind = self.kinds[names[origin]] if 0 <= origin < len(names) else origin
+        origin = new.balancer.origin_kind
+        self.balancer.origin_kind = self.kinds[names[origin]] if 0 <= origin < len(names) else origin
 
-    def take_methods(self, new: Settings) -> list[Method]:
-        former, nodes = [], {*self.choice.nodes.values(), *self.choice.placement.slots}
-        for name, old in self.methods.items():
-            fresh = new.methods.get(name)
+    def take_methods(self, new: Settings) -> list[RequestClass]:
+        former, servers = [], {*self.balancer.servers.values(), *self.balancer.placement.slots}
+        for name, old in self.request_classes.items():
+            fresh = new.request_classes.get(name)
             if fresh is not None and parts_of(fresh) == parts_of(old):
-                new.methods[name] = old
+                new.request_classes[name] = old
                 continue
             former.append(old)
             if fresh is not None:  # what was seen of it goes on
                 tighten(old, fresh)
-                fresh.times, fresh.took = old.times, old.took
-                for node in nodes:
-                    if old in node.errors:
-                        node.errors[fresh] = node.errors[old]
-        self.methods = new.methods
+                fresh.attempt_times, fresh.success_times = old.attempt_times, old.success_times
+                for server in servers:
+                    if old in server.class_failures:
+                        server.class_failures[fresh] = server.class_failures[old]
+        self.request_classes = new.request_classes
         return former
 
-    def take_peers(self, theirs: Choice) -> None:
-        ours = self.choice
+    def take_peers(self, theirs: Balancer) -> None:
+        ours = self.balancer
         for name in ("hearsay", "order"):
             old, new = getattr(ours, name), getattr(theirs, name)
             if old is None or new is None:
@@ -278,10 +281,10 @@
         if ours.order:
             ours.order.me = theirs.order.me
         if ours.hearsay:
-            ours.hearsay.knows([*ours.nodes.values()])
+            ours.hearsay.knows([*ours.servers.values()])
 
-    def take_sizes(self, theirs: Choice) -> None:
-        ours = self.choice
+    def take_sizes(self, theirs: Balancer) -> None:
+        ours = self.balancer
         if (ours.placement.sized, ours.placement.parts) != (theirs.placement.sized, theirs.placement.parts):
             for name in ("sized", "live", "parts"):
                 setattr(ours.placement, name, getattr(theirs.placement, name))
@@ -289,35 +292,36 @@
         if ours.live is None or theirs.live is None:
             ours.live = theirs.live
 
-    def forget(self, former: list[Method]) -> None:
-        """What nodes hold of methods that no req has any more."""
-        for node in {*self.choice.nodes.values(), *self.choice.placement.slots}:
+    def forget(self, former: list[RequestClass]) -> None:
+        """What nodes hold of methods that no request has any more."""
+        for server in {*self.balancer.servers.values(), *self.balancer.placement.slots}:
             for one in former:
-                node.errors.pop(one, None)
+                server.class_failures.pop(one, None)
 
 
-def parts_of(one: Method) -> list:
+def parts_of(one: RequestClass) -> list:
     """All that a method says, without what was seen of it."""
-    return [getattr(one, name) for name in one.__slots__ if name not in ("times", "took")]
-
-
-def tighten(old: Method, fresh: Method) -> None:
-    """Reqs that are out under the old meaning go by the stricter of both: nodes may go by either by now."""
-    both = [one for one in (old, fresh) if one.semantics == DEDUPLICATED]
-    old.semantics = max(old.semantics, fresh.semantics, key=[*SEMANTICS.values()].index)
-    old.group = max((one.group for one in both), key=GROUPS.index, default=old.group)
-    old.window = min((one.window for one in both), default=old.window)
-
-
-def method(m: MethodSheet) -> Method:
-    return Method(
-        m.name,
-        SEMANTICS[m.semantics or "side_effect"],
-        us(m.latency_budget or m.give_up),
-        m.criticality or 0.0,
-        m.group or "cell",
-        us(m.window),
-        m.tardy_criticality or 0.0,
+    return [getattr(one, name) for name in one.__slots__ if name not in ("attempt_times", "success_times")]
+
+
+def tighten(old: RequestClass, fresh: RequestClass) -> None:
+    """Requests that are out under the old meaning go by the stricter of both: nodes may go by either by
+    now."""
+    both = [one for one in (old, fresh) if one.idempotency == Idempotency.KEYED]
+    old.idempotency = max(old.idempotency, fresh.idempotency, key=[*Idempotency].index)
+    old.dedup_group = max((one.dedup_group for one in both), key=[*DedupGroup].index, default=old.dedup_group)
+    old.dedup_window = min((one.dedup_window for one in both), default=old.dedup_window)
+
+
+def request_class(sheet: MethodSheet) -> RequestClass:
+    return RequestClass(
+        sheet.name,
+        IDEMPOTENCY_OF_SEMANTICS[sheet.semantics or "side_effect"],
+        us(sheet.latency_budget or sheet.give_up),
+        sheet.criticality or 0.0,
+        DedupGroup(sheet.group or "cell"),
+        us(sheet.window),
+        sheet.tardy_criticality or 0.0,
     )
 
 
@@ -391,7 +395,7 @@
 
 
 def meant(sheet: Sheet) -> None:
-    """Guards reqs against a class that does not say what may be done with them, or means two things, and
+    """Guards requests against a class that does not say what may be done with them, or means two things, and
     connections against a time of 0, for which our default would stand in."""
     names = set()
     for name in ("conn_idle", "connect_timeout"):
@@ -416,14 +420,14 @@
 def doubtful(run: Run) -> list[str]:
     """What can be meant but mostly is not, a line each with its key: the program goes on."""
     found, settings = [], run.settings
-    for place, one in enumerate(settings.methods.values()):
+    for place, one in enumerate(settings.request_classes.values()):
         key = f"settings.methods[{place}].window"
-        if one.semantics != DEDUPLICATED:
+        if one.idempotency != Idempotency.KEYED:
             continue
-        if one.window <= settings.choice.MARGIN * settings.choice.tick:
-            found.append(f"`{key}`: {one.window} us; no req of {one.name} is ever sent again")
-        elif one.window <= run.connect_timeout:
-            found.append(f"`{key}`: {one.window} us, no longer than `settings.limits.connect_timeout`")
+        if one.dedup_window <= settings.balancer.MARGIN * settings.balancer.tick:
+            found.append(f"`{key}`: {one.dedup_window} us; no request of {one.name} is ever sent again")
+        elif one.dedup_window <= run.connect_timeout:
+            found.append(f"`{key}`: {one.dedup_window} us, no longer than `settings.limits.connect_timeout`")
     return found
 
 
--- a/ivystack/words.py
+++ b/ivystack/words.py
@@ -8,19 +8,23 @@
 
 from hashlib import blake2b
 
-from .model import Node
+from .model import Server
 
-ENDING = 4  # bytes an ending: three of the node's name, hashed, and how it ended
+ENDING = 4  # bytes an ending: three of the server's name, hashed, and how it ended
 HEAD, SLOTS = 9, 80  # bytes before the marks, and marks in a message of at most 256
 
 
-def mark(node: Node) -> bytes:
-    """What stands for a node in words between proxies: 24 bits, seldom alike among some hundreds."""
-    return bytes.fromhex(node.name) if node.unnamed else blake2b(node.name.encode(), digest_size=3).digest()
+def mark(server: Server) -> bytes:
+    """What stands for a server in words between proxies: 24 bits, seldom alike among some hundreds."""
+    return (
+        bytes.fromhex(server.name)
+        if server.is_placeholder
+        else blake2b(server.name.encode(), digest_size=3).digest()
+    )
 
 
-def endings(ended: list[tuple[Node, int]]) -> bytes:
-    return b"".join(mark(node) + bytes([well]) for node, well in ended)
+def endings(ended: list[tuple[Server, int]]) -> bytes:
+    return b"".join(mark(server) + bytes([well]) for server, well in ended)
 
 
 def read_endings(words: bytes) -> list[tuple[bytes, int]]:
@@ -41,7 +45,7 @@
     return int.from_bytes(words[1:], "big") if words[:1] == b"?" and len(words) == 3 else None
 
 
-def order(slots: list[Node]) -> list[bytes]:
+def order(slots: list[Server]) -> list[bytes]:
     """The slots' marks in order, in parts; the length of each tells it from endings."""
     marks = b"".join(map(mark, slots))
     head = b"=%b%b" % (blake2b(marks, digest_size=4).digest(), len(slots).to_bytes(2, "big"))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from ivystack.choice import Choice, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
-from ivystack.model import RETRYABLE, Method, Node, Req
+from ivystack.choice import Balancer, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
+from ivystack.model import DedupGroup, Idempotency, Request, RequestClass, Server
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import bulk, command
 from ivystack.settings import Config, Run, checked
@@ -14,7 +14,7 @@
 
 
 def nodes(count, **more):
-    return [Node(f"n{i:02}", **more) for i in range(count)]
+    return [Server(f"n{i:02}", **more) for i in range(count)]
 
 
 def choice(
@@ -34,7 +34,7 @@
 ):
     rng = Random(1 + me)
     given = dict(origin=-1, most_write_outs=3, may_duplicate=True, come_back=0, tick=0)
-    made = Choice(
+    made = Balancer(
         rng,
         Placement(sized, live),
         Health(),
@@ -47,13 +47,16 @@
         Live() if live else None,
         **(given | more),
     )
-    made.listed(list(listed), True, now)
+    made.update_endpoints(list(listed), True, now)
     return made
 
 
-def req(semantics=RETRYABLE, *, key=7, arrived=0, budget=S, give_up=2 * S, **more):
-    method = Method("m", semantics, budget, window=more.pop("window", 0), group=more.pop("group", "all"))
-    return Req(method, arrived, arrived + give_up, key, **more)
+def req(idempotency=Idempotency.IDEMPOTENT, *, key=7, arrived=0, budget=S, give_up=2 * S, **more):
+    group = DedupGroup(more.pop("group", "all"))
+    request_class = RequestClass(
+        "m", idempotency, budget, dedup_group=group, dedup_window=more.pop("window", 0)
+    )
+    return Request(request_class, arrived, arrived + give_up, key, **more)
 
 
 class Transport(StringTransport):
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -65,8 +65,8 @@
 
     def served(self) -> str:
         """Whether the request gets the value made for it; what became of it otherwise."""
-        self.moment.until(lambda: self.proxy.reqs or self.ours not in self.front.clients.values())
-        if not self.moment.turn(lambda: bool(self.proxy.reqs)):
+        self.moment.until(lambda: self.proxy.requests or self.ours not in self.front.clients.values())
+        if not self.moment.turn(lambda: bool(self.proxy.requests)):
             return f"closed, code={self.ours.code}"
         value, took = self.answer(), self.asking.take()
         return "served" if took == value else f"got {took!r}"
@@ -298,7 +298,7 @@
 
     made.settle = leaves
     asking.dataReceived(get(b"1"))
-    assert not made.reqs and not made.held and not made.front.ids
+    assert not made.requests and not made.held and not made.front.ids
 
 
 def test_calls_of_operators_that_came_together_are_all_answered():
@@ -331,8 +331,8 @@
     made.reactor.advance(1.2)
     asking = client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,t=t,d=900"))
-    (held,) = made.reqs.values()
-    assert held.req.give_up_at < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
+    (held,) = made.requests.values()
+    assert held.request.deadline < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
 
 
 def test_the_last_look_reads_to_the_end_though_reads_are_short_and_fail(monkeypatch):
@@ -408,7 +408,7 @@
 
         made.turn(asks_and_goes)
         made.until(lambda: made.proxy.port.sessionno and not made.proxy.front.clients)
-        assert sent == [] and not made.proxy.reqs
+        assert sent == [] and not made.proxy.requests
     finally:
         made.stop()
 
@@ -433,8 +433,8 @@
     first = link(made)
     assert len(made.reactor.tcpClients) == 1
     first.dataReceived(b"-ERR failed\r\n")
-    assert len(made.reactor.tcpClients) == 1 and not made.reqs and not made.sendings
-    assert all(node.in_flight == 0 for node in made.choice.nodes.values())
+    assert len(made.reactor.tcpClients) == 1 and not made.requests and not made.sendings
+    assert all(node.in_flight == 0 for node in made.balancer.servers.values())
 
 
 def test_what_waited_for_a_connection_is_not_written_for_a_client_whose_end_lies_unread():
@@ -443,4 +443,4 @@
     asking.dataReceived(get(b"1"))
     made.reactor.advance(0.1)
     assert link(made).transport.took() == b""
-    assert not made.reqs and not made.sendings and made.choice.in_flight == 0
+    assert not made.requests and not made.sendings and made.balancer.in_flight == 0
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -33,7 +33,7 @@
     assert reply == [["TRANSMIT", "proxy_0", 9, S * 1000 + 2000, "n1"], ["FINISHED"]]
     done = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, None, None]
     assert play(wire, ["TURN", 3000], done, ["END"]) == [["FINISHED"]]
-    assert not wire.instances["proxy_0"].reqs
+    assert not wire.instances["proxy_0"].requests
 
 
 def test_unreadable_lines_are_told_in_one_line():
@@ -61,7 +61,7 @@
 def test_a_failure_of_the_decisions_gives_in_for_that_instance_alone():
     wire = Wire()
     up(wire)
-    wire.instances["proxy_0"].choice.where = None
+    wire.instances["proxy_0"].balancer.route = None
     reply = play(wire, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
     assert reply[0][:2] == ["GIVE_IN", "proxy_0"] and reply[-1] == ["FINISHED"]
 
@@ -87,7 +87,7 @@
                 play(wire, ["TURN", 3000], done, ["END"])
         else:
             play(wire, ["TURN", 3000], done, ["END"])
-            assert wire.instances["proxy_0"].choice.nodes[reply[0][4]].load == load
+            assert wire.instances["proxy_0"].balancer.servers[reply[0][4]].load == load
 
 
 def test_where_the_list_is_asked_for_a_proxy_calls_at_its_start_and_again_after_a_failure():
@@ -112,9 +112,11 @@
         wire, seen = Wire(), []
         up(wire)
         play(wire, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
-        choice = wire.instances["proxy_0"].choice
-        after = choice.after
-        choice.after = lambda *values, after=after, seen=seen: seen.append(values[-1]) or after(*values)
+        balancer = wire.instances["proxy_0"].balancer
+        after = balancer.record_outcome
+        balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(values[-1]) or after(
+            *values
+        )
         done = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, info, None]
         play(wire, ["TURN", 3000], done, ["END"])
         assert seen == [hit]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -253,7 +253,7 @@
     awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
     assert order.take(awaited) == "" and order.own() == awaited
     made.listed(entries(5), True)
-    assert order.own() == awaited + mark(made.choice.nodes["n4"])
+    assert order.own() == awaited + mark(made.balancer.servers["n4"])
 
 
 def test_two_holders_at_once_are_found_unless_one_of_them_did_not_run():
@@ -327,23 +327,25 @@
 
 
 def down_at(made, name):
-    node = made.choice.nodes[name]
+    node = made.balancer.servers[name]
     for _ in range(2):
-        made.choice.health.failed(node, True, made.now())
+        made.balancer.health.failed(node.health, True, made.now())
     return node
 
 
 def test_a_word_spaces_own_trials_of_a_node_that_is_down_here_and_only_for_so_long():
     made = proxy(3)
     trials, now = Trials(made), made.now()
-    node, well = down_at(made, "n1"), made.choice.nodes["n0"]
-    due = node.trial_at
+    node, well = down_at(made, "n1"), made.balancer.servers["n0"]
+    due = node.health.next_probe_at
     for second in range(50):
         trials.take({"n1": False, "n0": False, "nx": False}, now + second * S)
-    assert due < node.trial_at == due + MOST  # then we try it ourselves, whatever is said
-    assert well.trial_at == 0 and made.choice.health.up(well)
+    assert due < node.health.next_probe_at == due + MOST  # then we try it ourselves, whatever is said
+    assert well.health.next_probe_at == 0 and made.balancer.health.up(well.health)
     trials.take({"n1": True}, now + 51 * S)
-    assert node.trial_at <= now + 51 * S and not made.choice.health.up(node)  # its own answers alone say so
+    assert node.health.next_probe_at <= now + 51 * S and not made.balancer.health.up(
+        node.health
+    )  # its own answers alone say so
 
 
 def test_the_holder_looks_at_what_is_down_anywhere_but_never_at_a_node_that_drains():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 from helpers import S, choice, nodes, req
 
 from ivystack.choice import Hearsay, Order, Placement, Room
-from ivystack.model import GO, LEAVING, LEFT, OVERDUE, READY, SATISFIED, Node
+from ivystack.model import Outcome, Send, SendGossip, Server, ServerState
 from ivystack.words import ENDING
 
 
@@ -12,23 +12,25 @@
     made = [choice(nodes(nodes_each), proxies=count, peers=True, me=me) for me in range(count)]
     for one in made:
         one.order.grown_at = one.order.next_at = -1  # they have run for long
-        one.wait(0)
+        one.next_wakeup(0)
     return made
 
 
 def pass_on(made, now):
     """Carries what is due to be said to whom it is said; how many messages and bytes that were."""
-    said = [r.saying for one in made for r in one.wait(now)[1] if r.saying]
+    said = [
+        (r.peer, r.datagram) for one in made for r in one.next_wakeup(now).due if isinstance(r, SendGossip)
+    ]
     for peer, words in said:
-        made[peer].told(words, now)
+        made[peer].receive_gossip(words, now)
     return len(said), sum(len(words) for _, words in said)
 
 
 def late_at_one_node(one, now):
     """An attempt there runs out of time at this proxy."""
     asked = req(arrived=now - S, give_up=2 * S)
-    node = one.where(asked, now - S)[1]
-    one.after(asked.attempts[0], OVERDUE, now)
+    node = one.route(asked, now - S).server
+    one.record_outcome(asked.attempts[0], Outcome.TIMED_OUT, now)
     one.due.clear()
     return node.name
 
@@ -38,9 +40,9 @@
     jammed = {late_at_one_node(one, 2 * S) for one in made[:8]}
     for step in range(1, 6):  # 50 ms, when the next reqs of most are still to come
         pass_on(made, 2 * S + step * S // 100)
-    heard = [one for one in made[8:] if any(one.nodes[name].share < 1 for name in jammed)]
+    heard = [one for one in made[8:] if any(one.servers[name].admitted_share < 1 for name in jammed)]
     assert len(heard) >= 24  # of 32; three in four
-    assert not any(node.failures for one in made[8:] for node in one.nodes.values())
+    assert not any(node.health.consecutive_failures for one in made[8:] for node in one.servers.values())
 
 
 def test_answers_that_come_late_within_their_budget_close_a_node_before_any_runs_out():
@@ -48,9 +50,9 @@
     for spent in (S * 8 // 10, S * 7 // 10, S * 8 // 10, S * 8 // 10, S * 8 // 10):
         at = 3 * S * len(shares)  # met seldom
         asked = req(arrived=at)
-        made.where(asked, at)
-        made.after(asked.attempts[0], SATISFIED, at + spent)
-        shares.append(made.placement.slots[0].share)
+        made.route(asked, at)
+        made.record_outcome(asked.attempts[0], Outcome.SUCCEEDED, at + spent)
+        shares.append(made.placement.slots[0].admitted_share)
     assert shares[:3] == [1, 1, 1]  # one may be a miss
     assert 1 > shares[3] > shares[4]
 
@@ -60,24 +62,27 @@
     node = one.placement.slots[0]
     for at in range(0, S, S // 5):
         asked = req(arrived=at)
-        one.where(asked, at)
-        one.after(asked.attempts[0], SATISFIED, at + S * 9 // 10)
-    assert node.share == 1
+        one.route(asked, at)
+        one.record_outcome(asked.attempts[0], Outcome.SUCCEEDED, at + S * 9 // 10)
+    assert node.admitted_share == 1
     late_at_one_node(other, 2 * S)
     for share, at in ((0.8, 2 * S), (0.8 * Room.FALL_SHARE, 4 * S)):  # heard from lately, and not
-        other.hearsay.note(next(iter(other.nodes.values())), False, at)
-        (words,) = [r.saying[1] for r in other.wait(at + Hearsay.SOON)[1] if r.saying]
-        one.told(words, at)
-        assert abs(node.share - share) < 0.001
+        other.hearsay.note(next(iter(other.servers.values())), False, at)
+        (words,) = [r.datagram for r in other.next_wakeup(at + Hearsay.SOON).due if isinstance(r, SendGossip)]
+        one.receive_gossip(words, at)
+        assert abs(node.admitted_share - share) < 0.001
 
 
 def test_where_proxies_are_many_their_words_count_in_full_at_nodes_met_often_too():
     one, other = fleet(40, 1)[:2]
     node = one.placement.slots[0]
-    node.heard = 2 * S
-    other.hearsay.note(next(iter(other.nodes.values())), False, 2 * S)
-    one.told(next(r.saying[1] for r in other.wait(2 * S + Hearsay.SOON)[1] if r.saying), 2 * S)
-    assert abs(node.share - Room.FALL_SHARE) < 0.001
+    node.last_outcome_at = 2 * S
+    other.hearsay.note(next(iter(other.servers.values())), False, 2 * S)
+    one.receive_gossip(
+        next(r.datagram for r in other.next_wakeup(2 * S + Hearsay.SOON).due if isinstance(r, SendGossip)),
+        2 * S,
+    )
+    assert abs(node.admitted_share - Room.FALL_SHARE) < 0.001
 
 
 def test_what_a_proxy_says_does_not_grow_with_the_fleet():
@@ -94,32 +99,34 @@
 
 def test_bad_endings_of_a_burst_share_a_message():
     one = fleet(2)[0]
-    for node in one.nodes.values():
+    for node in one.servers.values():
         one.hearsay.note(node, False, 0)
         one.hearsay.note(node, True, Hearsay.SOON // 2)  # a good one does not put it off
-    said = [r.saying[1] for r in one.wait(Hearsay.SOON)[1] if r.saying]
-    assert len(said) == 1 and len(said[0]) == ENDING * len(one.nodes)
+    said = [r.datagram for r in one.next_wakeup(Hearsay.SOON).due if isinstance(r, SendGossip)]
+    assert len(said) == 1 and len(said[0]) == ENDING * len(one.servers)
 
 
 # Slot orders: a release is under way, most proxies restart.
 
 
 def replaced(node, state):
-    return Node(node.name, started=node.started, state=state)
+    return Server(node.name, started_at=node.started_at, state=state)
 
 
 def released(made, first, count, now):
     """So many nodes leave, new ones come, as each proxy's list says it."""
     for one in made:
-        old = [one.nodes[f"n{i:02}"] for i in range(first, first + count)]
-        one.listed([replaced(node, LEAVING) for node in old], False, now)
-        new = [Node(f"m{i:02}", started=now) for i in range(first, first + count)]
-        one.listed(new, False, now)
+        old = [one.servers[f"n{i:02}"] for i in range(first, first + count)]
+        one.update_endpoints([replaced(node, ServerState.DRAINING) for node in old], False, now)
+        new = [Server(f"m{i:02}", started_at=now) for i in range(first, first + count)]
+        one.update_endpoints(new, False, now)
 
 
 def restarted(one, count, me):
     """The same proxy after a restart: it knows the list and nothing else."""
-    listed = [Node(n.name, started=n.started) for n in one.nodes.values() if n.state == READY]
+    listed = [
+        Server(n.name, started_at=n.started_at) for n in one.servers.values() if n.state == ServerState.READY
+    ]
     return choice(listed, proxies=count, peers=True, me=me, now=9 * S)
 
 
@@ -162,8 +169,8 @@
 
 def answer(kept, asker=1):
     """The messages of an answer to a question."""
-    kept.told(b"?" + asker.to_bytes(2, "big"), 9 * S)
-    return [r.saying[1] for r in kept.wait(9 * S)[1] if r.saying and r.saying[0] == asker]
+    kept.receive_gossip(b"?" + asker.to_bytes(2, "big"), 9 * S)
+    return [r.datagram for r in kept.next_wakeup(9 * S).due if isinstance(r, SendGossip) and r.peer == asker]
 
 
 def test_an_order_of_many_nodes_comes_in_parts_whatever_their_order():
@@ -173,9 +180,9 @@
     parts = answer(kept)
     assert len(parts) == 3 and all(len(part) <= 256 and len(part) % ENDING for part in parts)
     for part in (parts[2], parts[0], parts[0]):
-        young.told(part, 9 * S)
+        young.receive_gossip(part, 9 * S)
     assert orders([young]) != orders([kept])
-    young.told(parts[1], 9 * S)
+    young.receive_gossip(parts[1], 9 * S)
     assert orders([young]) == orders([kept])
 
 
@@ -186,12 +193,12 @@
     before = orders([young])
     longer = whole[:5] + b"\xff\xff" + whole[7:]
     for words in (b"?", b"=", b"=" * 9, whole[:-3], longer, b"x" + whole[1:], b"??x"):
-        young.told(words, 9 * S)
-        kept.told(words, 9 * S)
+        young.receive_gossip(words, 9 * S)
+        kept.receive_gossip(words, 9 * S)
     assert orders([young]) == before
-    kept.told(whole, 9 * S)  # one that has run for long stays with its own
+    kept.receive_gossip(whole, 9 * S)  # one that has run for long stays with its own
     assert orders([kept]) != before
-    young.told(whole, 9 * S)
+    young.receive_gossip(whole, 9 * S)
     assert orders([young]) == orders([kept])
 
 
@@ -199,15 +206,15 @@
     kept = fleet(2, 6)[0]
     young = choice(nodes(6)[:4], proxies=2, peers=True, me=1, now=9 * S)
     for words in answer(kept):
-        young.told(words, 9 * S)
+        young.receive_gossip(words, 9 * S)
     assert len(young.placement.slots) == 6
     for key in range(50):
         asked = req(key=key, arrived=9 * S)
-        word, node, _ = young.where(asked, 9 * S)
-        assert word != GO or node.state == READY
-    young.listed([Node("n05")], False, 9 * S)
-    assert orders([young])[0][5] == "n05" and young.placement.slots[4].state == LEFT
-    young.listed([], False, 9 * S + Placement.AWAITED)
+        decision = young.route(asked, 9 * S)
+        assert not isinstance(decision, Send) or decision.server.state == ServerState.READY
+    young.update_endpoints([Server("n05")], False, 9 * S)
+    assert orders([young])[0][5] == "n05" and young.placement.slots[4].state == ServerState.GONE
+    young.update_endpoints([], False, 9 * S + Placement.AWAITED)
     assert len(young.placement.slots) == 5
 
 
@@ -216,8 +223,8 @@
     for hit, spent, share in ((True, S // 2, Room.FALL_HIT), (True, S // 3, 1), (False, S // 2, 1)):
         one, other = fleet(2, 1)
         asked = req(arrived=0)
-        one.where(asked, 0)
-        one.after(asked.attempts[0], SATISFIED, spent, None, hit)
-        assert one.placement.slots[0].share == share
+        one.route(asked, 0)
+        one.record_outcome(asked.attempts[0], Outcome.SUCCEEDED, spent, None, hit)
+        assert one.placement.slots[0].admitted_share == share
         pass_on([one, other], S)
-        assert other.placement.slots[0].share == share
+        assert other.placement.slots[0].admitted_share == share
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ivystack.model import DEDUPLICATED, NON_RETRYABLE, RETRYABLE
+from ivystack.model import Idempotency
 from ivystack.settings import FaultError, doubtful, load
 
 DATA = Path(__file__).parent / "data" / "settings.json"
@@ -24,7 +24,11 @@
 
 # --- Adapters: the only uses of the project's own names ---
 
-REPEATS = {RETRYABLE: "freely", DEDUPLICATED: "within the window", NON_RETRYABLE: "never"}
+REPEATS = {
+    Idempotency.IDEMPOTENT: "freely",
+    Idempotency.KEYED: "within the window",
+    Idempotency.NOT_IDEMPOTENT: "never",
+}
 
 
 def read(environ: dict, running=None):
@@ -37,7 +41,7 @@
 
 def effect(run) -> dict:
     """What a configuration comes to, by names of this table's own.  Times in microseconds."""
-    settings, choice = run.settings, run.settings.choice
+    settings, choice = run.settings, run.settings.balancer
     return {
         "inherited_socket": run.fd,
         "folder": run.folder,
@@ -53,7 +57,7 @@
         "memory_bytes": run.memory,
         "idle": run.idle,
         "connect_timeout": run.connect_timeout,
-        "doubts": doubtful(run),
+        "doubts": [line.replace("no request of", "no req of") for line in doubtful(run)],
         "kinds": settings.kinds,
         "columns": sorted(settings.columns),
         "pauses": settings.pauses,
@@ -61,10 +65,17 @@
         "streams": settings.streams,
         "longest_wait": settings.longest_wait(),
         "classes": {
-            name: [REPEATS[m.semantics], m.latency_budget, m.criticality, m.group, m.window, m.tardy]
-            for name, m in settings.methods.items()
+            name: [
+                REPEATS[m.idempotency],
+                m.latency_objective,
+                m.priority_weight,
+                m.dedup_group.value,
+                m.dedup_window,
+                m.late_priority_weight,
+            ]
+            for name, m in settings.request_classes.items()
         },
-        "tenants": {name: t.allowance for name, t in settings.tenants.items()},
+        "tenants": {name: t.quota for name, t in settings.tenants.items()},
         "excess": choice.shares.excess,
         "proxies": choice.shares.parts,
         "sized": choice.placement.sized,
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -164,20 +164,26 @@
     """A proxy with something to tell the next process."""
     from helpers import S, entries, proxy
 
-    from ivystack.model import Errors
+    from ivystack.model import FailureState
 
     made = proxy(5)
-    now, nodes = made.now(), made.choice.nodes
+    now, nodes = made.now(), made.balancer.servers
     made.listed(entries(1, "DRAINING"), False)
     made.listed([entries(3, "DELETED")[2]], False)
-    nodes["n1"].failures, nodes["n1"].trial_at, nodes["n1"].trials = 3, now + S, 2
-    nodes["n1"].broken = True
-    nodes["n3"].window, nodes["n3"].share, nodes["n3"].started = 2.5, 0.4, now - 7000
-    read, pay = (made.settings.methods[name] for name in ("read", "pay"))
-    read.times.extend([5, 6, 7])
-    nodes["n3"].errors[read] = Errors(failures=2, trial_at=now + S)
-    nodes["n4"].errors[pay] = Errors(failures=1, broken=True, trial_at=now + 2 * S, trials=3)
-    made.choice.room.common = 0.5
+    nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
+        3,
+        now + S,
+        2,
+    )
+    nodes["n1"].health.connection_failed = True
+    nodes["n3"].concurrency_limit, nodes["n3"].admitted_share, nodes["n3"].started_at = 2.5, 0.4, now - 7000
+    read, pay = (made.settings.request_classes[name] for name in ("read", "pay"))
+    read.attempt_times.extend([5, 6, 7])
+    nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
+    nodes["n4"].class_failures[pay] = FailureState(
+        consecutive_failures=1, connection_failed=True, next_probe_at=now + 2 * S, probes=3
+    )
+    made.balancer.room.common = 0.5
     made.discovery.generation = 41
     return made
 
@@ -214,13 +220,16 @@
 
 
 def node_states(made):
-    return {name: str(node.state) for name, node in made.choice.nodes.items()}
+    from ivystack.model import ServerState
+
+    words = {ServerState.READY: "ready", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
+    return {name: words[server.state] for name, server in made.balancer.servers.items()}
 
 
-def node(name, unnamed=False):
-    from ivystack.model import Node
+def node(name, is_placeholder=False):
+    from ivystack.model import Server
 
-    return Node(name, unnamed=unnamed)
+    return Server(name, is_placeholder=is_placeholder)
 
 
 def gossip_outcomes(endings):
@@ -397,14 +406,14 @@
 
 
 def slots(count):
-    return [*(node(f"n{at:02}") for at in range(count - 1)), node("0a0b0c", unnamed=True)][:count]
+    return [*(node(f"n{at:02}") for at in range(count - 1)), node("0a0b0c", is_placeholder=True)][:count]
 
 
 ORDERS = 0, 3, 80, 81, 161  # nodes; the last part of 81 would be as long as outcomes are, and is made longer
 
 
 def gossip():
-    ended = [(node("n00"), 0), (node("n01"), 1), (node("0a0b0c", unnamed=True), 2), (node("näme"), 1)]
+    ended = [(node("n00"), 0), (node("n01"), 1), (node("0a0b0c", is_placeholder=True), 2), (node("näme"), 1)]
     data = {"outcomes": gossip_outcomes(ended), "no outcomes": gossip_outcomes([])}
     read = {name: plain(read_gossip_outcomes(text)) for name, text in data.items()}
     orders = {str(count): gossip_order(slots(count)) for count in ORDERS}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from ivystack.model import LEAVING, LEFT, READY, Errors
+from ivystack.model import FailureState, ServerState
 from ivystack.net.handover import State, Telling
 
 
@@ -43,28 +43,44 @@
 def test_a_new_process_goes_on_where_the_old_one_is(tmp_path):
     old = proxy(5)
     now = old.now()
-    nodes = old.choice.nodes
+    nodes = old.balancer.servers
     old.listed(entries(1, "DRAINING"), False)  # its slot goes to the last node: no order of start times
     old.listed([entries(3, "DELETED")[2]], False)  # crashed: its slot is kept
-    nodes["n1"].failures, nodes["n1"].trial_at, nodes["n1"].trials = 3, now + S, 2
-    nodes["n3"].window, nodes["n3"].share, nodes["n3"].started = 2.5, 0.4, now - 7
-    read = old.settings.methods["read"]
-    read.times.extend([5, 6, 7])
-    nodes["n3"].errors[read] = Errors(failures=2, trial_at=now + S)
-    old.choice.room.common = 0.5
+    nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
+        3,
+        now + S,
+        2,
+    )
+    nodes["n3"].concurrency_limit, nodes["n3"].admitted_share, nodes["n3"].started_at = 2.5, 0.4, now - 7
+    read = old.settings.request_classes["read"]
+    read.attempt_times.extend([5, 6, 7])
+    nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
+    old.balancer.room.common = 0.5
     old.discovery.generation = 41
     new = starting(tmp_path)
     assert new.begun == []
     end_of(new).dataReceived(asked(old).transport.value())
-    got = new.choice.nodes
-    assert [n.name for n in new.choice.placement.slots] == [n.name for n in old.choice.placement.slots]
-    assert [n.name for n in new.choice.placement.slots] == ["n4", "n1", "n2", "n3"]
-    assert [got[name].state for name in ("n0", "n1", "n2")] == [LEAVING, READY, LEFT]
-    assert (got["n1"].failures, got["n1"].trials, got["n1"].trial_at) == (3, 2, now + S)
-    assert (got["n3"].window, got["n3"].share, got["n3"].started) == (2.5, 0.4, now - 7)
-    mine = new.settings.methods["read"]
-    assert [*mine.times] == [5, 6, 7] and got["n3"].errors[mine].failures == 2
-    assert new.choice.room.common == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
+    got = new.balancer.servers
+    assert [n.name for n in new.balancer.placement.slots] == [n.name for n in old.balancer.placement.slots]
+    assert [n.name for n in new.balancer.placement.slots] == ["n4", "n1", "n2", "n3"]
+    assert [got[name].state for name in ("n0", "n1", "n2")] == [
+        ServerState.DRAINING,
+        ServerState.READY,
+        ServerState.GONE,
+    ]
+    assert (
+        got["n1"].health.consecutive_failures,
+        got["n1"].health.probes,
+        got["n1"].health.next_probe_at,
+    ) == (3, 2, now + S)
+    assert (got["n3"].concurrency_limit, got["n3"].admitted_share, got["n3"].started_at) == (
+        2.5,
+        0.4,
+        now - 7,
+    )
+    mine = new.settings.request_classes["read"]
+    assert [*mine.attempt_times] == [5, 6, 7] and got["n3"].class_failures[mine].consecutive_failures == 2
+    assert new.balancer.room.common == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
     assert new.nodes.places["n1"].address == old.nodes.places["n1"].address
 
 
@@ -73,7 +89,7 @@
     new = starting(tmp_path)
     new.discovery.known({"generation": 9, "reset": True, "instances": entries(2)})
     end_of(new).dataReceived(asked(old).transport.value())
-    assert {*new.choice.nodes} == {"n0", "n1"} and new.discovery.generation == 9 and new.begun
+    assert {*new.balancer.servers} == {"n0", "n1"} and new.discovery.generation == 9 and new.begun
 
 
 GOOD = msgspec.json.decode(msgspec.json.encode(State(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
@@ -97,7 +113,7 @@
     end.connectionLost(Failure(ConnectionDone()))
     new.reactor.advance(1)
     assert len(new.begun) == 1
-    assert all(node.name == "n0" for node in new.choice.placement.slots)
+    assert all(node.name == "n0" for node in new.balancer.placement.slots)
 
 
 def test_an_old_process_that_hangs_is_waited_for_half_a_second(tmp_path):
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -6,11 +6,11 @@
 from helpers import S, choice, nodes, req
 
 from ivystack.choice import Live, Room
-from ivystack.model import FULL, GO, LEFT, REFUSED, SATISFIED, WAIT, Node
+from ivystack.model import Outcome, Send, Server, ServerState, Wait
 
 
 def listing(*weights, kind=0):
-    return [Node(f"n{i:02}", kind, weight) for i, weight in enumerate(weights)]
+    return [Server(f"n{i:02}", kind, weight) for i, weight in enumerate(weights)]
 
 
 def placed(made, keys=400):
@@ -20,7 +20,7 @@
 def test_weights_that_move_with_load_move_no_key():
     made = choice(listing(*[4.0] * 9), live=True)
     before = placed(made)
-    made.listed(listing(1.0, 2.0, 0.4, 4.0, 3.1, 1.3, 0.1, 0.8, 2.0), False, S)
+    made.update_endpoints(listing(1.0, 2.0, 0.4, 4.0, 3.1, 1.3, 0.1, 0.8, 2.0), False, S)
     assert placed(made) == before
 
 
@@ -28,8 +28,8 @@
     # Guards the placement: one node of a kind at rest is enough, whichever it is.
     old, new = choice(listing(*[4.0] * 9), live=True), choice(live=True)
     busy = listing(1.0, 2.0, 0.4, 3.9, 3.1, 1.3, 0.1, 0.8, 2.0)
-    old.listed(busy, True, S)
-    new.listed(listing(*[node.weight for node in busy]), True, S)
+    old.update_endpoints(busy, True, S)
+    new.update_endpoints(listing(*[node.weight for node in busy]), True, S)
     assert placed(new) == placed(old)
 
 
@@ -45,7 +45,7 @@
 def test_weights_that_tell_nothing_do_no_harm():
     made = choice(listing(4.0, 4.0, 4.0, 4.0), live=True)
     before = placed(made)
-    made.listed(listing(0.0, -1.0, nan, inf), False, S)
+    made.update_endpoints(listing(0.0, -1.0, nan, inf), False, S)
     assert placed(made) == before and all(node.load == 0 for node in made.placement.slots)
     assert placed(choice(listing(0.0, nan, 0.0), live=True))  # nor where nothing else was ever told
 
@@ -60,7 +60,7 @@
         return Counter(made.pick(req(arrived=now), now).name for _ in range(200))[loaded.name]
 
     assert 60 < picks(0) < 140
-    made.listed([Node(loaded.name, 0, 0.2)], False, S)  # 19 held a core
+    made.update_endpoints([Server(loaded.name, 0, 0.2)], False, S)  # 19 held a core
     assert 0 < picks(S) < 40
     assert 60 < picks(S + Live.AGE) < 140
 
@@ -76,22 +76,23 @@
     # Guards against nacking what other nodes could take, where a lost zone holds all of a key's homes.
     made = choice(nodes(12), live=True)
     homes = made.placement.homes(7, 2)
-    made.listed([Node(node.name, state=LEFT) for node in homes], False, S)
-    word, node, _ = made.where(req(arrived=S), S)
-    assert word == GO and node not in homes and node in made.placement.homes(7, 6)
+    made.update_endpoints([Server(node.name, state=ServerState.GONE) for node in homes], False, S)
+    decision = made.route(req(arrived=S), S)
+    assert isinstance(decision, Send)
+    assert decision.server not in homes and decision.server in made.placement.homes(7, 6)
     made.popular.last.clear()
     made.live = None  # blind: the nodes that are left may be no better
-    assert made.where(req(arrived=S), S)[0] == WAIT
+    assert made.route(req(arrived=S), S) == Wait()
 
 
 def test_strain_alone_sends_no_key_beyond_its_homes():
     made = choice(nodes(12), live=True)
     for node in made.placement.homes(7, 2):
-        node.share = 0.0
+        node.admitted_share = 0.0
     made.shares.part_of_window(req(), 0)
     asked = req()
-    asked.ranked, asked.part, asked.luck = True, 0.5, 0.5
-    assert made.where(asked, 0)[0] == WAIT
+    asked.is_ranked, asked.limit_fraction, asked.warm_up_draw = True, 0.5, 0.5
+    assert made.route(asked, 0) == Wait()
 
 
 def test_a_full_node_says_nothing_of_others_and_is_not_asked_again():
@@ -99,14 +100,14 @@
     for live in (True, False):
         made = choice(listing(*[4.0] * 4), live=live)
         asked = req()
-        first = made.where(asked, 0)[1]
-        made.after(asked.attempts[0], FULL, 10)
+        first = made.route(asked, 0).server
+        made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 10)
         # Where no loads are told it is what tells of a jam: 40 proxies fed one else.
-        assert (made.room.common == 1) is (first.window == Room.START) is live
-        assert first.share == (Room.FALL_ALL if live else Room.FALL_SHARE)
-        made.wait(10)
+        assert (made.room.common == 1) is (first.concurrency_limit == Room.START) is live
+        assert first.admitted_share == (Room.FALL_ALL if live else Room.FALL_SHARE)
+        made.next_wakeup(10)
         if live:
-            assert made.where(asked, 10)[1] is not first
+            assert made.route(asked, 10).server is not first
 
 
 def test_a_walk_does_not_go_on_past_homes_that_are_down_by_late_answers():
@@ -114,49 +115,49 @@
     made = choice(nodes(12), live=True)
     homes = made.placement.homes(7, 2)
     for node in homes:
-        node.failures, node.trial_at = 2, 9 * S
+        node.health.consecutive_failures, node.health.next_probe_at = 2, 9 * S
     assert made.pick(lucky(S), S) is None
     for node in homes:
-        node.broken = True  # refused: gone, whatever the list says
+        node.health.connection_failed = True  # refused: gone, whatever the list says
     assert made.pick(lucky(S), S) in set(made.placement.slots) - set(homes)
 
 
 def test_a_reads_last_attempt_goes_to_the_origin_where_that_is_asked_apart():
     # Guards against a miss that nothing can follow: two homes were full, the third may lack the key.
-    made = choice([*nodes(6), Node("o", kind=1)], origin=1)
+    made = choice([*nodes(6), Server("o", kind=1)], origin=1)
     asked = req()
     for at in (0, 10):
-        node = made.where(asked, at)[1]
+        node = made.route(asked, at).server
         assert node.kind == 0
-        made.after(asked.attempts[-1], FULL, at)
-        made.wait(at)
-    assert made.where(asked, 20)[1].name == "o"
+        made.record_outcome(asked.attempts[-1], Outcome.OVERLOADED, at)
+        made.next_wakeup(at)
+    assert made.route(asked, 20).server.name == "o"
 
 
 def test_a_cold_node_takes_nothing_that_its_keys_other_homes_cannot():
     # Guards the fourth rule: full or gone, the others' part came on top of the cold one's own.
     made = choice(nodes(6), cold_share=0.5, cold=20 * S, fall=2.0)
     cold, other = made.placement.homes(7, 2)[:2]
-    cold.started, other.share = 2 * S, 0.0
+    cold.started_at, other.admitted_share = 2 * S, 0.0
     picks = Counter(made.pick(lucky(2 * S), 2 * S) for _ in range(200))
     assert 60 < picks[cold] < 140  # its own turns
-    cold.started = 0
+    cold.started_at = 0
     assert {made.pick(lucky(2 * S), 2 * S) for _ in range(50)} == {cold}
     made = choice(nodes(6), cold_share=0.5, cold=20 * S, fall=4.0)  # as much as it is said to bear
     cold, other = made.placement.homes(7, 2)[:2]
-    cold.started, other.share = 2 * S, 0.0
+    cold.started_at, other.admitted_share = 2 * S, 0.0
     assert {made.pick(lucky(2 * S), 2 * S) for _ in range(50)} == {cold}
 
 
 def lucky(now):
     asked = req(arrived=now)
-    asked.ranked, asked.part, asked.luck = True, 0.5, 0.1
+    asked.is_ranked, asked.limit_fraction, asked.warm_up_draw = True, 0.5, 0.1
     return asked
 
 
 def test_a_hot_key_asks_its_replicas_by_size():
     # Guards a small cache, above all a cold one, against the part of a hot key that a large one bears.
-    made = choice([*listing(*[4.0] * 8), *[Node(f"s{i}", 1, 1.0) for i in range(4)]], live=True)
+    made = choice([*listing(*[4.0] * 8), *[Server(f"s{i}", 1, 1.0) for i in range(4)]], live=True)
     for key in range(200):
         homes = made.placement.homes(key, 8)[:8]
         if {node.kind for node in homes} == {0, 1}:
@@ -171,25 +172,25 @@
 def test_what_a_cold_node_turns_away_closes_it_further():
     made = choice(nodes(4), cold_share=0.9, cold=20 * S, live=True)
     asked = req()
-    node = made.where(asked, 0)[1]
-    node.started = 1
-    made.after(asked.attempts[0], FULL, 10)
-    assert node.share == Room.FALL_SHARE
+    node = made.route(asked, 0).server
+    node.started_at = 1
+    made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 10)
+    assert node.admitted_share == Room.FALL_SHARE
 
 
 def answered_late(made, load):
     asked = req(give_up=3 * S)
-    asked.method.tardy = 0.5
-    node = made.where(asked, 0)[1]
-    node.load, node.load_at = load, S
-    made.after(asked.attempts[0], SATISFIED, 2 * S)
+    asked.request_class.late_priority_weight = 0.5
+    node = made.route(asked, 0).server
+    node.load, node.load_reported_at = load, S
+    made.record_outcome(asked.attempts[0], Outcome.SUCCEEDED, 2 * S)
     return node
 
 
 def test_an_answer_after_its_budget_strains_a_node_that_is_listed_loaded():
     # Guards against learning of a jam only at the deadline, where late answers still earn; long work is none.
-    assert answered_late(choice(listing(*[4.0] * 4), live=True), 9.0).share == Room.FALL_SHARE
-    assert answered_late(choice(listing(*[4.0] * 4), live=True), 0.5).share == 1
+    assert answered_late(choice(listing(*[4.0] * 4), live=True), 9.0).admitted_share == Room.FALL_SHARE
+    assert answered_late(choice(listing(*[4.0] * 4), live=True), 0.5).admitted_share == 1
 
 
 def test_nodes_listed_at_rest_are_not_closed_by_what_others_show():
@@ -207,55 +208,57 @@
 def test_a_report_tells_what_is_held_or_at_least_what_waits():
     live, node = Live(), nodes(1, weight=2.0)[0]
     live.reported(node, {"active": 6, "waiting": 1}, S)
-    assert (node.load, node.load_at) == (3.0, S)
+    assert (node.load, node.load_reported_at) == (3.0, S)
     live.reported(node, {"waiting": 4}, 2 * S)
-    assert (node.load, node.load_at) == (Live.REST + 2.0, 2 * S)
+    assert (node.load, node.load_reported_at) == (Live.REST + 2.0, 2 * S)
     live.reported(node, {"waiting": 0, "cpu": 0.1}, 3 * S)  # tells nothing of what it holds
-    assert node.load_at == 2 * S
+    assert node.load_reported_at == 2 * S
 
 
 def test_a_refusing_origin_is_asked_less():
     # Guards the origin whose table is full of all proxies' reqs: each was tried there again at once.
-    made = choice([*nodes(4), Node("o", kind=1)], origin=1)
+    made = choice([*nodes(4), Server("o", kind=1)], origin=1)
     origin = made.origins[0]
-    asked = req(write=True)
-    made.where(asked, 0)
-    before = origin.window
-    made.after(asked.attempts[0], REFUSED, 10)
-    assert origin.window < before and origin.share < 1
+    asked = req(is_write=True)
+    made.route(asked, 0)
+    before = origin.concurrency_limit
+    made.record_outcome(asked.attempts[0], Outcome.CONNECTION_REFUSED, 10)
+    assert origin.concurrency_limit < before and origin.admitted_share < 1
 
 
 def test_a_node_whose_queue_outlasts_a_part_of_the_budget_is_left_by_chance():
     # Guards against feeding a jam that the list shows: a second of waiting where one is all there is.
     made = choice(listing(*[4.0] * 4), live=True)
     asked, node = req(), made.placement.slots[0]
-    asked.method.times.extend([S // 10] * 8)
+    asked.request_class.attempt_times.extend([S // 10] * 8)
     for load, least, most in ((0.5, 0, 0), (10.0, 60, 90)):
-        node.load, node.load_at = load, S
-        left = sum(made.queued(node, asked.method, S) for _ in range(100))
+        node.load, node.load_reported_at = load, S
+        left = sum(made.queued(node, asked.request_class, S) for _ in range(100))
         assert least <= left <= most
-    assert not made.queued(node, req().method, S)  # nothing known yet of how long such reqs take
+    assert not made.queued(node, req().request_class, S)  # nothing known yet of how long such reqs take
 
 
 def test_a_full_home_that_is_the_only_one_left_lets_the_walk_go_on():
     made = choice(nodes(12), live=True)
     only, other, spare = made.placement.homes(7, 2)
-    made.listed([Node(other.name, state=LEFT), Node(spare.name, state=LEFT)], False, 0)
+    made.update_endpoints(
+        [Server(other.name, state=ServerState.GONE), Server(spare.name, state=ServerState.GONE)], False, 0
+    )
     asked = req()
-    assert made.where(asked, 0)[1] is only
-    made.after(asked.attempts[0], FULL, 10)
-    made.wait(10)
-    assert made.where(asked, 10)[1] in made.placement.homes(7, 6)[2:]
+    assert made.route(asked, 0).server is only
+    made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 10)
+    made.next_wakeup(10)
+    assert made.route(asked, 10).server in made.placement.homes(7, 6)[2:]
 
 
 def test_a_cold_node_listed_loaded_takes_the_less():
     # Guards the fourth rule where all that is asked is more than the fleet can do.
     made = choice(listing(*[4.0] * 6), live=True, cold_share=0.5, cold=20 * S)
     node = made.placement.slots[0]
-    node.started = 1
+    node.started_at = 1
     assert made.cold.warmth(node, 1) == 0.5
-    node.load, node.load_at = 5.0, S
+    node.load, node.load_reported_at = 5.0, S
     assert made.cold.warmth(node, S) < 0.15
     assert made.cold.warmth(node, S + Live.AGE) > 0.5  # forgotten
-    node.started = 0
+    node.started_at = 0
     assert made.cold.warmth(node, S) == 1  # a warm one is not cold for being loaded
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ivystack.model import LEAVING
+from ivystack.model import ServerState
 from ivystack.net.front import Client
 from ivystack.net.listener import ClientListener
 from ivystack.net.resp import command
@@ -47,7 +47,7 @@
 
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
-    of.until(lambda: not of.proxy.reqs and not of.proxy.front.clients)
+    of.until(lambda: not of.proxy.requests and not of.proxy.front.clients)
     of.turn(of.proxy.listed, [Node("late").entry()], True)
     of.pass_by(20_000)
     assert of.turn(lambda: not of.proxy.nodes.links and not of.proxy.sendings and not of.proxy.front.ids)
@@ -61,13 +61,13 @@
     asking = made.client()
     if state == "owed":
         asking.send(gets(Client.MOST + 9))
-        made.until(lambda: len(made.proxy.reqs) == Client.MOST)
+        made.until(lambda: len(made.proxy.requests) == Client.MOST)
     elif state == "upload":
         asking.send(command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
-        made.until(lambda: made.proxy.reqs and clients(made)[0].upload.held)
+        made.until(lambda: made.proxy.requests and clients(made)[0].upload.held)
     else:
         asking.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
-        made.until(lambda: len(made.proxy.reqs) == 2)
+        made.until(lambda: len(made.proxy.requests) == 2)
         if state == "stuck":  # the transport's call, where more is written than the client takes
             made.turn(clients(made)[0].pauseProducing)
     assert made.turn(lambda: clients(made)[0].paused) is (state != "read")
@@ -83,7 +83,7 @@
     asking = [made.client() for _ in range(300)]
     for number, one in enumerate(asking):
         one.send(gets(Client.MOST + 1, b"%d." % number))
-    made.until(lambda: len(made.proxy.reqs) == 300 * Client.MOST)
+    made.until(lambda: len(made.proxy.requests) == 300 * Client.MOST)
     made.turn(lambda: [one.end() for one in asking])
     never_sent_on(made)
 
@@ -98,7 +98,7 @@
     assert to_node.take()[0] == b"OBJ.GET"
     made.turn(clients(made)[0].pauseProducing)
     to_node.send(hit())
-    made.until(lambda: not made.proxy.reqs)
+    made.until(lambda: not made.proxy.requests)
     asking.socket.shutdown(socket.SHUT_WR)
     assert asking.take() == b"v"
 
@@ -123,11 +123,11 @@
     asking = client(made)
     asking.dataReceived(gets(2))
     first, second = made.held
-    seen, where = [], made.choice.where
-    made.choice.where = lambda req, now: seen.append((req, req.over)) or where(req, now)
-    made.choice.further.append(second)
+    seen, where = [], made.balancer.route
+    made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
+    made.balancer.further.append(second)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert first.over and second.over and not made.reqs and not made.sendings
+    assert first.concluded and second.concluded and not made.requests and not made.sendings
     assert all(over for _, over in seen)
 
 
@@ -149,7 +149,7 @@
     made.until(lambda: len(made.proxy.nodes.links) == 1)
     assert made.turn(lambda: not made.proxy.nodes.links[0].up)
     asking.end()
-    made.until(lambda: not made.proxy.reqs and not made.proxy.sendings)
+    made.until(lambda: not made.proxy.requests and not made.proxy.sendings)
     for one in full:
         one.close()
     node.door.listen(64)
@@ -170,7 +170,7 @@
     first.send(gets(1))
     node.accept().take()
     first.reset()
-    made.until(lambda: not made.proxy.reqs)
+    made.until(lambda: not made.proxy.requests)
     second.send(gets(1))
     to_node = node.accept()
     to_node.take()
@@ -243,17 +243,17 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
-    made.until(lambda: len(made.proxy.choice.nodes) == 2)
+    made.until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
     asking.send(gets(1))
-    made.until(lambda: made.proxy.reqs)
+    made.until(lambda: made.proxy.requests)
     made.turn(made.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
-    made.until(lambda: all(one.state == LEAVING for one in made.proxy.choice.nodes.values()))
+    made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
     late.send(gets(1, b"late"))
-    made.until(lambda: len(made.proxy.reqs) == 2)
-    assert made.turn(lambda: [len(held.req.attempts) for held in made.proxy.reqs.values()]) == [1, 0]
+    made.until(lambda: len(made.proxy.requests) == 2)
+    assert made.turn(lambda: [len(held.request.attempts) for held in made.proxy.requests.values()]) == [1, 0]
 
 
 def test_a_sighup_during_the_start_is_not_lost(tmp_path):
@@ -315,20 +315,20 @@
     made = moment(discovery=agent)
     watch, since = agent.call()
     agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
-    made.until(lambda: len(made.proxy.choice.nodes) == 2)
+    made.until(lambda: len(made.proxy.balancer.servers) == 2)
     spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
-    made.until(lambda: made.proxy.choice.nodes["n1"].state == LEAVING)
+    made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
     made.until(lambda: made.proxy.discovery.body is None)
     made.pass_by(made.proxy.settings.pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
     agent.line(watch, 3, nodes[1].entry())
-    made.until(lambda: made.proxy.choice.nodes["n1"].state != LEAVING)
+    made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
     assert made.turn(lambda: made.proxy.discovery.body is not None and made.proxy.discovery.lacking)
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
-    made.until(lambda: made.proxy.choice.nodes["n0"].state == LEAVING)
+    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
     assert not made.proxy.discovery.lacking and made.proxy.discovery.generation == 4
 
 
@@ -337,9 +337,9 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.choice.nodes)
+    made.until(lambda: made.proxy.balancer.servers)
     agent.line(watch, 2, node.entry("DRAINING", hostPort="nowhere"))
-    made.until(lambda: made.proxy.choice.nodes["n0"].state == LEAVING)
+    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
 
 
 def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
@@ -347,7 +347,7 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, nodes[0].entry(), whole=True)
-    made.until(lambda: made.proxy.choice.nodes)
+    made.until(lambda: made.proxy.balancer.servers)
     # One line whole, half of the next, and the end, in one read.
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
@@ -379,7 +379,7 @@
     asking = [made.client() for _ in range(made.proxy.nodes.FEW)]
     for number, one in enumerate(asking):
         one.send(gets(1, b"%d." % number))
-        made.until(lambda number=number: len(made.proxy.reqs) == number + 1)
+        made.until(lambda number=number: len(made.proxy.requests) == number + 1)
     wires = [node.accept() for _ in asking]
     for wire in wires:
         wire.take()
@@ -424,7 +424,7 @@
         assert again.take()[2] == b"2"
         again.send(hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(lambda: not made.proxy.sendings and not made.proxy.reqs)
+    assert made.turn(lambda: not made.proxy.sendings and not made.proxy.requests)
 
 
 def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
@@ -509,7 +509,9 @@
             getattr(asking, how)()
 
         made.turn(turn)
-        made.until(lambda: not made.proxy.front.clients and not made.proxy.sendings and not made.proxy.reqs)
+        made.until(
+            lambda: not made.proxy.front.clients and not made.proxy.sendings and not made.proxy.requests
+        )
         assert not made.turn(lambda: made.proxy.front.ids)
         made.turn(made.proxy.nodes.leave, made.proxy.nodes.places["n0"], "done")
 
@@ -519,7 +521,7 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.choice.nodes)
+    made.until(lambda: made.proxy.balancer.servers)
     asking = made.client()
     asking.send(gets(1))
     to_node = node.accept()
@@ -556,4 +558,4 @@
     assert since == 7
     late.close()
     first.line(watch, 8, Node("n1").entry())
-    made.until(lambda: made.proxy.discovery.generation == 8 and len(made.proxy.choice.nodes) == 2)
+    made.until(lambda: made.proxy.discovery.generation == 8 and len(made.proxy.balancer.servers) == 2)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -4,7 +4,7 @@
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from ivystack.model import ERRORED, FULL, LEAVING, READY, RECALLED, REFUSED, SATISFIED, SEVERED, Req
+from ivystack.model import Outcome, Request, ServerState
 from ivystack.net.front import Frame
 from ivystack.net.resp import VALUE, Resp, bulk, command
 from ivystack.net.tables import Deadlines, Slots
@@ -55,7 +55,7 @@
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
     node.dataReceived(hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
-    assert not made.reqs and not made.sendings and not made.held
+    assert not made.requests and not made.sendings and not made.held
     asking.dataReceived(get(b"2"))  # the connection is used again
     assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
 
@@ -86,7 +86,7 @@
     made = proxy()
     asking = client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
-    assert asking.transport.took() == b"" and len(made.reqs) == 1
+    assert asking.transport.took() == b"" and len(made.requests) == 1
     link(made).dataReceived(hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
 
@@ -97,7 +97,7 @@
     for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), command(b"OBJ.GET", b"1")):
         asking.dataReceived(text)
         assert asking.transport.took().startswith(b"-ERR ")
-    assert not asking.transport.disconnecting and not made.reqs
+    assert not asking.transport.disconnecting and not made.requests
 
 
 def test_a_client_with_many_open_commands_is_not_read_on():
@@ -140,7 +140,7 @@
     made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
     client(made).dataReceived(get())
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
-    assert outcomes == [FULL]
+    assert outcomes == [Outcome.OVERLOADED]
 
 
 def test_a_client_that_does_not_read_is_cut_off():
@@ -168,7 +168,7 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert not made.reqs and not made.sendings and node.transport.disconnected
+    assert not made.requests and not made.sendings and node.transport.disconnected
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
@@ -294,7 +294,7 @@
     made.nodes.ended = lambda sending, outcome, value: ended.append(outcome)
     client(made).dataReceived(get())
     made.reactor.advance(0.3)
-    assert ended == [REFUSED]
+    assert ended == [Outcome.CONNECTION_REFUSED]
 
 
 def test_an_end_is_told_once_whatever_comes_after():
@@ -307,12 +307,12 @@
     made.nodes.call_off(sending)
     made.nodes.call_off(sending)
     node.connectionLost(Failure(ConnectionDone()))
-    assert ended == [RECALLED]
+    assert ended == [Outcome.CANCELLED]
 
 
 def test_a_second_copys_answer_calls_off_the_first():
     made = proxy(2, may_duplicate=True, streams_per_conn=100)
-    made.settings.methods["read"].times.extend([1000] * 8)
+    made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
     slow = link(made)
@@ -389,21 +389,24 @@
     made = proxy(0)
     strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
     made.listed([*strange, *entries(1), *entries(2, "NEW-WORD")[1:]], True)
-    assert {name: node.state for name, node in made.choice.nodes.items()} == {"n0": READY, "n1": LEAVING}
+    assert {name: node.state for name, node in made.balancer.servers.items()} == {
+        "n0": ServerState.READY,
+        "n1": ServerState.DRAINING,
+    }
 
 
 def test_failing_decisions_end_their_req_as_a_failure_and_the_proxy_goes_on():
     made = proxy()
     asking = client(made)
-    whole = made.choice.where
-    made.choice.where = None
+    whole = made.balancer.route
+    made.balancer.route = None
     asking.dataReceived(get())
     assert asking.transport.took() == b"-ERR failed\r\n"
-    made.choice.where = whole
-    made.choice.wait = None  # and one that loses reqs: they are answered by their deadline
+    made.balancer.route = whole
+    made.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
     asking.dataReceived(get(b"2"))
     made.reactor.pump([0.05] * 12)
-    assert asking.transport.took() != b"" and not made.reqs
+    assert asking.transport.took() != b"" and not made.requests
 
 
 def test_after_sigterm_all_that_is_held_is_finished():
@@ -491,18 +494,20 @@
     made.peers.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
     assert not heard
     made.told(b"\xff" * 7)
-    made.choice.told = None
+    made.balancer.receive_gossip = None
     made.told(b"")
 
 
 def test_a_satisfied_req_earns_the_decisions_their_outcome():
     made = proxy()
     seen = []
-    whole = made.choice.after
-    made.choice.after = lambda sent, outcome, *more: seen.append(outcome) or whole(sent, outcome, *more)
+    whole = made.balancer.record_outcome
+    made.balancer.record_outcome = lambda sent, outcome, *more: seen.append(outcome) or whole(
+        sent, outcome, *more
+    )
     client(made).dataReceived(get())
     link(made).dataReceived(hit())
-    assert seen == [SATISFIED]
+    assert seen == [Outcome.SUCCEEDED]
 
 
 def test_a_connection_that_says_nothing_more_condemns_the_idle_ones():
@@ -534,7 +539,7 @@
     for one in links:
         for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
             one.dataReceived(hit(ident))
-    assert not made.reqs and asking.transport.took() == b"".join(bulk(b"%d" % i) for i in range(1, 6))
+    assert not made.requests and asking.transport.took() == b"".join(bulk(b"%d" % i) for i in range(1, 6))
 
 
 def test_a_break_ends_all_that_is_on_the_connection():
@@ -543,7 +548,11 @@
     outcomes = []
     made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
     links[0].connectionLost(Failure(ConnectionLost()))
-    assert outcomes == [SEVERED, RECALLED, RECALLED]  # one end, held against the node once
+    assert outcomes == [
+        Outcome.CONNECTION_LOST,
+        Outcome.CANCELLED,
+        Outcome.CANCELLED,
+    ]  # one end, held against the node once
 
 
 def test_nothing_goes_behind_an_attempt_that_was_given_up():
@@ -558,8 +567,10 @@
 
 def outcomes_of(made):
     """What the decisions are told from now on."""
-    outcomes, whole = [], made.choice.after
-    made.choice.after = lambda sent, outcome, *more: outcomes.append(outcome) or whole(sent, outcome, *more)
+    outcomes, whole = [], made.balancer.record_outcome
+    made.balancer.record_outcome = lambda sent, outcome, *more: outcomes.append(outcome) or whole(
+        sent, outcome, *more
+    )
     return outcomes
 
 
@@ -570,9 +581,12 @@
         asking, links = crowd(made)
         outcomes = outcomes_of(made)
         links[0].dataReceived(text)
-        assert outcomes[:3] == [ERRORED, RECALLED, RECALLED] and links[0].transport.disconnected
+        assert (
+            outcomes[:3] == [Outcome.ERROR, Outcome.CANCELLED, Outcome.CANCELLED]
+            and links[0].transport.disconnected
+        )
         assert asking.transport.took() == b"" and [
-            one.failures for one in made.choice.nodes["n0"].errors.values()
+            one.consecutive_failures for one in made.balancer.servers["n0"].class_failures.values()
         ] == [1]
 
 
@@ -604,7 +618,7 @@
     outcomes = outcomes_of(made)
     links[0].dataReceived(hit(b"one"))
     links[0].dataReceived(hit(b"one"))
-    assert outcomes[:2] == [SATISFIED, ERRORED] and links[0].transport.disconnected
+    assert outcomes[:2] == [Outcome.SUCCEEDED, Outcome.ERROR] and links[0].transport.disconnected
 
 
 def test_a_req_that_a_node_cannot_use_is_sent_to_no_other():
@@ -614,7 +628,9 @@
     asking.dataReceived(get())
     link(made).dataReceived(b"-ERR bad request\r\n")
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
-    assert not any(node.failures or node.errors for node in made.choice.nodes.values())
+    assert not any(
+        node.health.consecutive_failures or node.class_failures for node in made.balancer.servers.values()
+    )
 
 
 def test_what_is_known_of_a_node_goes_with_it():
@@ -627,11 +643,11 @@
         made.listed(entries(1, "DELETED", instanceId=f"x{number}"), False)
     made.listed(entries(2, "DRAINING"), False)
     made.listed(entries(2, "DELETED"), False)
-    assert [*made.choice.nodes] == [*made.nodes.places] == [busy.place.name]  # its attempt is still out
+    assert [*made.balancer.servers] == [*made.nodes.places] == [busy.place.name]  # its attempt is still out
     busy.dataReceived(hit())
     busy.connectionLost(Failure(ConnectionDone()))
     made.listed([], False)
-    assert not made.choice.nodes and not made.nodes.places
+    assert not made.balancer.servers and not made.nodes.places
 
 
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
@@ -644,7 +660,10 @@
     made.nodes.links[0].connectionLost(Failure(ConnectionLost()))
     asking.dataReceived(get(b"3"))
     link(made).connectionLost(Failure(ConnectionLost()))
-    assert outcomes[:3] == [SATISFIED, RECALLED, SEVERED] and made.choice.nodes["n0"].failures == 1
+    assert (
+        outcomes[:3] == [Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.CONNECTION_LOST]
+        and made.balancer.servers["n0"].health.consecutive_failures == 1
+    )
 
 
 def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
@@ -681,11 +700,14 @@
     made = proxy(2, REPORTS)
     asking = client(made)
     asking.dataReceived(get())
-    loaded = next(node for node in made.choice.nodes.values() if node.in_flight)
+    loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
     link(made).dataReceived(hit(report=b'{"active":50,"new":1}'))
     assert loaded.load == 50
     now = made.now()
-    picks = [made.choice.pick(Req(made.settings.methods["read"], now, now + S, 7), now) for _ in range(100)]
+    picks = [
+        made.balancer.pick(Request(made.settings.request_classes["read"], now, now + S, 7), now)
+        for _ in range(100)
+    ]
     assert picks.count(loaded) < 20
 
 
@@ -697,17 +719,17 @@
         asking.dataReceived(get())
         link(made).dataReceived(hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
-        assert made.choice.nodes["n0"].load == 0 and not made.reqs
+        assert made.balancer.servers["n0"].load == 0 and not made.requests
     made = proxy(1)  # nor is one read that the settings do not name
     client(made).dataReceived(get())
     link(made).dataReceived(hit(report=b'{"active":50}'))
-    assert made.choice.nodes["n0"].load == 0
+    assert made.balancer.servers["n0"].load == 0
 
 
 def test_one_req_a_connection_where_the_settings_say_so_and_room_for_all():
     # Guards against a quick answer that waits behind a slow one, and against a bound below what is out there.
     made = proxy(1, streams_per_conn=1, may_duplicate=True)
-    made.choice.nodes["n0"].window = 64.0  # rank shall not bind here
+    made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
     asking = client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(10)))
     links = [link(made, i) for i in range(len(made.reactor.tcpClients))]
@@ -731,8 +753,10 @@
 def test_a_nodes_word_that_it_had_the_value_reaches_the_decisions():
     for word, told in ((b"hit", True), (b"miss", False)):
         made = proxy()
-        seen, after = [], made.choice.after
-        made.choice.after = lambda *values, after=after, seen=seen: seen.append(values[-1]) or after(*values)
+        seen, after = [], made.balancer.record_outcome
+        made.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
+            values[-1]
+        ) or after(*values)
         asked = client(made)
         asked.dataReceived(get())
         link(made).dataReceived(b"*3\r\n" + bulk(b"v") + bulk(word) + b"$-1\r\n")
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,11 +8,19 @@
 from twisted.python.failure import Failure
 
 from ivystack import choice as decisions
-from ivystack.choice import Choice
+from ivystack.choice import Balancer
 from ivystack.model import (
-    DEDUPLICATED, DONE, ERRORED, FAIL, FULL, GO, MISSED, NACK, NON_RETRYABLE, OVERDUE, RECALLED, REFUSED,
-    RETRYABLE, SATISFIED, SEVERED, SUPERSEDED, Method, Req, Attempt,
-)  # fmt: skip
+    Attempt,
+    DedupGroup,
+    Done,
+    Fail,
+    Idempotency,
+    Outcome,
+    Reject,
+    Request,
+    RequestClass,
+    Send,
+)
 from ivystack.net.front import Frame
 from ivystack.net.nodes import Sending
 from ivystack.net.resp import command
@@ -74,7 +82,7 @@
     pass_by(made, 49)  # 300 ms since the first was decided
     link(made)
     assert written(made) == b"" and asking.transport.took().startswith(answer)
-    assert not made.sendings and not made.reqs
+    assert not made.sendings and not made.requests
 
 
 def test_a_repeat_whose_connection_comes_up_within_the_window_is_written():
@@ -99,7 +107,9 @@
 def test_the_repeat_that_goes_out_first_makes_the_first_one_the_repeat():
     # Second copies: the first attempt still waits for its connection when the second one goes out.
     made = proxy(2, run=once(window=700, streams_per_conn=10, may_duplicate=True, budget=1000))
-    made.settings.methods["mark"].times.extend([100 * MS] * 8)  # so that a copy goes out at half of the time
+    made.settings.request_classes["mark"].attempt_times.extend(
+        [100 * MS] * 8
+    )  # so that a copy goes out at half of the time
     asking = client(made)
     asking.dataReceived(put(wait=1000))
     pass_by(made, 490)
@@ -114,12 +124,12 @@
 
 
 def test_what_waits_for_a_process_that_has_gone_is_decided_anew():
-    made = proxy(1, run=once(semantics="side_effect"))
+    made = proxy(1, run=once(idempotency="side_effect"))
     asking = client(made)
     asking.dataReceived(put())
     waits = next(iter(made.sendings))
     made.listed(entries(1, startedAtMs=999_999), True)
-    assert waits.outcome == SUPERSEDED and len(made.sendings) == 1 and waits not in made.sendings
+    assert waits.outcome == Outcome.NOT_SENT and len(made.sendings) == 1 and waits not in made.sendings
     assert not asking.transport.value()
 
 
@@ -131,12 +141,12 @@
 
     def __init__(self, semantics, **more):
         self.made = proxy(1, run=once(streams_per_conn=10, may_duplicate=True, **more))
-        self.method, self.ends = Method("mark", semantics, 2 * S, window=S), []
+        self.method, self.ends = RequestClass("mark", semantics, 2 * S, dedup_window=S), []
         self.made.nodes.ended = lambda sending, outcome, value: self.ends.append((sending.attempt, outcome))
 
     def go(self, **more):
         now, fields = self.made.now(), b"c=mark,d=500"
-        attempt = Attempt(Req(self.method, now, now + 2 * S), None, now, now + 2 * S, **more)
+        attempt = Attempt(Request(self.method, now, now + 2 * S), None, now, now + 2 * S, **more)
         frame = Frame([b"OBJ.GET", b"7f", b"1", fields], (9, 12))
         self.made.nodes.send(Sending(attempt, frame), "n0", now + 2 * S)
         return attempt
@@ -147,7 +157,7 @@
         return [outcome for _, outcome in self.ends[before:]]
 
 
-@pytest.mark.parametrize("semantics", [NON_RETRYABLE, DEDUPLICATED, RETRYABLE])
+@pytest.mark.parametrize("semantics", [Idempotency.NOT_IDEMPOTENT, Idempotency.KEYED, Idempotency.IDEMPOTENT])
 @pytest.mark.parametrize("gap", [0, 8, 99, 101])
 @pytest.mark.parametrize("split", [False, True])
 def test_a_busy_so_soon_after_another_proves_nothing_of_what_crossed_it(semantics, gap, split):
@@ -155,68 +165,81 @@
     of = Attempts(semantics)
     of.go()
     wire = link(of.made)
-    assert of.said(wire, BUSY) == [FULL]
+    assert of.said(wire, BUSY) == [Outcome.OVERLOADED]
     pass_by(of.made, gap // 2)
     of.go()
     assert len(wire.out) == 1  # on the same connection
     pass_by(of.made, gap - gap // 2)
     said = of.said(wire, BUSY[:4]) + of.said(wire, BUSY[4:]) if split else of.said(wire, BUSY)
-    assert said == [FULL if semantics == RETRYABLE or gap > 100 else RECALLED]
+    assert said == [
+        Outcome.OVERLOADED if semantics == Idempotency.IDEMPOTENT or gap > 100 else Outcome.CANCELLED
+    ]
 
 
 def test_of_several_on_a_connection_only_the_first_busy_proves():
-    of = Attempts(NON_RETRYABLE)
+    of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.made.nodes.FEW = 1
     of.go()
     wire = link(of.made)
     of.go()
     of.go()
     assert len(wire.out) == 3
-    assert of.said(wire, BUSY + BUSY + hit()) == [FULL, RECALLED, SATISFIED]
+    assert of.said(wire, BUSY + BUSY + hit()) == [Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.SUCCEEDED]
 
 
 def test_a_busy_for_one_that_was_given_up_makes_the_next_one_doubtful():
-    of = Attempts(NON_RETRYABLE)
+    of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.made.nodes.FEW = 1
     of.go()
     wire = link(of.made)
     of.go()
     of.made.nodes.call_off(wire.out[0])
-    assert of.said(wire, BUSY + BUSY) == [RECALLED]
+    assert of.said(wire, BUSY + BUSY) == [Outcome.CANCELLED]
 
 
 def test_one_that_must_be_there_in_time_goes_behind_nothing():
     # What holds back those before it, a long value or a node that reads no more, would hold it back too.
-    of = Attempts(DEDUPLICATED)
+    of = Attempts(Idempotency.KEYED)
     of.made.nodes.FEW = 1
     of.go()
     wire = link(of.made)
     far, near = of.made.now() + 4 * S, of.made.now() + S
-    of.go(latest=far)
+    of.go(send_by=far)
     assert len(wire.out) == 2  # in so long a time it gets there, or is given up
-    last = of.go(latest=near)
+    last = of.go(send_by=near)
     assert len(wire.out) == 2 and [s.attempt for s in of.made.nodes.places["n0"].waiting] == [last]
     pass_by(of.made, 1001)
-    assert of.ends[-1] == (last, SUPERSEDED)
+    assert of.ends[-1] == (last, Outcome.NOT_SENT)
 
 
 def test_no_value_and_miss_proves_nothing_where_nodes_read_through():
     lacks = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-    for aside, outcome in ((False, ERRORED), (True, MISSED)):
-        of = Attempts(NON_RETRYABLE)
+    for aside, outcome in ((False, Outcome.ERROR), (True, Outcome.CACHE_MISS)):
+        of = Attempts(Idempotency.NOT_IDEMPOTENT)
         of.made.nodes.aside = aside
         of.go()
         assert of.said(link(of.made), lacks) == [outcome]
 
 
-@pytest.mark.parametrize("answer, outcome", [
-    (hit(), SATISFIED), (b"-ERR failed\r\n", ERRORED), (BUSY, FULL), (b"-BUSY 40\r\n", FULL),
-    (b"+OK\r\n", ERRORED), (b":1\r\n", ERRORED), (b"$-1\r\n", ERRORED), (b"*-1\r\n", ERRORED),
-    (b"*0\r\n", ERRORED), (b"-BUSYING\r\n", ERRORED), (b"noise\r\n", ERRORED),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "answer, outcome",
+    [
+        (hit(), Outcome.SUCCEEDED),
+        (b"-ERR failed\r\n", Outcome.ERROR),
+        (BUSY, Outcome.OVERLOADED),
+        (b"-BUSY 40\r\n", Outcome.OVERLOADED),
+        (b"+OK\r\n", Outcome.ERROR),
+        (b":1\r\n", Outcome.ERROR),
+        (b"$-1\r\n", Outcome.ERROR),
+        (b"*-1\r\n", Outcome.ERROR),
+        (b"*0\r\n", Outcome.ERROR),
+        (b"-BUSYING\r\n", Outcome.ERROR),
+        (b"noise\r\n", Outcome.ERROR),
+    ],
+)
 def test_each_row_of_the_protocols_table(answer, outcome):
     # Only a -BUSY, and what never was written whole, proves that it never ran (PROTOCOL, the nodes' table).
-    of = Attempts(NON_RETRYABLE)
+    of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.go()
     assert of.said(link(of.made), answer) == [outcome]
     assert (outcome in decisions.NEVER_RAN) is (answer.startswith(b"-BUSY") and answer != b"-BUSYING\r\n")
@@ -224,7 +247,7 @@
 
 def test_what_was_never_written_is_told_from_what_was():
     for written_first in (False, True):
-        of = Attempts(NON_RETRYABLE)
+        of = Attempts(Idempotency.NOT_IDEMPOTENT)
         out = of.go()
         if written_first:
             lost(link(of.made))
@@ -238,12 +261,12 @@
 
 
 @pytest.mark.parametrize("before, now, held", [
-    (("pure", "all", 0), ("side_effect", "all", 0), (NON_RETRYABLE, "all", 0)),
-    (("pure", "all", 0), ("token", "zone", 400), (DEDUPLICATED, "zone", 400 * MS)),
-    (("token", "all", 900), ("token", "cell", 400), (DEDUPLICATED, "cell", 400 * MS)),
-    (("token", "cell", 400), ("token", "all", 900), (DEDUPLICATED, "cell", 400 * MS)),
-    (("token", "all", 900), ("pure", "all", 0), (DEDUPLICATED, "all", 900 * MS)),
-    (("side_effect", "all", 0), ("pure", "all", 0), (NON_RETRYABLE, "all", 0)),
+    (("pure", "all", 0), ("side_effect", "all", 0), (Idempotency.NOT_IDEMPOTENT, "all", 0)),
+    (("pure", "all", 0), ("token", "zone", 400), (Idempotency.KEYED, "zone", 400 * MS)),
+    (("token", "all", 900), ("token", "cell", 400), (Idempotency.KEYED, "cell", 400 * MS)),
+    (("token", "cell", 400), ("token", "all", 900), (Idempotency.KEYED, "cell", 400 * MS)),
+    (("token", "all", 900), ("pure", "all", 0), (Idempotency.KEYED, "all", 900 * MS)),
+    (("side_effect", "all", 0), ("pure", "all", 0), (Idempotency.NOT_IDEMPOTENT, "all", 0)),
 ])  # fmt: skip
 def test_of_two_meanings_the_stricter_holds_for_reqs_that_are_out_at_sighup(before, now, held):
     made = proxy(3, run=once(before[1], before[2], before[0]))
@@ -251,11 +274,19 @@
     asking.dataReceived(put())
     (req,) = made.held
     made.reload(once(now[1], now[2], now[0]))
-    assert (req.method.semantics, req.method.group, req.method.window) == held
+    assert (
+        req.request_class.idempotency,
+        req.request_class.dedup_group.value,
+        req.request_class.dedup_window,
+    ) == held
     asking.dataReceived(put(b"2"))
     fresh = next(one for one in made.held if one is not req)
-    semantics = {"pure": RETRYABLE, "token": DEDUPLICATED, "side_effect": NON_RETRYABLE}[now[0]]
-    assert (fresh.method.semantics, fresh.method.window) == (semantics, now[2] * MS)
+    semantics = {
+        "pure": Idempotency.IDEMPOTENT,
+        "token": Idempotency.KEYED,
+        "side_effect": Idempotency.NOT_IDEMPOTENT,
+    }[now[0]]
+    assert (fresh.request_class.idempotency, fresh.request_class.dedup_window) == (semantics, now[2] * MS)
 
 
 # The module, with every order of endings, waits and late connections: what a strict node would have run.
@@ -265,15 +296,17 @@
     """Nodes that remember a repeat just as long as stated, and hold it against whoever sends it again."""
 
     def __init__(self, semantics, group, window):
-        self.semantics, self.group, self.window = semantics, group, window
-        self.came: dict[Req, list] = {}  # what has reached a node whole, and may have run: when, and where
+        self.idempotency, self.group, self.window = semantics, group, window
+        self.came: dict[
+            Request, list
+        ] = {}  # what has reached a node whole, and may have run: when, and where
         self.broken: list[str] = []
 
     def reached(self, req, node, now):
         before = self.came.setdefault(req, [])
-        if before and self.semantics == NON_RETRYABLE:
+        if before and self.idempotency == Idempotency.NOT_IDEMPOTENT:
             self.broken.append("a second attempt")
-        elif before and self.semantics == DEDUPLICATED:
+        elif before and self.idempotency == Idempotency.KEYED:
             if now - before[0][0] > self.window:
                 self.broken.append("past its window")
             where = {"all": (), "zone": (node.zone,), "cell": (node.zone, node.cell)}[self.group]
@@ -285,7 +318,9 @@
         self.came[req].remove(at)
 
     def nacked(self, req):
-        bears = self.semantics == RETRYABLE or (self.semantics == DEDUPLICATED and self.group == "all")
+        bears = self.idempotency == Idempotency.IDEMPOTENT or (
+            self.idempotency == Idempotency.KEYED and self.group == "all"
+        )
         if self.came.get(req) and not bears:
             self.broken.append("nacked though it may have run")
 
@@ -297,7 +332,11 @@
     for place, node in enumerate(caches):
         node.zone, node.cell = "ab"[place // 3], place // 2
     made = choice(caches, most_write_outs=5, may_duplicate=duplicate, tick=MS)
-    method, now, going = Method("m", semantics, S, group=group, window=window), S, []
+    method, now, going = (
+        RequestClass("m", semantics, S, dedup_group=DedupGroup(group), dedup_window=window),
+        S,
+        [],
+    )
     counts = {"again": 0}
 
     def send(req, until):
@@ -306,38 +345,39 @@
         going.append([now + wait, rng.random(), "up", attempt, until])
         counts["again"] += len(req.attempts) > 1
 
-    def carry(req, answer):
-        word, _, when = answer
-        if word == GO:
-            send(req, when)
-        elif word in (NACK, FAIL, DONE):
-            req.over = True
-            if word == NACK:
+    def carry(req, decision):
+        match decision:
+            case Send(timeout_at=timeout_at):
+                send(req, timeout_at)
+            case Reject():
+                req.concluded = True
                 strict.nacked(req)
+            case Fail() | Done():
+                req.concluded = True
 
     def ended(attempt, outcome):
-        answer, off = made.after(attempt, outcome, now)
-        for one in off:
+        follow_up = made.record_outcome(attempt, outcome, now)
+        for one in follow_up.cancel:
             going[:] = [event for event in going if event[3] is not one]
-            one.outcome or made.after(one, decisions.RECALLED, now)
-        if not attempt.req.over:
-            carry(attempt.req, answer)
+            one.outcome or made.record_outcome(one, Outcome.CANCELLED, now)
+        if not attempt.request.concluded:
+            carry(attempt.request, follow_up.decision)
 
     for _ in range(40):
-        req = Req(method, now, now + 2 * S, rng.getrandbits(40))
-        carry(req, made.where(req, now))
-        while going or not req.over:
-            rest, due = made.wait(now)
-            for one in due:
+        req = Request(method, now, now + 2 * S, rng.getrandbits(40))
+        carry(req, made.route(req, now))
+        while going or not req.concluded:
+            wakeup = made.next_wakeup(now)
+            for one in wakeup.due:
                 if one is req:
-                    carry(one, made.where(one, now))
-            if due:
+                    carry(one, made.route(one, now))
+            if wakeup.due:
                 continue
             going.sort(key=lambda event: event[:2])
-            looks = [] if rest is None else [now + rest]
+            looks = [] if wakeup.delay is None else [now + wakeup.delay]
             at = min([event[0] for event in going[:1]] + looks, default=None)
             if at is None:
-                assert req.over, "a req that nothing will end"
+                assert req.concluded, "a req that nothing will end"
                 break
             now = max(now, at)
             if not going or going[0][0] > now:
@@ -347,16 +387,26 @@
                 continue
             if what == "up":
                 if now >= until:
-                    ended(attempt, REFUSED)
-                elif keeps and now >= attempt.latest:
-                    ended(attempt, SUPERSEDED)
+                    ended(attempt, Outcome.CONNECTION_REFUSED)
+                elif keeps and now >= attempt.send_by:
+                    ended(attempt, Outcome.NOT_SENT)
                 else:
-                    strict.reached(attempt.req, attempt.node, now)
-                    outcome = rng.choice((SATISFIED, ERRORED, FULL, OVERDUE, SEVERED, SEVERED, SEVERED))
+                    strict.reached(attempt.request, attempt.server, now)
+                    outcome = rng.choice(
+                        (
+                            Outcome.SUCCEEDED,
+                            Outcome.ERROR,
+                            Outcome.OVERLOADED,
+                            Outcome.TIMED_OUT,
+                            Outcome.CONNECTION_LOST,
+                            Outcome.CONNECTION_LOST,
+                            Outcome.CONNECTION_LOST,
+                        )
+                    )
                     left = until - now
-                    took = left if outcome == OVERDUE else rng.randrange(min(400 * MS, left) + 1)
-                    if outcome == FULL:
-                        strict.turned_away(attempt.req, (now, attempt.node.zone, attempt.node.cell))
+                    took = left if outcome == Outcome.TIMED_OUT else rng.randrange(min(400 * MS, left) + 1)
+                    if outcome == Outcome.OVERLOADED:
+                        strict.turned_away(attempt.request, (now, attempt.server.zone, attempt.server.cell))
                     going.append([now + took, rng.random(), outcome, attempt, until])
             else:
                 ended(attempt, what)
@@ -365,7 +415,11 @@
 
 
 GROUPS = ["all", "zone", "cell"]
-KINDS = [(RETRYABLE, "all"), (NON_RETRYABLE, "all"), *((DEDUPLICATED, group) for group in GROUPS)]
+KINDS = [
+    (Idempotency.IDEMPOTENT, "all"),
+    (Idempotency.NOT_IDEMPOTENT, "all"),
+    *((Idempotency.KEYED, group) for group in GROUPS),
+]
 
 
 @pytest.mark.parametrize("semantics, group", KINDS)
@@ -381,18 +435,23 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_the_check_finds_a_window_that_is_not_kept(group):
-    found = (played(seed, DEDUPLICATED, group, keeps=False)[0] for seed in range(60))
+    found = (played(seed, Idempotency.KEYED, group, keeps=False)[0] for seed in range(60))
     assert any("past its window" in broken for broken in found)
 
 
 def test_the_check_finds_a_group_that_is_not_kept(monkeypatch):
-    monkeypatch.setattr(Choice, "within_group", lambda *_: True)
-    assert any("outside its group" in played(seed, DEDUPLICATED, "zone")[0] for seed in range(30))
-
-
-@pytest.mark.parametrize("taken_for_proof, found", [
-    (ERRORED, "a second attempt"), (SEVERED, "a second attempt"), (OVERDUE, "nacked though it may have run"),
-])  # fmt: skip
+    monkeypatch.setattr(Balancer, "within_group", lambda *_: True)
+    assert any("outside its group" in played(seed, Idempotency.KEYED, "zone")[0] for seed in range(30))
+
+
+@pytest.mark.parametrize(
+    "taken_for_proof, found",
+    [
+        (Outcome.ERROR, "a second attempt"),
+        (Outcome.CONNECTION_LOST, "a second attempt"),
+        (Outcome.TIMED_OUT, "nacked though it may have run"),
+    ],
+)
 def test_the_check_finds_an_ending_that_is_taken_for_proof(monkeypatch, taken_for_proof, found):
     monkeypatch.setattr(decisions, "NEVER_RAN", decisions.NEVER_RAN | {taken_for_proof})
-    assert any(found in played(seed, NON_RETRYABLE, "all")[0] for seed in range(30))
+    assert any(found in played(seed, Idempotency.NOT_IDEMPOTENT, "all")[0] for seed in range(30))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -65,7 +65,7 @@
 def test_a_long_answer_goes_out_as_it_comes_and_the_last_of_it_once_it_proves_whole():
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG[:1000])
-    assert asking.transport.took() == b"$%d\r\n" % len(LONG) + LONG[:1000] and not made.reqs
+    assert asking.transport.took() == b"$%d\r\n" % len(LONG) + LONG[:1000] and not made.requests
     for at in range(1000, len(LONG), 65_536):
         node.dataReceived(LONG[at : at + 65_536])
     node.dataReceived(TAIL[:2])
@@ -119,7 +119,7 @@
 
 def test_the_first_copy_to_begin_wins_and_the_other_is_called_off():
     made = proxy(2, may_duplicate=True, streams_per_conn=100)
-    made.settings.methods["read"].times.extend([1000] * 8)
+    made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
     slow = link(made)
@@ -145,7 +145,7 @@
         got = asking.transport.took()
         assert bulk(LONG).startswith(got) and got != bulk(LONG)
         asking.connectionLost(Failure(ConnectionDone()))
-        assert not made.reqs and not made.sendings
+        assert not made.requests and not made.sendings
 
 
 def test_what_is_owed_behind_one_that_is_cut_short_is_not_sent_on():
@@ -156,10 +156,10 @@
     node = link(made)
     node.dataReceived(HEAD + LONG[:9000])
     asking.dataReceived(get(b"2", b"80") + get(b"3", b"81"))  # their connections do not come up
-    assert len(made.reqs) == 2 and len(made.reactor.tcpClients) > 1
+    assert len(made.requests) == 2 and len(made.reactor.tcpClients) > 1
     node.connectionLost(Failure(ConnectionLost()))
     assert asking.transport.disconnecting and asking.code == "cut-short"
-    assert not made.reqs and not made.sendings and not made.front.ids
+    assert not made.requests and not made.sendings and not made.front.ids
     for number in range(1, len(made.reactor.tcpClients)):
         assert link(made, number).transport.value() == b""
     assert not asking.owed and made.front.bytes == 0
@@ -213,7 +213,7 @@
     node.dataReceived(hit())
     asking.dataReceived(get(b"1", fields=b"c=read,d=900"))
     other.dataReceived(get(b"2", fields=b"c=read,d=900"))
-    assert [sending.attempt.req.key for sending in node.out] == [127, 127]
+    assert [sending.attempt.request.key for sending in node.out] == [127, 127]
     node.dataReceived(HEAD + LONG[:1000])
     made.nodes.LITTLE = 0
     asking.connectionLost(Failure(ConnectionDone()))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from ivystack.model import NON_RETRYABLE, RETRYABLE
+from ivystack.model import Idempotency
 from ivystack.settings import Config, MethodSheet, Run, Settings, Sheet, TenantSheet
 
 
@@ -44,7 +44,10 @@
     first = link(made)
     made.reload(told(methods=[sheet("read", now, 10**8)]))
     req = next(iter(made.held))
-    assert req.method.semantics == (RETRYABLE if again else NON_RETRYABLE) and req.method.latency_budget == S
+    assert (
+        req.request_class.idempotency == (Idempotency.IDEMPOTENT if again else Idempotency.NOT_IDEMPOTENT)
+        and req.request_class.latency_objective == S
+    )
     made.reactor.advance(0.2)
     before = len(made.reactor.tcpClients)
     first.connectionLost(Failure(ConnectionLost()))  # it may have run
@@ -58,7 +61,7 @@
     made = proxy(3)
     made.reload(told(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")]))
     asking = ask(made, b"1")
-    assert next(iter(made.held)).method.semantics == NON_RETRYABLE
+    assert next(iter(made.held)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
     before = len(made.reactor.tcpClients)
     link(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
@@ -78,17 +81,17 @@
 def test_what_nodes_hold_of_former_classes_goes_with_their_last_reqs():
     # Guards the memory: a class that changes each day would leave its errors at every node.
     made = proxy()
-    node = made.choice.nodes["n0"]
+    node = made.balancer.servers["n0"]
     ask(made, b"1")
     link(made).dataReceived(b"-ERR failed\r\n")
-    assert len(node.errors) == 1
+    assert len(node.class_failures) == 1
     ask(made, b"2")
-    old = made.settings.methods["read"]
+    old = made.settings.request_classes["read"]
     for budget in (10**8, 2 * 10**8, 3 * 10**8):  # three in a row
         made.reload(told(methods=[sheet("read", budget=budget)]))
-    assert old in node.errors and made.settings.methods["read"] in node.errors
+    assert old in node.class_failures and made.settings.request_classes["read"] in node.class_failures
     made.reactor.advance(2)
-    assert [*node.errors] == [made.settings.methods["read"]] and not made.held
+    assert [*node.class_failures] == [made.settings.request_classes["read"]] and not made.held
 
 
 def test_settings_are_taken_up_in_a_drain_and_at_the_end():
@@ -107,7 +110,7 @@
     made = proxy()
     made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
     assert (made.nodes.deep, made.nodes.connect_timeout, made.nodes.idle) == (1, 100_000, 800_000)
-    assert made.choice.may_duplicate and made.settings.may_duplicate
+    assert made.balancer.may_duplicate and made.settings.may_duplicate
 
 
 # Another customer's settings: every field of the configuration, one by one.
@@ -207,7 +210,7 @@
         ours.take(Settings(7, values))
         for one in (ours, fresh):  # kinds keep their numbers, since nodes name them by these
             names = {place: name for name, place in one.kinds.items()}
-            one.choice.origin_kind = names.get(one.choice.origin_kind)
+            one.balancer.origin_kind = names.get(one.balancer.origin_kind)
             one.kinds = {*one.kinds}
         assert says(ours) == says(fresh)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ivystack.model import Errors, Node
+from ivystack.model import Idempotency, FailureState, Server
 from ivystack.settings import Config, FaultError, Run, Settings, checked, doubtful, load
 
 GOOD = {"listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "0f", "settings": {}, "new": 1}
@@ -54,12 +54,12 @@
         with pytest.raises(FaultError) as fault:
             loaded(tmp_path, settings=settings)
         assert key in str(fault.value) and "\n" not in str(fault.value)
-    assert loaded(tmp_path, settings={"methods": [good]}).settings.methods
+    assert loaded(tmp_path, settings={"methods": [good]}).settings.request_classes
 
 
 def test_what_is_absent_or_null_gets_its_default():
     settings = Settings(1, {"limits": None, "methods": [{"name": "m", "give_up": 5_000}]})
-    assert settings.choice.most == 1 and settings.methods["m"].latency_budget == 5
+    assert settings.balancer.most == 1 and settings.request_classes["m"].latency_objective == 5
 
 
 def test_read_again_the_files_discovery_goes_before_the_environments(tmp_path):
@@ -119,35 +119,38 @@
 
 
 def test_a_whole_file_is_taken_with_classes_gone_new_or_without_a_window(tmp_path):
-    assert [*read_again(tmp_path, tuned({"name": "new"})).settings.methods] == ["m", "new"]
-    assert [*read_again(tmp_path, tuned(methods=[CLASS])).settings.methods] == ["m"]
-    assert read_again(tmp_path, tuned({"window": ...})).settings.methods["w"].window == 0
-    assert read_again(tmp_path, tuned(limits={"most_write_outs": 1})).settings.choice.most == 1
+    assert [*read_again(tmp_path, tuned({"name": "new"})).settings.request_classes] == ["m", "new"]
+    assert [*read_again(tmp_path, tuned(methods=[CLASS])).settings.request_classes] == ["m"]
+    assert read_again(tmp_path, tuned({"window": ...})).settings.request_classes["w"].dedup_window == 0
+    assert read_again(tmp_path, tuned(limits={"most_write_outs": 1})).settings.balancer.most == 1
 
 
 def test_what_was_seen_stays_and_what_a_class_says_is_new():
     running = Settings(1, TUNED | {"parties": [{"name": "t", "allowance_per_s": 5}]})
-    old, tenant = running.methods["m"], running.tenants["t"]
-    kept = running.methods["w"]
-    node = Node("n", errors={old: Errors(failures=2)})
-    running.choice.listed([node], True, 0)
-    old.times.append(7)
-    tenant.recent = 3
+    old, tenant = running.request_classes["m"], running.tenants["t"]
+    kept = running.request_classes["w"]
+    node = Server("n", class_failures={old: FailureState(consecutive_failures=2)})
+    running.balancer.update_endpoints([node], True, 0)
+    old.attempt_times.append(7)
+    tenant.recent_requests = 3
     sheet = TUNED | {"methods": [CLASS | {"semantics": "side_effect"}, TUNED["methods"][1]]}
     more = Settings(1, sheet | {"parties": [{"name": "t", "allowance_per_s": 8}, {"name": "u"}]})
     assert running.take(more) == [old]
-    new = running.methods["m"]
-    assert old.semantics == new.semantics == "non-retryable" and new.times is old.times  # the stricter
-    assert running.methods["w"] is kept and running.tenants["t"] is tenant and tenant.allowance == 8
-    assert node.errors[new] is node.errors[old] and node in running.choice.placement.slots
+    new = running.request_classes["m"]
+    assert (
+        old.idempotency == new.idempotency == Idempotency.NOT_IDEMPOTENT
+        and new.attempt_times is old.attempt_times
+    )  # the stricter
+    assert running.request_classes["w"] is kept and running.tenants["t"] is tenant and tenant.quota == 8
+    assert node.class_failures[new] is node.class_failures[old] and node in running.balancer.placement.slots
     running.forget([old])
-    assert [*node.errors] == [new]
+    assert [*node.class_failures] == [new]
 
 
 def test_a_kind_that_stays_keeps_its_number():
     running = Settings(1, {"kinds": ["a", "b"], "specifics": {"origin_kind": 1}})
     running.take(Settings(1, {"kinds": ["b", "c"], "specifics": {"origin_kind": 0}}))
-    assert running.kinds == {"a": 0, "b": 1, "c": 2} and running.choice.origin_kind == 1
+    assert running.kinds == {"a": 0, "b": 1, "c": 2} and running.balancer.origin_kind == 1
 
 
 def test_the_tail_of_the_blend_is_read_and_checked_and_absent_ones_leave_all_as_it_was():
@@ -160,7 +163,7 @@
 
 
 @pytest.mark.parametrize("window, connect, words", [
-    (0, 100, "no req of m is ever sent again"), (10, 100, "no req of m is ever sent again"),
+    (0, 100, "no request of m is ever sent again"), (10, 100, "no request of m is ever sent again"),
     (100, 100, "no longer than `settings.limits.connect_timeout`"), (101, 100, None),
 ])  # fmt: skip
 def test_a_window_that_hardly_lets_anything_be_repeated_is_told_with_its_key(window, connect, words):
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -6,7 +6,7 @@
 from helpers import S, choice, client, get, nodes, proxy, req, told
 
 from ivystack.choice import Cold, Links, Shares
-from ivystack.model import FULL, GO, SATISFIED, Req, Tenant
+from ivystack.model import Outcome, Request, Send, Tenant
 from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, work
 from ivystack.settings import FaultError, Settings
 
@@ -68,10 +68,10 @@
     for turn in range(2000):
         for tenant, worth in zip(tenants, (5.0, 3.0, 1.0), strict=True):
             asked = req(tenant=tenant, key=turn)
-            asked.method.criticality = worth
-            parts[tenant.name].append((shares.part_of_window(asked, turn * 10_000), asked.calm))
-    excess = [part for part, calm in parts["more"][400:] if calm]
-    within = [part for part, calm in parts["more"][400:] if not calm]
+            asked.request_class.priority_weight = worth
+            parts[tenant.name].append((shares.part_of_window(asked, turn * 10_000), asked.required_share))
+    excess = [part for part, required_share in parts["more"][400:] if required_share]
+    within = [part for part, required_share in parts["more"][400:] if not required_share]
     assert len(excess) > 5 * len(within) > 0
     assert max(excess) < 0.5 and sum(part > 0.6 for part in within) > len(within) // 5
 
@@ -87,27 +87,27 @@
 def test_an_attempt_that_outlasts_patience_is_told_while_its_queue_still_grows():
     made = choice(nodes(4), proxies=100, peers=True)
     asked = req()
-    node = made.where(asked, 0)[1]
+    node = made.route(asked, 0).server
     made.doubt(asked, S // 2)
-    assert made.hearsay.ended == {node: 2} and node.share < 1.0
+    assert made.hearsay.ended == {node: 2} and node.admitted_share < 1.0
 
 
 def test_reqs_without_hope_are_nacked_at_once_but_a_few_which_show_when_there_is_some():
     made = choice(nodes(4))
     asked = req()
-    asked.method.took.extend([300_000] * 64)
+    asked.request_class.success_times.extend([300_000] * 64)
 
     def sent(give_up):
-        again = [Req(asked.method, 0, give_up, key) for key in range(400)]
-        return sum(made.where(one, 0)[0] == GO for one in again)
+        again = [Request(asked.request_class, 0, give_up, key) for key in range(400)]
+        return sum(isinstance(made.route(one, 0), Send) for one in again)
 
     made.room.has = lambda *_: True
     assert 1 <= sent(200_000) <= 20 and sent(400_000) == 400
     # One of fewer chances ranks below one with more, and nothing is known before twenty answers.
     parts = [made.shares.part_of_window(req(key=turn), 0, (0.2, 1.0)[turn % 2]) for turn in range(200)]
     assert sum(parts[100::2]) < sum(parts[101::2]) - 20
-    asked.method.took.clear()
-    asked.method.took.extend([300_000] * 15)
+    asked.request_class.success_times.clear()
+    asked.request_class.success_times.extend([300_000] * 15)
     assert sent(200_000) == 400
 
 
@@ -124,14 +124,14 @@
 def test_a_new_connection_turned_away_moves_no_share_and_is_told_to_nobody():
     made = choice(nodes(4), proxies=100, peers=True)
     asked = req()
-    node = made.where(asked, 0)[1]
+    node = made.route(asked, 0).server
     keep = made.links.keep
-    asked.attempts[0].fresh = True  # as the network part tells
-    made.after(asked.attempts[0], FULL, 1000)
-    assert (node.share, made.room.common, made.hearsay.ended) == (1.0, 1.0, {})
+    asked.attempts[0].first_on_connection = True  # as the network part tells
+    made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 1000)
+    assert (node.admitted_share, made.room.common, made.hearsay.ended) == (1.0, 1.0, {})
     assert made.links.keep < keep
-    made.wait(1000)
-    assert made.where(asked, 1000)[0] == GO and asked.attempts[1].node is not node
+    made.next_wakeup(1000)
+    assert isinstance(made.route(asked, 1000), Send) and asked.attempts[1].server is not node
     # Without one of our own there it is left alone for a while; one that is open still serves.
     made.links.idle.clear()
     assert all(made.pick(req(), 2000) is not node for _ in range(20))
@@ -142,11 +142,11 @@
 def test_a_full_queue_still_is_one():
     made = choice(nodes(4), proxies=100, peers=True)
     first, second = req(), req()
-    made.where(first, 0)
-    made.after(first.attempts[0], SATISFIED, 1000)
-    node = made.where(second, 2000)[1]
-    made.after(second.attempts[0], FULL, 3000)
-    assert node.share < 1.0 and node in made.hearsay.ended
+    made.route(first, 0)
+    made.record_outcome(first.attempts[0], Outcome.SUCCEEDED, 1000)
+    node = made.route(second, 2000).server
+    made.record_outcome(second.attempts[0], Outcome.OVERLOADED, 3000)
+    assert node.admitted_share < 1.0 and node in made.hearsay.ended
 
 
 def test_how_long_idle_connections_stay_settles_by_what_is_turned_away():
@@ -176,11 +176,11 @@
     sheet = {"methods": [MIX[0].sheet() | {"name": name, "criticality": worth}
                          for name, worth in zip("ab", worths, strict=True)]}  # fmt: skip
     made = Settings(1, sheet)
-    shares, methods = made.choice.shares, made.methods
+    shares, methods = made.balancer.shares, made.request_classes
     parts = {name: [] for name in methods}
     for turn in range(600):
         for name, method in methods.items():
-            parts[name].append(shares.part_of_window(Req(method, turn, turn + S, turn), turn))
+            parts[name].append(shares.part_of_window(Request(method, turn, turn + S, turn), turn))
     for name in parts:  # at half of the share
         assert sum(part > 0.5 for part in parts[name][200:]) > 400 * 0.2, name
 
@@ -189,11 +189,11 @@
     for run in (told(methods=[]), None):
         made = proxy(2, run=run)
         if run is not None:
-            made.settings.methods.clear()
-            made.front.knows(made.settings.methods, made.settings.tenants)
+            made.settings.request_classes.clear()
+            made.front.knows(made.settings.request_classes, made.settings.tenants)
         asks = client(made)
         asks.dataReceived(get(fields=b"c=other,t=t,d=500"))
-        assert asks.transport.took().startswith(b"-ERR") and not made.reqs and made.ready()
+        assert asks.transport.took().startswith(b"-ERR") and not made.requests and made.ready()
 
 
 @pytest.mark.parametrize("overload, fall", [(4.0, S), (2.0, 3 * S // 2)])
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -10,7 +10,7 @@
 from ivystack.duties.order import MARK, SlotOrder
 from ivystack.fleet.settings import Fleet
 from ivystack.mesh.link import MESSAGE
-from ivystack.model import Errors, Node
+from ivystack.model import FailureState, Server
 from ivystack.net.handover import MOST, State
 from ivystack.words import mark, order, read_order
 
@@ -22,7 +22,7 @@
     seen = {}
     for number in range(1 << 16):
         name = f"x{number}"
-        other = seen.setdefault(mark(Node(name)), name)
+        other = seen.setdefault(mark(Server(name)), name)
         if other != name:
             return other, name
     raise AssertionError
@@ -38,12 +38,12 @@
 
 
 def test_two_nodes_with_one_mark_both_keep_their_slots():
-    pair = [Node(name, started=at) for at, name in enumerate(alike(), 1)]
+    pair = [Server(name, started_at=at) for at, name in enumerate(alike(), 1)]
     rest = nodes(30)
     first, second = choice([*rest, *pair]), choice([*reversed(pair), *rest])
     marks = [mark(node) for node in first.placement.slots]
     assert marks.count(mark(pair[0])) == 2
-    second.placement.adopt(marks, [*second.nodes.values()], 0)
+    second.placement.adopt(marks, [*second.servers.values()], 0)
     assert [n.name for n in second.placement.slots] == [n.name for n in first.placement.slots]
     agreed = b"".join(marks)
     taker = proxy(0)
@@ -56,13 +56,13 @@
 
 def test_a_thousand_nodes_listed_are_all_homes_and_a_hand_over_tells_of_all():
     made = proxy(MANY)
-    slots = made.choice.placement.slots
+    slots = made.balancer.placement.slots
     assert len(slots) == MANY
-    homes = {node for key in range(6000) for node in made.choice.placement.homes(key, 2)[:2]}
+    homes = {node for key in range(6000) for node in made.balancer.placement.homes(key, 2)[:2]}
     assert len(homes) == MANY
-    read = made.settings.methods["read"]
+    read = made.settings.request_classes["read"]
     for node in slots:  # each has been met, and failed a class
-        made.choice.health.failed(node.errors.setdefault(read, Errors()), True, 5)
+        made.balancer.health.failed(node.class_failures.setdefault(read, FailureState()), True, 5)
     words = msgspec.json.encode(made.state())
     assert len(words) < MOST // 2
     assert len(msgspec.json.decode(words, type=State).nodes) == MANY
@@ -75,11 +75,11 @@
     ))  # fmt: skip
     run.peers = [("127.0.0.1", 2000 + number) for number in range(MANY)]
     made = proxy(3, run=run)
-    assert len(made.peers.senders) == MANY and len(made.choice.hearsay.others) == MANY - 1
-    for node in made.choice.nodes.values():
-        made.choice.hearsay.note(node, 0, 0)
-    said = made.choice.hearsay.due(1 << 60)
-    assert len({one.saying[0] for one in said}) == made.choice.hearsay.TO
+    assert len(made.peers.senders) == MANY and len(made.balancer.hearsay.others) == MANY - 1
+    for node in made.balancer.servers.values():
+        made.balancer.hearsay.note(node, 0, 0)
+    said = made.balancer.hearsay.due(1 << 60)
+    assert len({one.peer for one in said}) == made.balancer.hearsay.TO
 
 
 def test_more_nodes_than_descriptors_cost_a_try_never_the_process():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -35,7 +35,7 @@
     asking.dataReceived(get(b"r1"))
     link(made).dataReceived(hit())
     assert steps(traced, "r1") == ["taken", "attempt", "sent", "ended", "answered"]
-    assert "word=satisfied" in traced[-1] and "attempts=out" in traced[-1]
+    assert "answer=value" in traced[-1] and "attempts=in-flight" in traced[-1]
 
 
 def test_what_is_refused_or_left_open_says_why(traced):
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -36,7 +36,7 @@
     asking.dataReceived(TAIL[1:])
     assert node.transport.took() == TAIL
     node.dataReceived(hit(b"receipt"))
-    assert asking.transport.took() == bulk(b"receipt") and not made.reqs and not made.sendings
+    assert asking.transport.took() == bulk(b"receipt") and not made.requests and not made.sendings
     asking.dataReceived(get(b"2"))  # both connections are good for more
     node.dataReceived(hit())
     assert asking.transport.took() == bulk(b"v")
@@ -51,8 +51,10 @@
     made.reactor.advance(0.8)
     assert asking.transport.took() == b""
     made.reactor.advance(0.2)
-    assert asking.transport.took() == b"-ERR failed\r\n" and not made.reqs  # it may have run
-    assert [*made.settings.methods["pay"].times] == [1_000_000]  # none of the seconds in which it came
+    assert asking.transport.took() == b"-ERR failed\r\n" and not made.requests  # it may have run
+    assert [*made.settings.request_classes["pay"].attempt_times] == [
+        1_000_000
+    ]  # none of the seconds in which it came
 
 
 def test_before_its_last_byte_nothing_has_run_and_after_it_it_may_have():
@@ -78,8 +80,8 @@
 def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind():
     made, asking, node = begun()
     asking.connectionLost(Failure(ConnectionDone()))
-    assert node.transport.disconnected and not made.reqs and not made.sendings and not made.front.ids
-    assert not made.choice.nodes["n0"].failures  # that was not the node's doing
+    assert node.transport.disconnected and not made.requests and not made.sendings and not made.front.ids
+    assert not made.balancer.servers["n0"].health.consecutive_failures  # that was not the node's doing
 
 
 def test_a_wrong_length_never_reaches_the_node_whole():
@@ -96,7 +98,7 @@
         asking.dataReceived(LONG[1000 + at : 1001 + at])
     assert not asking.transport.disconnecting
     made.reactor.advance(2.6)
-    assert asking.code == "malformed: half a command" and node.transport.disconnected and not made.reqs
+    assert asking.code == "malformed: half a command" and node.transport.disconnected and not made.requests
 
 
 def test_the_client_is_read_no_further_than_the_node_takes():
@@ -147,14 +149,14 @@
 
 def test_with_nowhere_to_go_it_is_nacked_within_an_eighth_of_its_time():
     made = proxy(1)
-    made.choice.nodes["n0"].failures = 2
-    made.choice.nodes["n0"].trial_at = made.now() + 100 * S
+    made.balancer.servers["n0"].health.consecutive_failures = 2
+    made.balancer.servers["n0"].health.next_probe_at = made.now() + 100 * S
     asking = client(made)
     asking.dataReceived(HEAD + LONG[:1000])
     made.reactor.pump([0.01] * 12)
     assert asking.transport.took() == b"-BUSY\r\n"
     asking.dataReceived(LONG[1000:] + TAIL + command(b"PING"))
-    assert asking.transport.took() == b"+PONG\r\n" and not made.reqs
+    assert asking.transport.took() == b"+PONG\r\n" and not made.requests
 
 
 def test_what_is_under_way_to_a_node_that_drains_is_finished():
