--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -15,7 +15,8 @@
 
 from loguru import logger
 
-from .settings import FaultError, load
+from .configuration.errors import ConfigurationError
+from .configuration.process import load
 
 
 ACCEPTING = "twisted.internet.tcp.Port"  # the library's name for what it logs of accepts that fail
@@ -29,8 +30,8 @@
             from .fleet.settings import load as load_fleet
 
             fleet = load_fleet(path, run.name)
-            run.sockets = fleet.spare(run.sockets, run.settings.sheet.n_instances or 1)
-    except FaultError as fault:
+            run.descriptors = fleet.spare(run.descriptors, run.settings.sheet.n_instances or 1)
+    except ConfigurationError as fault:
         print(fault, file=sys.stderr)
         return 2
     from twisted.internet import reactor
@@ -85,7 +86,7 @@
     """SIGHUP: the configuration is read again; one with a fault is told and the old one stays."""
     try:
         run = load(os.environ, proxy.run)
-    except FaultError as fault:
+    except ConfigurationError as fault:
         logger.error("configuration not taken: {}", fault)
     else:
         proxy.reload(run)
--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -11,7 +11,7 @@
 import click
 
 from .rig.command import rig
-from .settings import FaultError
+from .configuration.errors import ConfigurationError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -40,17 +40,17 @@
 @click.option("--fleet", type=click.Path(), help="The operators' file of the fleet, checked too, or alone.")
 def check_config(config, fleet) -> None:
     """Read the configuration (default: what LB_CONFIG names) and say what is wrong with it."""
-    from .settings import load
+    from .configuration.process import load
 
     bad = fleet is not None and not check_fleet(fleet)
     if fleet is not None and not config and not os.environ.get("LB_CONFIG"):
         sys.exit(2 if bad else 0)
     try:
         run = load({**os.environ, **({"LB_CONFIG": config} if config else {})})
-    except FaultError as fault:
+    except ConfigurationError as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
-    classes = len(run.settings.methods)
+    classes = len(run.settings.request_classes)
     click.echo(f"good: name={run.name} listen={run.listen[0]}:{run.listen[1]} classes={classes}")
     sys.exit(2 if bad else 0)
 
--- /dev/null
+++ b/ivystack/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""Reads, checks and applies the configuration of a proxy and of a simulated instance."""
--- /dev/null
+++ b/ivystack/configuration/process.py
@@ -0,0 +1,143 @@
+"""The configuration of one process: the file that LB_CONFIG names, and the environment."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from ..model import Idempotency
+from ..settings import Settings
+from .errors import ConfigurationError
+from .schema import ConfigurationFile, MachineLimits, convert, parse_address
+from .validation import START_ONLY_KEYS, check_reload, check_settings
+
+DEFAULT_IDLE_TIMEOUT_US = 60_000_000
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
+DEFAULT_DESCRIPTORS = 1024  # the usual limit of a process
+DEFAULT_MEMORY_MB = 192
+BYTES_PER_MB = 2**20
+LONGEST_DESCRIPTOR = 6  # digits
+
+ENVIRONMENT_KEYS = ("name", "listen", "discovery", "admin_addr")  # LB_NAME and so on go before the file's
+
+
+class ProcessConfiguration:
+    """All that a proxy on sockets needs to know before it opens one.
+
+    :raises ConfigurationError: names the key or the variable at fault.
+    """
+
+    FIXED_KEYS = ("name", "listen", "admin_addr", "limits", "peer_listen")  # read at the start alone
+
+    def __init__(
+        self,
+        file: ConfigurationFile,
+        environ: Mapping[str, str] | None = None,
+        stated: frozenset[str] = frozenset(),
+    ) -> None:
+        """`stated` are the keys that the file itself has."""
+        environ = environ or {}
+        self.file = file
+        self.stated = stated
+        self.inherited_descriptor = parse_descriptor(environ.get("LB_FD"))  # a socket listening at `listen`
+        self.restart_folder = environ.get("TMPDIR")  # common to both processes of a hot restart
+        self.name = file.name or "proxy"
+        self.listen = parse_address(file.listen, "listen")
+        self.discovery = parse_address(file.discovery, "discovery")
+        self.admin = parse_address(file.admin_addr, "admin_addr") if file.admin_addr else None
+        self.peer_listen = parse_address(file.peer_listen, "peer_listen") if file.peer_listen else None
+        self.peers = [parse_address(text, f"peers[{place}]") for place, text in enumerate(file.peers or [])]
+        self.seed = parse_seed(file.seed)
+        self.known_endpoints = file.known
+        limits = file.limits or MachineLimits()
+        self.descriptors = limits.sockets or DEFAULT_DESCRIPTORS
+        self.memory_bytes = int((limits.memory_mb or DEFAULT_MEMORY_MB) * BYTES_PER_MB)
+        self.settings = Settings(self.seed, file.settings)
+        self.idle_timeout_us = self.settings.idle or DEFAULT_IDLE_TIMEOUT_US
+        self.connect_timeout_us = self.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US
+
+    def changed_fixed_keys(self, other: ProcessConfiguration) -> list[str]:
+        """Return the keys that only a start reads and that have another value in the other configuration."""
+        return [key for key in self.FIXED_KEYS if getattr(self.file, key) != getattr(other.file, key)]
+
+    def warnings(self) -> list[str]:
+        """Return a line for each value that is allowed but seldom meant, with its key."""
+        lines = []
+        settings = self.settings
+        least = settings.balancer.MARGIN * settings.balancer.tick
+        for place, request_class in enumerate(settings.request_classes.values()):
+            window, key = request_class.dedup_window, f"settings.methods[{place}].window"
+            if request_class.idempotency is not Idempotency.KEYED:
+                continue
+            if window <= least:
+                lines.append(f"`{key}`: {window} us; no request of {request_class.name} is ever sent again")
+            elif window <= self.connect_timeout_us:
+                lines.append(f"`{key}`: {window} us, no longer than `settings.limits.connect_timeout`")
+        return lines
+
+
+def parse_descriptor(text: str | None) -> int | None:
+    """Return the number of the inherited descriptor that LB_FD names, if any."""
+    if not text:
+        return None
+    if not (text.isascii() and text.isdigit() and len(text) <= LONGEST_DESCRIPTOR):
+        raise ConfigurationError(f"`LB_FD`: wanted the number of a descriptor, got {text!r}")
+    return int(text)
+
+
+def parse_seed(seed: str | int | None) -> int:
+    """Return the seed of the random draws; text is hexadecimal."""
+    try:
+        return int(seed, 16) if isinstance(seed, str) else seed or 0
+    except ValueError:
+        raise ConfigurationError(f"`seed`: wanted a hexadecimal number, got {seed!r}") from None
+
+
+def load(environ: Mapping[str, str], running: ProcessConfiguration | None = None) -> ProcessConfiguration:
+    """Read the file that LB_CONFIG names; the other LB_ variables go before its keys.
+
+    Where `running` is given the file is read again, and its `discovery` goes before LB_DISCOVERY: only the
+    file can have changed.
+
+    :raises ConfigurationError: names the key or the variable at fault; `running` is unchanged.
+    """
+    path = environ.get("LB_CONFIG")
+    if not path:
+        raise ConfigurationError("`LB_CONFIG`: not set; it names the configuration's file")
+    values = read_json(path)
+    stated: frozenset[str] = frozenset()
+    if isinstance(values, dict):
+        stated = frozenset(key for key in values if values[key] is not None)
+        apply_environment(values, environ, reloading=running is not None)
+    file = convert(values, ConfigurationFile)
+    check_settings(file.settings)
+    if running:
+        for key in sorted(
+            running.stated & {*ConfigurationFile.__struct_fields__} - stated - {*START_ONLY_KEYS}
+        ):
+            raise ConfigurationError(f"`{key}`: missing; the running configuration has it")
+        check_reload(running.file, file)
+    return ProcessConfiguration(file, environ, stated)
+
+
+def read_json(path: str) -> Any:
+    """Return what the file holds; its faults name LB_CONFIG."""
+    try:
+        return msgspec.json.decode(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigurationError(f"`LB_CONFIG`: {error.strerror}: {path}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ConfigurationError(f"`LB_CONFIG`: not JSON: {error}") from None
+
+
+def apply_environment(values: dict[str, Any], environ: Mapping[str, str], reloading: bool) -> None:
+    """Put the LB_ variables in the place of the file's keys."""
+    for key in ENVIRONMENT_KEYS:
+        from_environment, from_file = environ.get(f"LB_{key.upper()}"), values.get(key)
+        if reloading and key == "discovery":
+            values[key] = from_file or from_environment
+        else:
+            values[key] = from_environment or from_file
--- a/ivystack/drill/wire.py
+++ b/ivystack/drill/wire.py
@@ -21,7 +21,8 @@
     ServerState,
     usable_figures,
 )
-from ..settings import Settings, us
+from ..settings import Settings
+from ..configuration.schema import microseconds
 
 ENDINGS = {
     "completed": Outcome.SUCCEEDED,
@@ -87,7 +88,7 @@
         if method is None or deadline is None or ref in self.requests or not isinstance(key, int | None):
             raise BadLineError("a request of an unknown method, without an end, or with an id used before")
         tenant = self.settings.tenants.get(tenant) if isinstance(tenant, str) else None
-        request = Request(method, now, us(deadline), key, tenant, bool(write), bool(repeat))
+        request = Request(method, now, microseconds(deadline), key, tenant, bool(write), bool(repeat))
         self.requests[ref] = request
         self.refs[request] = ref
         self.carry(request, decided(self.balancer.route, request, now))
@@ -168,7 +169,7 @@
                     zone or "",
                     bay or 0,
                     STATES[mode],
-                    us(came_up),
+                    microseconds(came_up),
                 )
             )
         decided(self.balancer.update_endpoints, servers, how != "D", now)
@@ -214,7 +215,7 @@
         name, *values = message
         try:
             if name == "TURN":
-                self.now = us(values[0])
+                self.now = microseconds(values[0])
             elif self.now is None:
                 raise BadLineError(f"{name} outside a batch")
             elif name == "END":
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -17,7 +17,7 @@
 from ..duties.leases import Leases
 from ..duties.run import Duties
 from ..mesh.mesh import Mesh
-from ..settings import FaultError
+from ..configuration.errors import ConfigurationError
 from .settings import Fleet, load
 
 
@@ -67,7 +67,7 @@
         """SIGHUP: keys and members are read again."""
         try:
             fleet = load(self.path, self.fleet.name)
-        except FaultError as fault:
+        except ConfigurationError as fault:
             logger.error("fleet: file not taken: {}", fault)
             return
         self.fleet, self.mesh.keys, self.client.members = fleet, fleet.keys, [*fleet.members]
--- a/ivystack/fleet/settings.py
+++ b/ivystack/fleet/settings.py
@@ -17,7 +17,8 @@
 
 from ..mesh.keys import KeyFileError, Keys, read
 from ..mesh.link import NAME, Name
-from ..settings import FaultError, address
+from ..configuration.errors import ConfigurationError
+from ..configuration.schema import parse_address
 
 VERSION = 1
 SIZES = 3, 5, 7
@@ -28,7 +29,7 @@
 
 class MemberSheet(Struct, forbid_unknown_fields=True):
     name: Name
-    address: str
+    parse_address: str
     zone: str = ""
 
 
@@ -59,7 +60,7 @@
 
     def __init__(self, sheet: Sheet, name: str, keys: Keys):
         self.sheet, self.name, self.keys = sheet, name, keys
-        self.members = {one.name: address(one.address, "address") for one in sheet.group.member}
+        self.members = {one.name: parse_address(one.address, "parse_address") for one in sheet.group.member}
         self.zones = {one.name: one.zone for one in sheet.group.member}
         self.directory = Path(sheet.directory.replace("{name}", name))
         self.listen = self.members.get(name)
@@ -76,7 +77,9 @@
                 words = "fleet: links for {} of {} proxies, half of {} descriptors; raise `limits.sockets`"
                 logger.warning(words, self.links, proxies, sockets)
         if 2 * self.links > sockets:
-            raise FaultError(f"`links`: {self.links} of {sockets} descriptors, at most half may be for links")
+            raise ConfigurationError(
+                f"`links`: {self.links} of {sockets} descriptors, at most half may be for links"
+            )
         return sockets - self.links
 
 
@@ -158,8 +161,8 @@
         if names.index(one.name) != number:
             found.append(f"`{key}.name`: {one.name} is there twice")
         try:
-            at = address(one.address, f"{key}.address")
-        except FaultError as fault:
+            at = parse_address(one.address, f"{key}.address")
+        except ConfigurationError as fault:
             found.append(str(fault))
             continue
         if any(one.address == other.address for other in sheet.group.member[:number]):
@@ -173,15 +176,18 @@
 
 
 def load(path: str | Path, name: str) -> Fleet:
-    """The file for the proxy of that name, or a FaultError: its first fault, how many more there are."""
+    """The file for the proxy of that name, or a ConfigurationError: its first fault, how many more there
+    are."""
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as fault:
-        raise FaultError(f"{path}: {getattr(fault, 'strerror', None) or 'no plain text'}") from None
+        raise ConfigurationError(f"{path}: {getattr(fault, 'strerror', None) or 'no plain text'}") from None
     found, sheet, keys = faults(text, Path(path).parent)
     if found or sheet is None or keys is None:
         more = f" (and {len(found) - 1} more, see check-config)" if len(found) > 1 else ""
-        raise FaultError(f"{path}: {found[0]}{more}")
+        raise ConfigurationError(f"{path}: {found[0]}{more}")
     if not re.match(NAME, name):
-        raise FaultError(f"`name`: {name!r} can't be told to other proxies; wanted letters, digits and ._:-")
+        raise ConfigurationError(
+            f"`name`: {name!r} can't be told to other proxies; wanted letters, digits and ._:-"
+        )
     return Fleet(sheet, name, keys)
--- a/ivystack/migrate.py
+++ b/ivystack/migrate.py
@@ -17,34 +17,34 @@
 
 import msgspec
 
-from .settings import (  # fmt: skip
-    BlendSheet,
-    Config,
-    FaultError,
-    LimitsSheet,
-    MachineSheet,
-    MethodSheet,
-    ReportingSheet,
-    RulesSheet,
-    Run,
-    Sheet,
-    SpecificsSheet,
-    TenantSheet,
-    checked,
+from .configuration.errors import ConfigurationError
+from .configuration.process import ProcessConfiguration
+from .configuration.schema import (
+    ConfigurationFile,
+    InstanceSettings,
+    LimitSettings,
+    LoadReportSettings,
+    MachineLimits,
+    ObjectiveSettings,
+    OriginSettings,
+    RequestClassSettings,
+    RuleSettings,
+    TenantSettings,
+    convert,
 )
 
 # Where something is known by its key's place: the sheet that names all keys there.
 SHEETS = {
-    (): Config,
-    ("limits",): MachineSheet,
-    ("settings",): Sheet,
-    ("settings", "limits"): LimitsSheet,
-    ("settings", "rules"): RulesSheet,
-    ("settings", "specifics"): SpecificsSheet,
-    ("settings", "reporting"): ReportingSheet,
-    ("settings", "blend"): BlendSheet,
-    ("settings", "methods"): MethodSheet,
-    ("settings", "parties"): TenantSheet,
+    (): ConfigurationFile,
+    ("limits",): MachineLimits,
+    ("settings",): InstanceSettings,
+    ("settings", "limits"): LimitSettings,
+    ("settings", "rules"): RuleSettings,
+    ("settings", "specifics"): OriginSettings,
+    ("settings", "reporting"): LoadReportSettings,
+    ("settings", "blend"): ObjectiveSettings,
+    ("settings", "methods"): RequestClassSettings,
+    ("settings", "parties"): TenantSettings,
 }
 
 
@@ -115,11 +115,11 @@
     try:
         values = json.loads(path.read_bytes())
     except OSError as fault:
-        raise FaultError(f"`OLD`: {fault.strerror}: {path}") from None
+        raise ConfigurationError(f"`OLD`: {fault.strerror}: {path}") from None
     except ValueError as fault:
-        raise FaultError(f"`OLD`: not JSON: {fault}") from None
+        raise ConfigurationError(f"`OLD`: not JSON: {fault}") from None
     if not isinstance(values, dict):
-        raise FaultError("`OLD`: wanted an object")
+        raise ConfigurationError("`OLD`: wanted an object")
     return values
 
 
@@ -133,7 +133,7 @@
             os.fsync(out.fileno())
         os.link(part, path)
     except OSError as fault:
-        raise FaultError(f"`NEW`: {fault.strerror}: {path}") from None
+        raise ConfigurationError(f"`NEW`: {fault.strerror}: {path}") from None
     finally:
         part.unlink(missing_ok=True)
 
@@ -167,14 +167,16 @@
     asked = parser.parse_args(arguments)
     try:
         old = read(asked.old)
-        Run(checked(old, Config))  # a fault is the old file's, and told of its key
+        ProcessConfiguration(
+            convert(old, ConfigurationFile)
+        )  # a fault is the old file's, and told of its key
         new, lost = migrated(old, dict(asked.zone), [name for name in asked.columns.split(",") if name])
-        Run(checked(new, Config))
+        ProcessConfiguration(convert(new, ConfigurationFile))
         if asked.new.exists():
-            raise FaultError(f"`NEW`: File exists: {asked.new}")
+            raise ConfigurationError(f"`NEW`: File exists: {asked.new}")
         if not asked.dry_run:
             write(asked.new, json.dumps(new, indent=1) + "\n")
-    except FaultError as fault:
+    except ConfigurationError as fault:
         print(fault, file=sys.stderr)
         return 2
     for line in lost:
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -32,7 +32,8 @@
     Wakeup,
     usable_figures,
 )
-from ..settings import Run, address, doubtful
+from ..configuration.process import ProcessConfiguration
+from ..configuration.schema import parse_address
 from .admin import Admin
 from .discovery import Discovery
 from .front import Frame, Front
@@ -79,7 +80,7 @@
     BACKLOG = 1024  # clients that the kernel keeps for us until we accept them
     listen = staticmethod(listen)
     LOOK_AGAIN = 20_000  # so much later it is asked again whether a request's client is there
-    LET_GO = 100_000  # before the address for datagrams is tried again
+    LET_GO = 100_000  # before the parse_address for datagrams is tried again
     STAY = 500_000  # served on after SIGTERM: new connections go on coming for part of it
     # Then for commands that are still coming.  From 0.7 s on nothing is taken: SIGKILL comes that long after
     # the longest deadline, and what it finds is lost.
@@ -88,7 +89,7 @@
     # What is taken near the end of that time is answered before it, also where we are held up for 0.15 s.
     LONGEST, UNTIL_KILL, HELD_UP = 3_000_000, 700_000, 150_000
 
-    def __init__(self, run: Run, reactor, now=None):
+    def __init__(self, run: ProcessConfiguration, reactor, now=None):
         self.run, self.reactor, self.now = run, reactor, now or Clock()
         self.settings, self.balancer = run.settings, run.settings.balancer
         self.deadlines = Deadlines(reactor, self.now)
@@ -100,43 +101,45 @@
         self.alarm: list | None = None
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
         self.nodes = Nodes(
-            reactor, self.deadlines, self.now, self.ended, run.sockets, run.idle, run.connect_timeout,
-            self.deep(), self.aside(), run.memory // Front.HELD, self.wanted,
+            reactor, self.deadlines, self.now, self.ended, run.descriptors, run.idle_timeout_us,
+            run.connect_timeout_us,
+            self.deep(), self.aside(),
+            run.memory_bytes // Front.HELD, self.wanted,
         )  # fmt: skip
-        most = run.sockets - self.nodes.most - Front.SPARE
+        most = run.descriptors - self.nodes.most - Front.SPARE
         self.front = Front(
             reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
-            self.settings.request_classes, self.settings.tenants, most, run.memory,
+            self.settings.request_classes, self.settings.tenants, most, run.memory_bytes,
         )  # fmt: skip
         self.discovery = Discovery(
             reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
         )  # fmt: skip
         self.peers = Peers(run.peers, self.told)
         self.handover = Handover(
-            reactor, self.deadlines, self.now, run.folder, run.listen, self.state, self.two
+            reactor, self.deadlines, self.now, run.restart_folder, run.listen, self.state, self.two
         )  # fmt: skip
         self.admin = Admin(self.deadlines, self.now, self.serves, self.drain, self.back)
-        self.limits = run.sockets, run.memory  # the start's
+        self.limits = run.descriptors, run.memory_bytes  # the start's
         self.port = None
         self.started = self.ending = False
         self.last_answer_at = 0  # once ending: by when all that is still taken has to be answered
 
     # Start and end.
 
-    def warn(self, run: Run) -> None:
-        for line in doubtful(run):
+    def warn(self, run: ProcessConfiguration) -> None:
+        for line in run.warnings():
             logger.warning("configuration: {}", line)
 
     def start(self) -> None:
         self.warn(self.run)
-        if self.run.known:
+        if self.run.known_endpoints:
             try:
-                self.discovery.known(self.run.known)
+                self.discovery.known(self.run.known_endpoints)
             except Exception as fault:  # guards the start: the watch will bring a list
                 logger.error("known: a list that can't be used: {}: {}", type(fault).__name__, fault)
         if self.run.admin:  # first: it answers no until we serve
             self.reactor.listenTCP(self.run.admin[1], self.admin, backlog=64, interface=self.run.admin[0])
-        if self.run.fd is not None:
+        if self.run.inherited_descriptor is not None:
             self.handover.ask(self.begin)
         else:
             self.begin(None)
@@ -168,8 +171,8 @@
     def open(self) -> None:
         if self.run.peer_listen:
             self.talk(*self.run.peer_listen)
-        if self.run.fd is not None:
-            self.port = adopt(self.reactor, self.run.fd, self.front)
+        if self.run.inherited_descriptor is not None:
+            self.port = adopt(self.reactor, self.run.inherited_descriptor, self.front)
             self.handover.listen()
         else:
             self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
@@ -205,27 +208,28 @@
         self.front.bound(max(Front.EACH, sockets - self.nodes.most - Front.SPARE), memory)
 
     def talk(self, host: str, port: int) -> None:
-        """Takes the address for datagrams.  In an upgrade the old process has it until it is told to end: no
+        """Takes the parse_address for datagrams.  In an upgrade the old process has it until it is told to
+        end: no
         word between proxies is needed, so we serve without and try again."""
         if self.ending:
             return
         try:
             self.reactor.listenUDP(port, self.peers, interface=host)
         except CannotListenError:
-            if self.run.fd is None:
+            if self.run.inherited_descriptor is None:
                 raise
             self.deadlines.at(self.now() + self.LET_GO, self.talk, host, port)
 
-    def reload(self, run: Run) -> None:
+    def reload(self, run: ProcessConfiguration) -> None:
         """A new configuration: all of its settings, discovery and the peers count at once, the rest with a
         start.  It has been checked whole: nothing here can be refused half-way."""
-        for key in self.run.differs(run):
+        for key in self.run.changed_fixed_keys(run):
             logger.warning("configuration: a new `{}` counts from the next start on", key)
         self.warn(run)
         former = self.settings.take(run.settings)
         run.settings, self.run = self.settings, run
         self.front.knows(self.settings.request_classes, self.settings.tenants)
-        self.nodes.tune(run.idle, run.connect_timeout, self.deep(), self.aside())
+        self.nodes.tune(run.idle_timeout_us, run.connect_timeout_us, self.deep(), self.aside())
         logger.info(
             "configuration taken discovery={}:{} classes={} changed={}", *run.discovery,
             len(self.settings.request_classes), len(former),
@@ -251,7 +255,7 @@
         self.ending = True
         rest = min(self.LONGEST, self.settings.longest_wait()) + self.UNTIL_KILL - self.HELD_UP
         self.last_answer_at = self.now() + rest
-        inherited = self.run.fd is not None  # another process accepts there, or will
+        inherited = self.run.inherited_descriptor is not None  # another process accepts there, or will
         logger.info("stop asked requests={}", len(self.requests))
         self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
         if inherited:
@@ -267,7 +271,7 @@
         """Guards what the kernel has accepted and we have not: a closed listening socket resets it.  What is
         at an inherited one is the other process's to take."""
         self.port.stopReading()
-        if self.run.fd is None:
+        if self.run.inherited_descriptor is None:
             self.port.accept_waiting(max(ClientListener.AT_ONCE, self.front.room()))
         self.port.connectionLost(Failure(ConnectionDone()))  # in this turn: later, more would have come
 
@@ -574,10 +578,10 @@
         )
         if (
             node.state == ServerState.READY
-        ):  # one that leaves needs no address: guards its drain against a spoilt one
+        ):  # one that leaves needs no parse_address: guards its drain against a spoilt one
             known = self.balancer.servers.get(name)
             restarted = known is not None and node.started_at > known.started_at
-            self.nodes.known(name, address(where, "hostPort"), restarted)
+            self.nodes.known(name, parse_address(where, "hostPort"), restarted)
         return node
 
     def told(self, words: bytes) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,8 @@
 from ivystack.model import DedupGroup, Idempotency, Request, RequestClass, Server
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import bulk, command
-from ivystack.settings import Config, Run, checked
+from ivystack.configuration.process import ProcessConfiguration
+from ivystack.configuration.schema import ConfigurationFile, convert
 
 S = 1_000_000
 
@@ -129,7 +130,7 @@
     config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff"}
     config["settings"] = {"methods": methods, "limits": limits, "parties": [{"name": "t"}]}
     config["settings"]["reporting"] = reporting
-    return Run(checked(config, Config))
+    return ProcessConfiguration(convert(config, ConfigurationFile))
 
 
 def proxy(count=1, reporting=None, run=None, **limits):
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -16,7 +16,8 @@
 import pytest
 
 from ivystack.model import Idempotency
-from ivystack.settings import FaultError, doubtful, load
+from ivystack.configuration.errors import ConfigurationError
+from ivystack.configuration.process import load
 
 DATA = Path(__file__).parent / "data" / "settings.json"
 FILE = "config.json"  # what a fault calls the configuration's file
@@ -35,7 +36,7 @@
     """The configuration that the environment names; a fault's text in place of it."""
     try:
         return load(environ, running), None
-    except FaultError as fault:
+    except ConfigurationError as fault:
         return None, str(fault)
 
 
@@ -43,8 +44,8 @@
     """What a configuration comes to, by names of this table's own.  Times in microseconds."""
     settings, choice = run.settings, run.settings.balancer
     return {
-        "inherited_socket": run.fd,
-        "folder": run.folder,
+        "inherited_socket": run.inherited_descriptor,
+        "folder": run.restart_folder,
         "name": run.name,
         "listen": run.listen,
         "discovery": run.discovery,
@@ -52,12 +53,12 @@
         "peer_listen": run.peer_listen,
         "peers": run.peers,
         "seed": run.seed,
-        "known": run.known,
-        "sockets": run.sockets,
-        "memory_bytes": run.memory,
-        "idle": run.idle,
-        "connect_timeout": run.connect_timeout,
-        "doubts": [line.replace("no request of", "no req of") for line in doubtful(run)],
+        "known": run.known_endpoints,
+        "sockets": run.descriptors,
+        "memory_bytes": run.memory_bytes,
+        "idle": run.idle_timeout_us,
+        "connect_timeout": run.connect_timeout_us,
+        "doubts": [line.replace("no request of", "no req of") for line in run.warnings()],
         "kinds": settings.kinds,
         "columns": sorted(settings.columns),
         "pauses": settings.pauses,
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -193,7 +193,7 @@
     from helpers import proxy, told
 
     run = told()
-    run.fd, run.folder = 3, str(folder)
+    run.inherited_descriptor, run.restart_folder = 3, str(folder)
     made = proxy(0, run=run)
     made.discovery.watch = made.open = lambda: None
     (folder / f"{made.handover.tag}-1.sock").write_text("")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 def starting(tmp_path, leftover=True):
     """A new process that has found a socket to ask at; what it begins with is kept."""
     run = told()
-    run.fd, run.folder = 3, str(tmp_path)
+    run.inherited_descriptor, run.restart_folder = 3, str(tmp_path)
     made = proxy(0, run=run)
     made.discovery.watch = lambda: None
     made.begun = []
@@ -162,7 +162,7 @@
             if one.transport.disconnecting and one.slot in made.front.clients:
                 one.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
-    made.limits = made.run.sockets, made.run.memory
+    made.limits = made.run.descriptors, made.run.memory_bytes
     end.connectionLost(Failure(ConnectionDone()))
     assert (made.nodes.most, made.front.most, made.front.held, made.nodes.pieces) == whole
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -19,7 +19,7 @@
 from ivystack.mesh.keys import KeyFileError, Keys, read, write
 from ivystack.mesh.mesh import Mesh
 from ivystack.net.tables import Deadlines
-from ivystack.settings import FaultError
+from ivystack.configuration.errors import ConfigurationError
 
 MEMBERS = {"a": ("127.0.0.1", 1), "b": ("127.0.0.2", 2)}
 ONE, TWO = {"k1": bytes(32)}, {"k2": b"2" * 32}
@@ -324,12 +324,12 @@
     assert ["times.election" in faults(short, tmp_path)[0][0], "lease" in faults(short, tmp_path)[0][1]]
     (tmp_path / "fleet.toml").write_text("links = 256\n" + GOOD)
     assert load(tmp_path / "fleet.toml", "a").spare(1024) == 768 > load(tmp_path / "fleet.toml", "z").links
-    with pytest.raises(FaultError, match="links"):
+    with pytest.raises(ConfigurationError, match="links"):
         load(tmp_path / "fleet.toml", "a").spare(500)
-    with pytest.raises(FaultError, match="name"):
+    with pytest.raises(ConfigurationError, match="name"):
         load(tmp_path / "fleet.toml", "a b")
     (tmp_path / "fleet.toml").write_text(bad)
-    with pytest.raises(FaultError, match="more, see check-config"):
+    with pytest.raises(ConfigurationError, match="more, see check-config"):
         load(tmp_path / "fleet.toml", "a")
     code, _, told = ivy("check-config", "--fleet", str(tmp_path / "fleet.toml"))
     assert code == 2 and told.count("\n") == len(found)
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -10,7 +10,7 @@
 from test_main import connected, free_port, started  # noqa: F401  a fixture
 
 from ivystack.migrate import main
-from ivystack.settings import load
+from ivystack.configuration.process import load
 
 OLD = {
     "listen": "127.0.0.1:6379",
@@ -57,7 +57,7 @@
     assert made["settings"]["reporting"] == {"how": "answers", "columns": ["active", "waiting"]}
     assert made["known"] == OLD["known"] and made["settings"]["methods"] == OLD["settings"]["methods"]
     settings = load({"LB_CONFIG": str(new)}).settings
-    assert settings.choice.live and settings.streams == 1
+    assert settings.balancer.live and settings.streams == 1
 
 
 def test_what_cannot_be_carried_over_is_listed_with_its_key(move, capsys):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -136,7 +136,7 @@
     node = Node("n0")
     node.door.listen(0)
     made = moment(begun=False)
-    made.run.connect_timeout = made.proxy.nodes.connect_timeout = 1 << 40
+    made.run.connect_timeout_us = made.proxy.nodes.connect_timeout = 1 << 40
     full = []
     for _ in range(4):  # its table of connections that nobody took yet is full: further ones do not come up
         one = socket.socket()
@@ -203,7 +203,7 @@
     # Guards against a port that nobody closes: SIGTERM finds none, and the old process's word comes after it.
     door = socket.create_server(("127.0.0.1", 0))
     run = told()
-    run.fd, run.folder = os.dup(door.fileno()), str(tmp_path)
+    run.inherited_descriptor, run.restart_folder = os.dup(door.fileno()), str(tmp_path)
     made = moment(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
     old.bind(str(tmp_path / f"{made.proxy.handover.tag}-1.sock"))
@@ -216,7 +216,7 @@
     assert made.proxy.port is None and not made.proxy.started
     made.pass_by(1)
     assert made.loop.stopped
-    os.close(run.fd)
+    os.close(run.inherited_descriptor)
 
 
 def test_sigterm_twice_and_with_an_attempt_that_no_node_answers(moment):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,14 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import Idempotency
-from ivystack.settings import Config, MethodSheet, Run, Settings, Sheet, TenantSheet
+from ivystack.settings import Settings
+from ivystack.configuration.process import ProcessConfiguration
+from ivystack.configuration.schema import (
+    ConfigurationFile,
+    InstanceSettings,
+    RequestClassSettings,
+    TenantSettings,
+)
 
 
 def sheet(name, semantics="pure", budget=10**9):
@@ -188,11 +195,11 @@
 def test_every_field_of_the_configuration_is_known_to_count_at_once_or_from_the_next_start():
     # A new one belongs into one of these lists, and what it does at SIGHUP into the test below.
     known = {*OTHERS, *CARRIED}
-    assert {path for path in leaves(Sheet) if not path.startswith("blend.")} == known
-    assert {field.name for field in msgspec.structs.fields(Config)} == AT_START | AT_ONCE
-    assert {*Run.FIXED} == AT_START - {"seed", "known"}
-    assert {*MethodSheet.__struct_fields__} == {*FULL["methods"][0]}
-    assert {*TenantSheet.__struct_fields__} == {*FULL["parties"][0]}
+    assert {path for path in leaves(InstanceSettings) if not path.startswith("blend.")} == known
+    assert {field.name for field in msgspec.structs.fields(ConfigurationFile)} == AT_START | AT_ONCE
+    assert {*ProcessConfiguration.FIXED_KEYS} == AT_START - {"seed", "known"}
+    assert {*RequestClassSettings.__struct_fields__} == {*FULL["methods"][0]}
+    assert {*TenantSettings.__struct_fields__} == {*FULL["parties"][0]}
 
 
 @pytest.mark.parametrize("path", OTHERS)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,10 @@
 import pytest
 
 from ivystack.model import Idempotency, FailureState, Server
-from ivystack.settings import Config, FaultError, Run, Settings, checked, doubtful, load
+from ivystack.settings import Settings
+from ivystack.configuration.errors import ConfigurationError
+from ivystack.configuration.process import DEFAULT_IDLE_TIMEOUT_US, ProcessConfiguration, load
+from ivystack.configuration.schema import ConfigurationFile, convert
 
 GOOD = {"listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "0f", "settings": {}, "new": 1}
 
@@ -16,7 +19,12 @@
 
 def test_the_environment_goes_before_the_file(tmp_path):
     run = loaded(tmp_path, limits={"sockets": 256})
-    assert (run.listen, run.seed, run.sockets, run.idle) == (("127.0.0.2", 7), 15, 256, run.IDLE)
+    assert (run.listen, run.seed, run.descriptors, run.idle_timeout_us) == (
+        ("127.0.0.2", 7),
+        15,
+        256,
+        DEFAULT_IDLE_TIMEOUT_US,
+    )
 
 
 def test_a_fault_names_its_key_in_one_line(tmp_path):
@@ -28,11 +36,11 @@
         "settings.methods[0].window": {"settings": {"methods": [{"name": "m", "window": -1}]}},
         "settings.limits.conn_idle": {"settings": {"limits": {"conn_idle": "long"}}},
     }.items():
-        with pytest.raises(FaultError) as fault:
+        with pytest.raises(ConfigurationError) as fault:
             loaded(tmp_path, **more)
         assert key in str(fault.value) and "\n" not in str(fault.value)
     for environ in ({}, {"LB_CONFIG": "/nowhere"}):
-        with pytest.raises(FaultError, match="LB_CONFIG"):
+        with pytest.raises(ConfigurationError, match="LB_CONFIG"):
             load(environ)
 
 
@@ -51,7 +59,7 @@
         "settings.limits.connect_timeout": {"limits": {"connect_timeout": 0}},
         "settings.limits.conn_idle": {"limits": {"conn_idle": 0}},
     }.items():
-        with pytest.raises(FaultError) as fault:
+        with pytest.raises(ConfigurationError) as fault:
             loaded(tmp_path, settings=settings)
         assert key in str(fault.value) and "\n" not in str(fault.value)
     assert loaded(tmp_path, settings={"methods": [good]}).settings.request_classes
@@ -69,7 +77,7 @@
     environ = {"LB_CONFIG": str(path), "LB_LISTEN": "127.0.0.2:7", "LB_DISCOVERY": "127.0.0.1:8500"}
     run = load(environ, first)
     assert (run.discovery, load(environ).discovery) == (("127.0.0.3", 1), ("127.0.0.1", 8500))
-    assert first.differs(run) == ["limits"]
+    assert first.changed_fixed_keys(run) == ["limits"]
 
 
 CLASS = {"name": "m", "semantics": "token", "latency_budget": 5_000, "give_up": 9_000, "criticality": 1.0}
@@ -113,7 +121,7 @@
         (tuned({"semantics": "none"}), "[1].semantics"), (tuned({"name": "m"}), "twice"),
         (tuned({"name": ...}), "name"), (tuned({"criticality": ...}), "[1].criticality"),
     ]:  # fmt: skip
-        with pytest.raises(FaultError) as fault:
+        with pytest.raises(ConfigurationError) as fault:
             read_again(tmp_path, text)
         assert key in str(fault.value) and "\n" not in str(fault.value), text
 
@@ -158,7 +166,7 @@
     blend = Settings(1, {"blend": {"tail_part": 0.2, "miss_share": 0.02}}).sheet.blend
     assert (blend.tail_part, blend.miss_share) == (0.2, 0.02)
     for key, value in (("tail_part", -1), ("miss_share", 1.5), ("miss_share", "2%")):
-        with pytest.raises(FaultError, match=f"blend.{key}"):
+        with pytest.raises(ConfigurationError, match=f"blend.{key}"):
             Settings(1, {"blend": {key: value}})
 
 
@@ -169,7 +177,9 @@
 def test_a_window_that_hardly_lets_anything_be_repeated_is_told_with_its_key(window, connect, words):
     one = CLASS | {"name": "m", "semantics": "token", "window": window * 10**6}
     sheet = {"methods": [one], "limits": {"connect_timeout": connect * 10**6}, "granularity": 5 * 10**6}
-    run = Run(checked({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": sheet}, Config))
-    lines = doubtful(run)
+    run = ProcessConfiguration(
+        convert({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": sheet}, ConfigurationFile)
+    )
+    lines = run.warnings()
     assert len(lines) == (words is not None)
     assert all(words in line and line.startswith("`settings.methods[0].window`") for line in lines)
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -8,7 +8,8 @@
 from ivystack.choice import Cold, Links, Shares
 from ivystack.model import Outcome, Request, Send, Tenant
 from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, work
-from ivystack.settings import FaultError, Settings
+from ivystack.settings import Settings
+from ivystack.configuration.errors import ConfigurationError
 
 
 def played(loads, load=1.0, nodes=16, proxies=40, seconds=5, fault=None, **more):
@@ -166,7 +167,7 @@
 @pytest.mark.parametrize("worth, word", [(-1, ">= 0"), (float("nan"), ">= 0"), (float("inf"), "<= ")])
 def test_a_worth_that_is_none_is_one_clear_line(worth, word):
     sheet = {"methods": [MIX[0].sheet() | {"criticality": worth}]}
-    with pytest.raises(FaultError, match="criticality") as fault:
+    with pytest.raises(ConfigurationError, match="criticality") as fault:
         Settings(1, sheet)
     assert word in str(fault.value) and "\n" not in str(fault.value)
 
