--- /dev/null
+++ b/ivystack/balancing/outcomes.py
@@ -0,0 +1,184 @@
+"""What an attempt's outcome says of its server's health, limits, load and zone, and what peers are told."""
+
+from __future__ import annotations
+
+from ..model import Attempt, FailureState, Outcome, Server
+from .components import Components
+from .concurrency_limit import (
+    RECENT_OUTCOME_US,
+    RECENT_SHARE_FACTOR,
+    SHARE_FACTOR,
+    SLOW_FRACTION_CACHE_ASIDE,
+    SLOW_FRACTION_READ_THROUGH,
+    SLOW_HIT_FRACTION,
+    SLOW_HIT_SHARE_FACTOR,
+    lower_admitted_share,
+)
+from .gossip_codec import GossipedOutcome
+from .origin_limit import shortest_response_time
+from .outlier_detection import later_attempt_succeeded
+from .parameters import NO_ORIGIN, BalancerParameters
+from .server_load import RESTING_LOAD, load_is_recent
+
+ANSWERS = (Outcome.SUCCEEDED, Outcome.CACHE_MISS)
+# Outcomes that show whether the server's zone can be reached.
+ZONE_OUTCOMES = (*ANSWERS, Outcome.TIMED_OUT, Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST)
+ON_TIME_FRACTION = 0.5  # of the latency objective: a later answer counts against its zone
+
+
+class OutcomeLearner:
+    """Hands each outcome on to the rules that it concerns."""
+
+    def __init__(self, parameters: BalancerParameters, components: Components) -> None:
+        self.parameters = parameters
+        self.outliers, self.zone_outliers = components.outliers, components.zone_outliers
+        self.limiter, self.origin_limiter = components.limiter, components.origin_limiter
+        self.slow_start, self.load = components.slow_start, components.load
+        self.connections, self.shedder = components.connections, components.shedder
+        self.retry_budget = components.retry_budget
+
+    def learn(
+        self, attempt: Attempt, outcome: Outcome, now: int, report: dict[str, float] | None, is_hit: bool
+    ) -> GossipedOutcome | None:
+        """Learn from an outcome; return what peers are to be told of the server, None if nothing.
+
+        :param report: the figures of the server's load report, where it sent one.
+        :param is_hit: the server said that it answered from its cache.
+        """
+        server = attempt.server
+        if report and self.load.enabled:
+            self.load.record_report(server, report, now)
+        # One that is heard from often shows soon whether an outcome was chance.
+        heard_recently = now < server.last_outcome_at + RECENT_OUTCOME_US
+        server.last_outcome_at = now
+        self._record_for_zone(attempt, outcome, now)
+        if outcome is Outcome.SUCCEEDED or outcome is Outcome.CACHE_MISS:
+            return self._record_answer(attempt, outcome, now, heard_recently, is_hit)
+        if outcome is Outcome.CANCELLED or outcome is Outcome.NOT_SENT:
+            return None
+        if outcome is Outcome.OVERLOADED:
+            if attempt.first_on_connection and self.connections.is_large_fleet:
+                # The server's table is full of idle connections: no strain, here or at peers.
+                self.connections.record_rejected(server, now)
+                return None
+            self._record_rejection(attempt, now, heard_recently)
+        elif outcome is Outcome.TIMED_OUT:
+            self._record_timeout(attempt, now, heard_recently)
+        elif outcome is Outcome.ERROR:
+            self._record_error(attempt, now)
+        elif outcome is Outcome.CONNECTION_REFUSED or outcome is Outcome.CONNECTION_LOST:
+            self._record_connection_failure(attempt, outcome, now, heard_recently)
+        return GossipedOutcome.FAILED
+
+    def is_origin(self, server: Server) -> bool:
+        """Return whether the server is the origin's."""
+        return server.kind == self.parameters.origin_kind
+
+    def _record_for_zone(self, attempt: Attempt, outcome: Outcome, now: int) -> None:
+        # Not in a small fleet that tells no loads: ejecting a zone of it that is merely loaded overloads the
+        # rest.
+        if self.is_origin(attempt.server) or not (self.connections.is_large_fleet or self.load.enabled):
+            return
+        if outcome in ZONE_OUTCOMES:
+            objective = attempt.request.request_class.latency_objective
+            in_time = now - attempt.sent_at <= ON_TIME_FRACTION * objective
+            self.zone_outliers.record(attempt.server.zone, in_time and outcome in ANSWERS)
+
+    def _record_answer(
+        self, attempt: Attempt, outcome: Outcome, now: int, heard_recently: bool, is_hit: bool
+    ) -> GossipedOutcome:
+        server, request_class = attempt.server, attempt.request.request_class
+        response_time = now - attempt.sent_at
+        if attempt.first_on_connection:
+            self.connections.record_accepted()
+        self.outliers.note_return(server, now)
+        self.outliers.record_success(server.health)
+        if request_class in server.class_failures:
+            self.outliers.record_success(server.class_failures[request_class])
+        server.latest_success_sent_at = max(server.latest_success_sent_at, attempt.sent_at)
+        request_class.attempt_times.append(response_time)
+        gossiped = self._limit_after_answer(attempt, response_time, now, heard_recently, is_hit)
+        if outcome is Outcome.SUCCEEDED:
+            request_class.success_times.append(response_time)
+            self.retry_budget.deposit()
+            self.shedder.record_answer(attempt.request.key)
+        return gossiped
+
+    def _limit_after_answer(
+        self, attempt: Attempt, response_time: int, now: int, heard_recently: bool, is_hit: bool
+    ) -> GossipedOutcome:
+        """Adjust the server's limit and share to an answer's time."""
+        server, objective = attempt.server, attempt.request.request_class.latency_objective
+        # Misses are answered at once: a slow answer has queued.  Elsewhere one may be a fetch, two in a row
+        # are not.
+        is_cache_aside = self.parameters.origin_kind not in (NO_ORIGIN, server.kind)
+        slow_fraction = SLOW_FRACTION_CACHE_ASIDE if is_cache_aside else SLOW_FRACTION_READ_THROUGH
+        last_was_slow, is_slow = server.last_was_slow, response_time > slow_fraction * objective
+        server.last_was_slow = is_slow
+        # A busy process in a small fleet sees queues by its own concurrency limits.
+        sees_queues = heard_recently and not self.connections.is_large_fleet
+        is_slow_hit = is_hit and not is_cache_aside and response_time > SLOW_HIT_FRACTION * objective
+        counts_as_slow_hit = is_slow_hit and not sees_queues
+        if response_time > objective and server.load > RESTING_LOAD and load_is_recent(server, now):
+            self._record_overload(attempt, True, heard_recently, now)
+        elif self.is_origin(server):
+            self.origin_limiter.record_success(server, response_time, objective, attempt.sent_at, now)
+        elif counts_as_slow_hit:
+            lower_admitted_share(server, SLOW_HIT_SHARE_FACTOR)
+        elif is_slow and (is_cache_aside or (last_was_slow and not sees_queues)):
+            self.limiter.record_slow_answer(server)
+        else:
+            self.limiter.record_success(server)
+        return GossipedOutcome.SLOW_HIT if counts_as_slow_hit else GossipedOutcome.ON_TIME
+
+    def _record_timeout(self, attempt: Attempt, now: int, heard_recently: bool) -> None:
+        server, request_class = attempt.server, attempt.request.request_class
+        elapsed = now - attempt.sent_at
+        if 2 * (attempt.timeout_at - attempt.sent_at) < request_class.latency_objective:
+            return  # it was sent late, with less than half of the time: that is not the server's doing
+        if self.is_origin(server) and elapsed < 2 * shortest_response_time(server):
+            return  # too short a time for the way there: the origin may be well, but far away or cut off
+        later_succeeded = later_attempt_succeeded(attempt)
+        if later_succeeded or (heard_recently and not server.health.consecutive_failures):
+            if not (attempt.suspected or later_succeeded):
+                server.health.consecutive_failures += 1
+            self.limiter.record_late_after_success(server)
+            return
+        if not attempt.suspected:
+            self.outliers.record_failure(server.health, False, now)
+        request_class.attempt_times.append(elapsed)
+        self._record_overload(attempt, self.outliers.is_healthy(server.health), heard_recently, now)
+
+    def _record_error(self, attempt: Attempt, now: int) -> None:
+        server, request_class = attempt.server, attempt.request.request_class
+        if 2 * (now - attempt.sent_at) >= request_class.latency_objective:
+            # A fetch that ran out of time: the origin behind all servers is under pressure, not this one.
+            self.limiter.lower_common_share()
+            return
+        failures = server.class_failures.setdefault(request_class, FailureState())
+        self.outliers.record_failure(failures, False, now)
+
+    def _record_connection_failure(
+        self, attempt: Attempt, outcome: Outcome, now: int, heard_recently: bool
+    ) -> None:
+        server = attempt.server
+        if not attempt.suspected:
+            self.outliers.record_failure(server.health, outcome is Outcome.CONNECTION_REFUSED, now)
+        if self.is_origin(server):  # full of all processes' requests, and there is no other
+            self.origin_limiter.record_overload(server, heard_recently, attempt.sent_at, now)
+
+    def _record_rejection(self, attempt: Attempt, now: int, heard_recently: bool) -> None:
+        server = attempt.server
+        if not self.load.enabled:
+            self._record_overload(attempt, self.outliers.is_healthy(server.health), heard_recently, now)
+            return
+        # Where loads are told a rejection shows that moment alone, and nothing of other servers; but what a
+        # warming server rejects counts towards its collapse.
+        is_warming = self.slow_start.warm_fraction(server, now) < 1
+        lower_admitted_share(server, SHARE_FACTOR if is_warming else RECENT_SHARE_FACTOR)
+
+    def _record_overload(self, attempt: Attempt, is_healthy: bool, heard_recently: bool, now: int) -> None:
+        if self.is_origin(attempt.server):
+            self.origin_limiter.record_overload(attempt.server, heard_recently, attempt.sent_at, now)
+        else:
+            self.limiter.record_overload(attempt.server, is_healthy, heard_recently, attempt.sent_at, now)
