--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -20,7 +20,11 @@
 from helpers import entries, proxy, told  # noqa: E402
 
 from ivystack.model import Outcome, Request
-from ivystack.words import mark, order, read_order  # noqa: E402
+from ivystack.balancing.gossip_codec import (  # noqa: E402
+    decode_slot_order_part,
+    encode_slot_order,
+    server_hash,
+)
 
 
 def timed(call, times: int) -> str:
@@ -59,18 +63,21 @@
 
         print("  a balancer, new key ", timed(choose, 400))
         slots = made.balancer.placement.slots
-        print("  an order, written ", timed(lambda _, slots=slots: order(slots), 50))
-        parts = order(slots)
+        print("  an order, written ", timed(lambda _, slots=slots: encode_slot_order(slots), 50))
+        parts = encode_slot_order(slots)
         print(
-            "  and put together  ", timed(lambda _, parts=parts: [read_order(one, {}) for one in parts], 50)
+            "  and put together  ",
+            timed(lambda _, parts=parts: [decode_slot_order_part(one, {}) for one in parts], 50),
         )
-        marks = [*map(mark, slots)]
+        marks = [*map(server_hash, slots)]
         nodes = [*made.balancer.servers.values()]
         print(
             "  and taken up      ",
             timed(
                 # fmt: skip
-                lambda _, made=made, marks=marks, nodes=nodes: made.balancer.placement.adopt(marks, nodes, 0),
+                lambda _, made=made, marks=marks, nodes=nodes: made.balancer.placement.adopt_order(
+                    marks, nodes, 0
+                ),
                 20,
             ),
         )
--- a/ivystack/balancing/placement.py
+++ b/ivystack/balancing/placement.py
@@ -95,7 +95,7 @@
     def update(self, servers: list[Server], now: int) -> None:
         """Follow the endpoint list: the last slot's server takes a freed slot, new servers go last."""
         before = list(self.slots)
-        ready = {server for server in servers if server.state == ServerState.READY}
+        ready = {server for server in servers if server.state is ServerState.READY}
         self._free_slots(ready, now)
         self._fill_placeholders(ready)
         self.slots += sorted(ready - {*self.slots}, key=first_started)
@@ -106,7 +106,7 @@
         for slot in range(len(self.slots) - 1, -1, -1):
             server = self.slots[slot]
             crashed_lately = (
-                server.state == ServerState.GONE
+                server.state is ServerState.GONE
                 and not server.was_draining
                 and now - server.gone_at < CRASHED_SLOT_US
             )
--- a/ivystack/drill/wire.py
+++ b/ivystack/drill/wire.py
@@ -65,9 +65,9 @@
         self.timer_at: int | None = None
         self.out: list[list] = []
         self.calling = False  # a call for the list is out
-        self.asking = self.settings.asking if self.settings.sheet.discovery == "ask" else None
-        if self.asking:
-            self.asking.next_at = now
+        self.poll_backoff = self.settings.poll_backoff if self.settings.sheet.discovery == "ask" else None
+        if self.poll_backoff:
+            self.poll_backoff.next_at = now
 
     def ask(
         self,
@@ -153,11 +153,11 @@
     def listed(self, now, entries, how):
         calling, self.calling = self.calling, self.calling and how == "C"
         if how == "X":
-            if self.asking:
-                self.asking.failed(now)
+            if self.poll_backoff:
+                self.poll_backoff.record_failure(now)
             return
         if calling and how != "C":
-            self.asking.failures = 0
+            self.poll_backoff.failures = 0
         servers = []
         for flavor, name, share, bay, mode, zone, came_up, *_ in entries:
             servers.append(
@@ -182,11 +182,11 @@
             for action in wakeup.due:
                 self.act(action, now)
         rest = wakeup.delay
-        if self.asking and self.asking.due(now):
+        if self.poll_backoff and self.poll_backoff.take_due_call(now):
             self.calling = True
             self.out.append(["WATCH", self.name, True])
-        if self.asking and self.asking.next_at is not None:
-            until = self.asking.next_at - now
+        if self.poll_backoff and self.poll_backoff.next_at is not None:
+            until = self.poll_backoff.next_at - now
             rest = until if rest is None else min(rest, until)
         if rest is not None:
             at = now + max(rest, 1)
--- a/ivystack/duties/order.py
+++ b/ivystack/duties/order.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
+from ..balancing.gossip_codec import server_hash
 from ..model import ServerState
-from ..words import mark
 
 MARK = 3  # bytes a slot
 MOST = 4096  # slots
@@ -35,23 +35,23 @@
         return heard and self.proxy.started and not self.proxy.ending and self.proxy.ready()
 
     def own(self) -> bytes:
-        return b"".join(mark(node) for node in self.proxy.balancer.placement.slots)
+        return b"".join(server_hash(node) for node in self.proxy.balancer.placement.slots)
 
     def take(self, order: bytes) -> str:
         """Takes an order up; what is wrong with it, if it is not."""
         balancer = self.proxy.balancer
         marks = [order[at : at + MARK] for at in range(0, len(order), MARK)]
-        caches = [node for node in balancer.servers.values() if node.kind != balancer.origin_kind]
+        caches = balancer.cache_servers()
         # A mark comes once, or as often as nodes here have it: two of a thousand may have one.
-        known = Counter(map(mark, caches))
+        known = Counter(map(server_hash, caches))
         more = any(count > max(1, known[one]) for one, count in Counter(marks).items())
         if not marks or len(marks) > MOST or len(order) % MARK or more:
             return "malformed"
-        ready = [mark(node) for node in caches if node.state == ServerState.READY]
+        ready = [server_hash(node) for node in caches if node.state == ServerState.READY]
         if 2 * len({*marks} & {*ready}) < len(ready):
             return "strange"  # it names none of what we see: our own order is no worse
         if order != self.own():
-            balancer.placement.adopt(marks, caches, self.proxy.now())
+            balancer.placement.adopt_order(marks, caches, self.proxy.now())
         return ""
 
     def said(self, token: int, version: int, fault: str) -> None:
--- a/ivystack/duties/trials.py
+++ b/ivystack/duties/trials.py
@@ -80,7 +80,7 @@
         found = [
             n.name
             for n in balancer.servers.values()
-            if n.state == ServerState.READY and not balancer.health.up(n.health)
+            if n.state == ServerState.READY and not balancer.outliers.is_healthy(n.health)
         ]
         return found[:NAMES]
 
@@ -137,11 +137,11 @@
     def take(self, word: dict[str, bool], now: int) -> None:
         """A word of the holder.  One that was not reached is tried by ourselves a little later."""
         balancer = self.proxy.balancer
-        still = {node.name for node in balancer.servers.values() if not balancer.health.up(node.health)}
+        still = {n.name for n in balancer.servers.values() if not balancer.outliers.is_healthy(n.health)}
         self.since = {name: at for name, at in self.since.items() if name in still}
         for name, reached in word.items():
             node = balancer.servers.get(name)
-            if node is None or balancer.health.up(node.health):
+            if node is None or balancer.outliers.is_healthy(node.health):
                 continue
             if reached:  # our own trial goes on as it would by itself
                 if self.since.pop(name, None) is not None:
--- a/ivystack/net/discovery.py
+++ b/ivystack/net/discovery.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.web.client import Agent
 
-from ..choice import Asking
+from ..balancing.poll_backoff import PollBackoff
 
 PATH = b"http://%b:%d/v1/endpoints?stream=1&index=%d"
 
@@ -44,9 +44,9 @@
     # may have been so from when we last heard anything, or called in vain.  Half a second is for the answer.
     TOLD = 5_500_000
 
-    def __init__(self, reactor, deadlines, now, asking: Asking, address, told):
+    def __init__(self, reactor, deadlines, now, poll_backoff: PollBackoff, address, told):
         self.agent = Agent(reactor, connectTimeout=2)
-        self.deadlines, self.now, self.asking, self.address = deadlines, now, asking, address
+        self.deadlines, self.now, self.poll_backoff, self.address = deadlines, now, poll_backoff, address
         self.told = told  # (entries, whole): news; whether all could be used, and if not, whether that is new
         self.generation = 0
         self.lacking = False  # some entry could not be used: only a whole list shows that all is known
@@ -103,7 +103,7 @@
         except Exception as fault:  # guards against whatever may come: the watch is begun anew
             logger.error("discovery: a line that can't be used: {}: {}", type(fault).__name__, fault)
             return self.broke("unreadable")
-        self.asking.failures = 0
+        self.poll_backoff.failures = 0
         if new:  # guards against news lost for good: what was spoilt on its way comes whole the next time
             self.broke("unusable-entry")
 
@@ -125,14 +125,15 @@
             body.transport.loseConnection()
         logger.info("end discovery generation={} code={}", self.generation, code)
         if not self.stopped:
-            self.next = self.deadlines.at(self.asking.failed(self.now(), self.since + self.TOLD), self.watch)
+            next_at = self.poll_backoff.record_failure(self.now(), self.since + self.TOLD)
+            self.next = self.deadlines.at(next_at, self.watch)
 
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere from now on.  Its versions go on, so what is known stays known."""
         if address == self.address or self.stopped:
             return
         self.address = address
-        self.asking.failures = 0
+        self.poll_backoff.failures = 0
         if self.call is not None or self.body is not None:
             self.broke("moved")
         self.watch()
--- a/ivystack/net/handover.py
+++ b/ivystack/net/handover.py
@@ -19,7 +19,8 @@
 from twisted.internet.protocol import ClientFactory, ServerFactory
 from twisted.protocols.basic import LineReceiver
 
-from ..choice import Balancer, Room
+from ..balancing.balancer import Balancer
+from ..balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT, MIN_SHARE
 from ..model import FailureState, Server, ServerState
 from . import listener
 
@@ -99,7 +100,7 @@
     }  # fmt: skip
     slots = [node.name for node in balancer.placement.slots if not node.is_placeholder]
     times = {name: [*method.attempt_times] for name, method in methods.items()}
-    return State(VERSION, generation, instances, slots, nodes, times, balancer.room.common)
+    return State(VERSION, generation, instances, slots, nodes, times, balancer.limiter.common_share)
 
 
 def take(state: State, balancer: Balancer, methods: dict, now: int) -> None:
@@ -117,18 +118,18 @@
             if method in methods:
                 retry(node.class_failures.setdefault(methods[method], FailureState()), one, now)
         node.started_at = max(node.started_at, min(seen.started, now))
-        node.concurrency_limit = min(Room.MOST, max(Room.LEAST, seen.window))
-        node.admitted_share = min(1.0, max(Room.CLOSED, seen.share))
+        node.concurrency_limit = min(MAX_LIMIT, max(MIN_LIMIT, seen.window))
+        node.admitted_share = min(1.0, max(MIN_SHARE, seen.share))
     for name, times in state.times.items():
         if name in methods:
             methods[name].attempt_times.extend(time for time in times[-64:] if time >= 0)
-    balancer.room.common = min(1.0, max(Room.CLOSED, state.common))
+    balancer.limiter.common_share = min(1.0, max(MIN_SHARE, state.common))
     order = [balancer.servers[name] for name in dict.fromkeys(state.slots) if name in balancer.servers]
-    balancer.placement.slots = [node for node in order if node.kind != balancer.origin_kind]
-    balancer.placement.known.clear()
-    balancer.placement.settle([n for n in balancer.servers.values() if n.kind != balancer.origin_kind], now)
-    if balancer.order:  # the order is known: nobody is to be asked
-        balancer.order.grown_at, balancer.order.next_at = now, None
+    balancer.placement.slots = [node for node in order if node.kind != balancer.parameters.origin_kind]
+    balancer.placement.located.clear()
+    balancer.placement.update(balancer.cache_servers(), now)
+    if balancer.slot_order:  # the order is known: nobody is to be asked
+        balancer.slot_order.stop_asking(now)
 
 
 def retry(one: FailureState, seen: Tried, now: int) -> None:
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -109,7 +109,7 @@
             self.settings.request_classes, self.settings.tenants, most, run.memory,
         )  # fmt: skip
         self.discovery = Discovery(
-            reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
+            reactor, self.deadlines, self.now, self.settings.poll_backoff, run.discovery, self.listed,
         )  # fmt: skip
         self.peers = Peers(run.peers, self.told)
         self.handover = Handover(
@@ -190,7 +190,7 @@
                 "zone": node.zone, "machineType": kinds.get(node.kind), "cell": node.cell,
                 "lifecycle": listed[node.state], "startedAtMs": node.started_at // 1000,
                 # Live ones are no sizes: the list tells them anew each second.
-                "weight": None if self.balancer.live else node.weight,
+                "weight": None if self.balancer.load.enabled else node.weight,
             }
             for node in self.balancer.servers.values()
             if node.state in listed and node.name in self.nodes.places
@@ -239,10 +239,10 @@
         self.settle()
 
     def deep(self) -> int:
-        return self.settings.streams if self.settings.may_duplicate else 1
+        return self.settings.streams if self.settings.hedging_enabled else 1
 
     def aside(self) -> bool:
-        return self.balancer.origin_kind >= 0
+        return self.balancer.parameters.origin_kind >= 0
 
     def terminate(self) -> None:
         """A planned end: serve a little longer, then finish what is held."""
@@ -318,7 +318,7 @@
         held = Held(request, frame, reply, upload, wait, still_there)
         if upload is not None:
             upload.request, upload.through = request, self.through
-            upload.rest = max(1, (self.balancer.end(request) - arrives) // 1000)
+            upload.rest = max(1, (self.balancer.retry_policy.answer_deadline(request) - arrives) // 1000)
         held.slot = self.requests.put(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
@@ -343,7 +343,7 @@
         request, now = held.request, self.now()
         request.arrived_at, request.deadline = now, now + held.wait
         attempt = request.attempts[-1]
-        attempt.sent_at, attempt.timeout_at = now, self.balancer.end(request)
+        attempt.sent_at, attempt.timeout_at = now, self.balancer.retry_policy.answer_deadline(request)
         self.nodes.through(self.sendings[attempt], attempt.timeout_at)
         self.deadlines.drop(held.last_call)
         held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
@@ -466,7 +466,7 @@
 
     def no_place(self, held: Held) -> None:
         if all(attempt.outcome for attempt in held.request.attempts):
-            self.answer(held.request, Rejected(-(-self.balancer.come_back // 1000)))
+            self.answer(held.request, Rejected(-(-self.balancer.parameters.retry_after // 1000)))
 
     def ended(self, sending: Sending, outcome: Outcome, value: bytes | None) -> None:
         """An attempt has ended; the client of a satisfied one gets its answer before all else."""
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -21,7 +21,7 @@
 from itertools import accumulate
 from random import Random
 
-from ..choice import Balancer
+from ..balancing.balancer import Balancer
 from ..model import (
     Attempt,
     CloseIdleConnections,
--- a/ivystack/settings.py
+++ b/ivystack/settings.py
@@ -17,7 +17,18 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .choice import Asking, Balancer, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
+from .balancing.balancer import Balancer
+from .balancing.components import Components
+from .balancing.connection_budget import ConnectionBudget
+from .balancing.gossip import OutcomeGossip
+from .balancing.load_shedding import LoadShedder
+from .balancing.parameters import NO_ORIGIN, BalancerParameters
+from .balancing.placement import Placement
+from .balancing.poll_backoff import PollBackoff
+from .balancing.server_load import LoadEstimator
+from .balancing.slot_order import SlotOrderExchange
+from .balancing.slow_start import SlowStart
+from .balancing.tenant_quotas import TenantQuotas
 from .model import DedupGroup, Idempotency, RequestClass, Tenant
 
 IDEMPOTENCY_OF_SEMANTICS = {
@@ -185,28 +196,31 @@
         # within the time after which we would be deemed told.
         least = min(750_000, us(rules.ask_within) // 8) if sheet.discovery == "ask" else 0
         self.pauses = (least, 8 * least) if least else self.near(us(rules.stop_sending_within))
-        self.may_duplicate = bool(limits.may_duplicate)
+        self.hedging_enabled = bool(limits.may_duplicate)
         self.streams = limits.streams_per_conn or 1
         self.idle, self.connect_timeout = us(limits.conn_idle), us(limits.connect_timeout)
-        self.asking = Asking(Random(seed + 1), *self.pauses)
-        origin, excess, proxies = specifics.origin_kind, sheet.excess_criticality, sheet.n_instances or 1
-        self.balancer = Balancer(
-            rng,
-            Placement(sheet.weight_source in ("nominal", "rough"), live),
-            Health(),
-            Cold(rules.cold_share or 1.0, us(rules.cold), rules.overload_factor or FALL_MULTIPLE),
-            Room(),
-            Shares(rng, list(self.tenants.values()), 1.0 if excess is None else excess, proxies),
-            Links(self.idle, proxies),
-            Hearsay(rng, sheet.slot_no or 0, proxies) if limits.peers else None,
-            Order(rng, sheet.slot_no or 0, proxies) if limits.peers else None,
-            Live() if live or self.columns else None,
-            origin=-1 if origin is None else origin,
-            most_write_outs=limits.most_write_outs or 1,
-            may_duplicate=self.may_duplicate,
-            come_back=us(limits.max_retry_after) if limits.retry_after else 0,
-            tick=us(sheet.granularity),
+        self.poll_backoff = PollBackoff(Random(seed + 1), *self.pauses)
+        excess = 1.0 if sheet.excess_criticality is None else sheet.excess_criticality
+        process_count, own_number = sheet.n_instances or 1, sheet.slot_no or 0
+        overload_factor = rules.overload_factor or FALL_MULTIPLE
+        quotas = TenantQuotas(list(self.tenants.values()), process_count)
+        components = Components(
+            placement=Placement(sheet.weight_source in ("nominal", "rough"), live),
+            slow_start=SlowStart(rules.cold_share or 1.0, us(rules.cold), overload_factor),
+            shedder=LoadShedder(rng, quotas, excess),
+            connections=ConnectionBudget(self.idle, process_count),
+            load=LoadEstimator(live or bool(self.columns)),
         )
+        parameters = BalancerParameters(
+            origin_kind=NO_ORIGIN if specifics.origin_kind is None else specifics.origin_kind,
+            max_attempts=limits.most_write_outs or 1,
+            hedging_enabled=self.hedging_enabled,
+            retry_after=us(limits.max_retry_after) if limits.retry_after else 0,
+            clock_granularity=us(sheet.granularity),
+        )
+        gossip = OutcomeGossip(rng, own_number, process_count) if limits.peers else None
+        slot_order = SlotOrderExchange(rng, own_number, process_count) if limits.peers else None
+        self.balancer = Balancer(rng, parameters, components, gossip, slot_order)
 
     def near(self, grace: int) -> tuple[int, int]:
         most = min(self.PAUSES[1], grace // self.GRACE or self.PAUSES[1])
@@ -222,25 +236,23 @@
     def take(self, new: Settings) -> list[RequestClass]:
         """From now on all is as the new settings say.  Tells which methods' objects are not in use any more;
         requests under way keep theirs."""
-        for name in ("sheet", "columns", "pauses", "may_duplicate", "streams", "idle", "connect_timeout"):
+        for name in ("sheet", "columns", "pauses", "hedging_enabled", "streams", "idle", "connect_timeout"):
             setattr(self, name, getattr(new, name))
-        self.asking.least, self.asking.most = new.pauses
+        self.poll_backoff.base_pause, self.poll_backoff.max_pause = new.pauses
         ours, theirs = self.balancer, new.balancer
-        for name in ("most", "may_duplicate", "come_back", "tick", "many"):
-            setattr(ours, name, getattr(theirs, name))
+        for name in ("max_attempts", "hedging_enabled", "retry_after", "clock_granularity"):
+            setattr(ours.parameters, name, getattr(theirs.parameters, name))
         self.take_kinds(new)
         former = self.take_methods(new)
         for name, tenant in new.tenants.items():  # one that stays keeps its last requests
             self.tenants.setdefault(name, tenant).quota = tenant.quota
         self.tenants = {name: self.tenants[name] for name in new.tenants}
-        ours.shares.tenants = [*self.tenants.values()]
-        ours.shares.excess, ours.shares.parts = theirs.shares.excess, theirs.shares.parts
-        for name in ("share", "cold", "spill"):
-            setattr(ours.cold, name, getattr(theirs.cold, name))
-        if ours.links.first != theirs.links.first:  # else what it has come to stays
-            for name in ("first", "most", "keep"):
-                setattr(ours.links, name, getattr(theirs.links, name))
-            ours.links.idle.clear()
+        ours.shedder.quotas.tenants = [*self.tenants.values()]
+        ours.shedder.quotas.process_count = theirs.shedder.quotas.process_count
+        ours.shedder.excess_weight = theirs.shedder.excess_weight
+        for name in ("initial_fraction", "duration", "spill_over"):
+            setattr(ours.slow_start, name, getattr(theirs.slow_start, name))
+        ours.connections.take_limits(theirs.connections)
         self.take_peers(theirs)
         self.take_sizes(theirs)
         return former
@@ -250,8 +262,9 @@
         names = [*new.kinds]
         for name in names:
             self.kinds.setdefault(name, len(self.kinds))
-        origin = new.balancer.origin_kind
-        self.balancer.origin_kind = self.kinds[names[origin]] if 0 <= origin < len(names) else origin
+        origin = new.balancer.parameters.origin_kind
+        origin = self.kinds[names[origin]] if 0 <= origin < len(names) else origin
+        self.balancer.parameters.origin_kind = origin
 
     def take_methods(self, new: Settings) -> list[RequestClass]:
         former, servers = [], {*self.balancer.servers.values(), *self.balancer.placement.slots}
@@ -272,25 +285,26 @@
 
     def take_peers(self, theirs: Balancer) -> None:
         ours = self.balancer
-        for name in ("hearsay", "order"):
+        for name in ("gossip", "slot_order"):
             old, new = getattr(ours, name), getattr(theirs, name)
             if old is None or new is None:
                 setattr(ours, name, new)
-            elif old.others != new.others:
-                old.others = new.others
-        if ours.order:
-            ours.order.me = theirs.order.me
-        if ours.hearsay:
-            ours.hearsay.knows([*ours.servers.values()])
+            elif old.peers != new.peers:
+                old.peers = new.peers
+        if ours.slot_order:
+            ours.slot_order.own_number = theirs.slot_order.own_number
+        if ours.gossip:
+            ours.gossip.set_servers([*ours.servers.values()])
 
     def take_sizes(self, theirs: Balancer) -> None:
         ours = self.balancer
-        if (ours.placement.sized, ours.placement.parts) != (theirs.placement.sized, theirs.placement.parts):
-            for name in ("sized", "live", "parts"):
-                setattr(ours.placement, name, getattr(theirs.placement, name))
-            ours.placement.known.clear()
-        if ours.live is None or theirs.live is None:
-            ours.live = theirs.live
+        old, new = ours.placement, theirs.placement
+        if (old.weighted, old.parts) != (new.weighted, new.parts):
+            for name in ("weighted", "live_weights", "parts"):
+                setattr(old, name, getattr(new, name))
+            old.located.clear()
+        if ours.load.enabled != theirs.load.enabled:
+            ours.load.reset(theirs.load.enabled)
 
     def forget(self, former: list[RequestClass]) -> None:
         """What nodes hold of methods that no request has any more."""
@@ -424,7 +438,7 @@
         key = f"settings.methods[{place}].window"
         if one.idempotency != Idempotency.KEYED:
             continue
-        if one.dedup_window <= settings.balancer.MARGIN * settings.balancer.tick:
+        if one.dedup_window <= settings.balancer.parameters.clock_margin:
             found.append(f"`{key}`: {one.dedup_window} us; no request of {one.name} is ever sent again")
         elif one.dedup_window <= run.connect_timeout:
             found.append(f"`{key}`: {one.dedup_window} us, no longer than `settings.limits.connect_timeout`")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,17 @@
 
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from ivystack.choice import Balancer, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
+from ivystack.balancing.balancer import Balancer
+from ivystack.balancing.components import Components
+from ivystack.balancing.connection_budget import ConnectionBudget
+from ivystack.balancing.gossip import OutcomeGossip
+from ivystack.balancing.load_shedding import LoadShedder
+from ivystack.balancing.parameters import BalancerParameters
+from ivystack.balancing.placement import Placement
+from ivystack.balancing.server_load import LoadEstimator
+from ivystack.balancing.slot_order import SlotOrderExchange
+from ivystack.balancing.slow_start import SlowStart
+from ivystack.balancing.tenant_quotas import TenantQuotas
 from ivystack.model import DedupGroup, Idempotency, Request, RequestClass, Server
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import bulk, command
@@ -13,50 +23,67 @@
 S = 1_000_000
 
 
-def nodes(count, **more):
+def make_servers(count, **more):
+    """So many cache servers, n00, n01, .."""
     return [Server(f"n{i:02}", **more) for i in range(count)]
 
 
-def choice(
+def make_balancer(
     listed=(),
     *,
     tenants=(),
-    cold_share=1.0,
-    cold=0,
-    sized=False,
+    initial_fraction=1.0,
+    warm_up_time=0,
+    overload_factor=4.0,
+    weighted=False,
+    live_weights=False,
     now=0,
-    proxies=1,
-    peers=False,
-    me=0,
-    live=False,
-    fall=4.0,
-    **more,
+    process_count=1,
+    own_number=0,
+    gossip=False,
+    **parameters,
 ):
-    rng = Random(1 + me)
-    given = dict(origin=-1, most_write_outs=3, may_duplicate=True, come_back=0, tick=0)
+    """A balancer of its own, told of the listed servers.  `live_weights`: these fall with load."""
+    rng = Random(1 + own_number)
+    components = Components(
+        placement=Placement(weighted, live_weights),
+        slow_start=SlowStart(initial_fraction, warm_up_time, overload_factor),
+        shedder=LoadShedder(rng, TenantQuotas(list(tenants), process_count), 0.1),
+        connections=ConnectionBudget(60 * S, process_count),
+        load=LoadEstimator(live_weights),
+    )
+    given = {"max_attempts": 3, "hedging_enabled": True} | parameters
     made = Balancer(
         rng,
-        Placement(sized, live),
-        Health(),
-        Cold(cold_share, cold, fall),
-        Room(),
-        Shares(rng, list(tenants), 0.1, proxies),
-        Links(60 * S, proxies),
-        Hearsay(rng, me, proxies) if peers else None,
-        Order(rng, me, proxies) if peers else None,
-        Live() if live else None,
-        **(given | more),
+        BalancerParameters(**given),
+        components,
+        OutcomeGossip(rng, own_number, process_count) if gossip else None,
+        SlotOrderExchange(rng, own_number, process_count) if gossip else None,
     )
     made.update_endpoints(list(listed), True, now)
     return made
 
 
-def req(idempotency=Idempotency.IDEMPOTENT, *, key=7, arrived=0, budget=S, give_up=2 * S, **more):
-    group = DedupGroup(more.pop("group", "all"))
+def make_request(
+    idempotency=Idempotency.IDEMPOTENT,
+    *,
+    key=7,
+    arrived_at=0,
+    latency_objective=S,
+    time_to_deadline=2 * S,
+    dedup_group="all",
+    dedup_window=0,
+    **more,
+):
+    """A request of a class of its own."""
     request_class = RequestClass(
-        "m", idempotency, budget, dedup_group=group, dedup_window=more.pop("window", 0)
+        "m",
+        idempotency,
+        latency_objective,
+        dedup_group=DedupGroup(dedup_group),
+        dedup_window=dedup_window,
     )
-    return Request(request_class, arrived, arrived + give_up, key, **more)
+    return Request(request_class, arrived_at, arrived_at + time_to_deadline, key, **more)
 
 
 class Transport(StringTransport):
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -104,7 +104,7 @@
         assert play(wire, ["TURN", due], ["TIMER", "proxy_0", 1], ["END"])[0] == ["WATCH", "proxy_0", True]
     news = ["MEMBERS", "proxy_0", 0, "D", 2]
     assert play(wire, ["TURN", 99 * S * 1000], news, ["END"]) == [["FINISHED"]]
-    assert not wire.instances["proxy_0"].asking.failures
+    assert not wire.instances["proxy_0"].poll_backoff.failures
 
 
 def test_a_hit_is_told_to_the_decisions():
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,6 +10,7 @@
 from test_consensus import playing
 from test_rig import PACKAGE, altered, ivy
 
+from ivystack.balancing.gossip_codec import server_hash
 from ivystack.duties import grantor, keeper
 from ivystack.duties.fence import Fence
 from ivystack.duties.leases import Leases
@@ -17,7 +18,6 @@
 from ivystack.duties.trials import MOST, Trials
 from ivystack.rig.check import overlapping
 from ivystack.rig.logs import logged
-from ivystack.words import mark
 
 MS, S = 1_000, 1_000_000
 LEASE, DRIFT = 3 * S, 0.02
@@ -253,7 +253,7 @@
     awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
     assert order.take(awaited) == "" and order.own() == awaited
     made.listed(entries(5), True)
-    assert order.own() == awaited + mark(made.balancer.servers["n4"])
+    assert order.own() == awaited + server_hash(made.balancer.servers["n4"])
 
 
 def test_two_holders_at_once_are_found_unless_one_of_them_did_not_run():
@@ -329,7 +329,7 @@
 def down_at(made, name):
     node = made.balancer.servers[name]
     for _ in range(2):
-        made.balancer.health.failed(node.health, True, made.now())
+        made.balancer.outliers.record_failure(node.health, True, made.now())
     return node
 
 
@@ -341,9 +341,9 @@
     for second in range(50):
         trials.take({"n1": False, "n0": False, "nx": False}, now + second * S)
     assert due < node.health.next_probe_at == due + MOST  # then we try it ourselves, whatever is said
-    assert well.health.next_probe_at == 0 and made.balancer.health.up(well.health)
+    assert well.health.next_probe_at == 0 and made.balancer.outliers.is_healthy(well.health)
     trials.take({"n1": True}, now + 51 * S)
-    assert node.health.next_probe_at <= now + 51 * S and not made.balancer.health.up(
+    assert node.health.next_probe_at <= now + 51 * S and not made.balancer.outliers.is_healthy(
         node.health
     )  # its own answers alone say so
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -41,7 +41,7 @@
 
 def effect(run) -> dict:
     """What a configuration comes to, by names of this table's own.  Times in microseconds."""
-    settings, choice = run.settings, run.settings.balancer
+    settings, balancer = run.settings, run.settings.balancer
     return {
         "inherited_socket": run.fd,
         "folder": run.folder,
@@ -61,7 +61,7 @@
         "kinds": settings.kinds,
         "columns": sorted(settings.columns),
         "pauses": settings.pauses,
-        "hedging": settings.may_duplicate,
+        "hedging": settings.hedging_enabled,
         "streams": settings.streams,
         "longest_wait": settings.longest_wait(),
         "classes": {
@@ -76,19 +76,23 @@
             for name, m in settings.request_classes.items()
         },
         "tenants": {name: t.quota for name, t in settings.tenants.items()},
-        "excess": choice.shares.excess,
-        "proxies": choice.shares.parts,
-        "sized": choice.placement.sized,
-        "live_sizes": choice.placement.live,
-        "loads_used": choice.live is not None,
-        "cold": [choice.cold.share, choice.cold.cold, choice.cold.spill],
-        "idle_kept": [choice.links.most, choice.links.keep],
-        "other_peers": choice.hearsay and choice.hearsay.others,
-        "place_among_peers": choice.order and choice.order.me,
-        "origin": choice.origin_kind,
-        "most_attempts": choice.most,
-        "come_back": choice.come_back,
-        "tick": choice.tick,
+        "excess": balancer.shedder.excess_weight,
+        "proxies": balancer.shedder.quotas.process_count,
+        "sized": balancer.placement.weighted,
+        "live_sizes": balancer.placement.live_weights,
+        "loads_used": balancer.load.enabled,
+        "cold": [
+            balancer.slow_start.initial_fraction,
+            balancer.slow_start.duration,
+            balancer.slow_start.spill_over,
+        ],
+        "idle_kept": [balancer.connections.max_idle_time, balancer.connections.idle_time],
+        "other_peers": balancer.gossip and balancer.gossip.peers,
+        "place_among_peers": balancer.slot_order and balancer.slot_order.own_number,
+        "origin": balancer.parameters.origin_kind,
+        "most_attempts": balancer.parameters.max_attempts,
+        "come_back": balancer.parameters.retry_after,
+        "tick": balancer.parameters.clock_granularity,
     }
 
 
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -183,7 +183,7 @@
     nodes["n4"].class_failures[pay] = FailureState(
         consecutive_failures=1, connection_failed=True, next_probe_at=now + 2 * S, probes=3
     )
-    made.balancer.room.common = 0.5
+    made.balancer.limiter.common_share = 0.5
     made.discovery.generation = 41
     return made
 
@@ -233,41 +233,41 @@
 
 
 def gossip_outcomes(endings):
-    from ivystack.words import endings as encode
+    from ivystack.balancing.gossip_codec import encode_outcomes
 
-    return encode(endings)
+    return encode_outcomes(endings)
 
 
 def read_gossip_outcomes(data):
-    from ivystack.words import read_endings
+    from ivystack.balancing.gossip_codec import decode_outcomes
 
-    return read_endings(data)
+    return [(server_hash, int(outcome)) for server_hash, outcome in decode_outcomes(data)]
 
 
 def gossip_question(number):
-    from ivystack.words import question
+    from ivystack.balancing.gossip_codec import encode_order_request
 
-    return question(number)
+    return encode_order_request(number)
 
 
 def read_gossip_question(data):
-    from ivystack.words import asker
+    from ivystack.balancing.gossip_codec import decode_order_request
 
-    return asker(data)
+    return decode_order_request(data)
 
 
 def gossip_order(slots):
-    from ivystack.words import order
+    from ivystack.balancing.gossip_codec import encode_slot_order
 
-    return order(slots)
+    return encode_slot_order(slots)
 
 
 def read_gossip_order(parts):
     """The marks after each part."""
-    from ivystack.words import read_order
+    from ivystack.balancing.gossip_codec import decode_slot_order_part
 
     known = {}
-    return [read_order(part, known) for part in parts]
+    return [decode_slot_order_part(part, known) for part in parts]
 
 
 # --- What is recorded ---
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -55,7 +55,7 @@
     read = old.settings.request_classes["read"]
     read.attempt_times.extend([5, 6, 7])
     nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
-    old.balancer.room.common = 0.5
+    old.balancer.limiter.common_share = 0.5
     old.discovery.generation = 41
     new = starting(tmp_path)
     assert new.begun == []
@@ -80,7 +80,7 @@
     )
     mine = new.settings.request_classes["read"]
     assert [*mine.attempt_times] == [5, 6, 7] and got["n3"].class_failures[mine].consecutive_failures == 2
-    assert new.balancer.room.common == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
+    assert new.balancer.limiter.common_share == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
     assert new.nodes.places["n1"].address == old.nodes.places["n1"].address
 
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -125,7 +125,7 @@
     first, second = made.held
     seen, where = [], made.balancer.route
     made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
-    made.balancer.further.append(second)
+    made.balancer.retries.append(second)
     asking.connectionLost(Failure(ConnectionDone()))
     assert first.concluded and second.concluded and not made.requests and not made.sendings
     assert all(over for _, over in seen)
@@ -361,7 +361,7 @@
     # What the agent gets at its return counts as told at once: the next call comes well within the grace.
     for grace in (1_000, 600, 250, 40):
         made = Settings(1, {"rules": {"stop_sending_within": grace * 1_000_000}})
-        pauses = [made.asking.failed(0) for _ in range(300)]
+        pauses = [made.poll_backoff.record_failure(0) for _ in range(300)]
         assert max(pauses) < grace * 1_000 / 2, grace
     asked = Settings(1, {"discovery": "ask", "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
     assert asked.pauses == (750_000, 6_000_000)  # one service for all: its calls cost the fleet
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -705,7 +705,7 @@
     assert loaded.load == 50
     now = made.now()
     picks = [
-        made.balancer.pick(Request(made.settings.request_classes["read"], now, now + S, 7), now)
+        made.balancer.select_server(Request(made.settings.request_classes["read"], now, now + S, 7), now)
         for _ in range(100)
     ]
     assert picks.count(loaded) < 20
@@ -745,7 +745,7 @@
     for mode in ("push", "ask"):
         settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
         made.settings.take(settings)
-        made.discovery.asking.failures = 0
+        made.discovery.poll_backoff.failures = 0
         made.discovery.broke("watch-ended")
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -3,12 +3,12 @@
 from random import Random
 
 import pytest
-from helpers import S, choice, client, entries, hit, link, nodes, proxy, told
+from helpers import S, client, entries, hit, link, make_balancer, make_servers, proxy, told
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from ivystack import choice as decisions
-from ivystack.choice import Balancer
+from ivystack.balancing import retry_policy
+from ivystack.balancing.retry_policy import RetryPolicy
 from ivystack.model import (
     Attempt,
     DedupGroup,
@@ -242,7 +242,9 @@
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.go()
     assert of.said(link(of.made), answer) == [outcome]
-    assert (outcome in decisions.NEVER_RAN) is (answer.startswith(b"-BUSY") and answer != b"-BUSYING\r\n")
+    assert (outcome in retry_policy.NEVER_EXECUTED) is (
+        answer.startswith(b"-BUSY") and answer != b"-BUSYING\r\n"
+    )
 
 
 def test_what_was_never_written_is_told_from_what_was():
@@ -254,7 +256,7 @@
         else:
             pass_by(of.made, 1001)
         ((of_whom, outcome),) = of.ends
-        assert of_whom is out and (outcome in decisions.NEVER_RAN) is not written_first
+        assert of_whom is out and (outcome in retry_policy.NEVER_EXECUTED) is not written_first
 
 
 # SIGHUP.
@@ -328,10 +330,10 @@
 def played(seed, semantics, group, *, keeps=True, window=300 * MS, duplicate=True):
     """So many reqs one after another, each with endings, waits and late connections drawn anew."""
     rng, strict = Random(seed), Strict(semantics, group, window)
-    caches = nodes(6)
+    caches = make_servers(6)
     for place, node in enumerate(caches):
         node.zone, node.cell = "ab"[place // 3], place // 2
-    made = choice(caches, most_write_outs=5, may_duplicate=duplicate, tick=MS)
+    made = make_balancer(caches, max_attempts=5, hedging_enabled=duplicate, clock_granularity=MS)
     method, now, going = (
         RequestClass("m", semantics, S, dedup_group=DedupGroup(group), dedup_window=window),
         S,
@@ -440,7 +442,7 @@
 
 
 def test_the_check_finds_a_group_that_is_not_kept(monkeypatch):
-    monkeypatch.setattr(Balancer, "within_group", lambda *_: True)
+    monkeypatch.setattr(RetryPolicy, "within_dedup_group", lambda *_: True)
     assert any("outside its group" in played(seed, Idempotency.KEYED, "zone")[0] for seed in range(30))
 
 
@@ -453,5 +455,5 @@
     ],
 )
 def test_the_check_finds_an_ending_that_is_taken_for_proof(monkeypatch, taken_for_proof, found):
-    monkeypatch.setattr(decisions, "NEVER_RAN", decisions.NEVER_RAN | {taken_for_proof})
+    monkeypatch.setattr(retry_policy, "NEVER_EXECUTED", retry_policy.NEVER_EXECUTED | {taken_for_proof})
     assert any(found in played(seed, Idempotency.NOT_IDEMPOTENT, "all")[0] for seed in range(30))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -110,7 +110,7 @@
     made = proxy()
     made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
     assert (made.nodes.deep, made.nodes.connect_timeout, made.nodes.idle) == (1, 100_000, 800_000)
-    assert made.balancer.may_duplicate and made.settings.may_duplicate
+    assert made.balancer.parameters.hedging_enabled and made.settings.hedging_enabled
 
 
 # Another customer's settings: every field of the configuration, one by one.
@@ -156,7 +156,7 @@
 CARRIED = {"zone", "zones"}  # checked; no decision rests on them
 AT_START = {"listen", "admin_addr", "name", "limits", "peer_listen", "seed", "known"}
 AT_ONCE = {"settings", "discovery", "peers"}
-SEEN = ("seen", "slots", "known", "rng", "keep")  # what a part has learned, not been told
+SEEN = ("cached_keys", "slots", "located", "rng", "idle_time")  # what a part has learned, not been told
 
 
 def says(of, deep=0):
@@ -172,7 +172,7 @@
             else [says(one, deep + 1) for one in of]
         )
     names = [*getattr(of, "__slots__", ()), *getattr(of, "__dict__", ())]
-    if deep > 4 or not type(of).__module__.startswith("ivystack"):
+    if deep > 5 or not type(of).__module__.startswith("ivystack"):
         return None
     return {name: says(getattr(of, name), deep + 1) for name in names if name not in SEEN}
 
@@ -210,7 +210,7 @@
         ours.take(Settings(7, values))
         for one in (ours, fresh):  # kinds keep their numbers, since nodes name them by these
             names = {place: name for name, place in one.kinds.items()}
-            one.balancer.origin_kind = names.get(one.balancer.origin_kind)
+            one.balancer.parameters.origin_kind = names.get(one.balancer.parameters.origin_kind)
             one.kinds = {*one.kinds}
         assert says(ours) == says(fresh)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -59,7 +59,10 @@
 
 def test_what_is_absent_or_null_gets_its_default():
     settings = Settings(1, {"limits": None, "methods": [{"name": "m", "give_up": 5_000}]})
-    assert settings.balancer.most == 1 and settings.request_classes["m"].latency_objective == 5
+    assert (
+        settings.balancer.parameters.max_attempts == 1
+        and settings.request_classes["m"].latency_objective == 5
+    )
 
 
 def test_read_again_the_files_discovery_goes_before_the_environments(tmp_path):
@@ -122,7 +125,10 @@
     assert [*read_again(tmp_path, tuned({"name": "new"})).settings.request_classes] == ["m", "new"]
     assert [*read_again(tmp_path, tuned(methods=[CLASS])).settings.request_classes] == ["m"]
     assert read_again(tmp_path, tuned({"window": ...})).settings.request_classes["w"].dedup_window == 0
-    assert read_again(tmp_path, tuned(limits={"most_write_outs": 1})).settings.balancer.most == 1
+    assert (
+        read_again(tmp_path, tuned(limits={"most_write_outs": 1})).settings.balancer.parameters.max_attempts
+        == 1
+    )
 
 
 def test_what_was_seen_stays_and_what_a_class_says_is_new():
@@ -150,7 +156,7 @@
 def test_a_kind_that_stays_keeps_its_number():
     running = Settings(1, {"kinds": ["a", "b"], "specifics": {"origin_kind": 1}})
     running.take(Settings(1, {"kinds": ["b", "c"], "specifics": {"origin_kind": 0}}))
-    assert running.kinds == {"a": 0, "b": 1, "c": 2} and running.balancer.origin_kind == 1
+    assert running.kinds == {"a": 0, "b": 1, "c": 2} and running.balancer.parameters.origin_kind == 1
 
 
 def test_the_tail_of_the_blend_is_read_and_checked_and_absent_ones_leave_all_as_it_was():
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -3,9 +3,12 @@
 from random import Random
 
 import pytest
-from helpers import S, choice, client, get, nodes, proxy, req, told
+from helpers import S, client, get, make_balancer, make_request, make_servers, proxy, told
 
-from ivystack.choice import Cold, Links, Shares
+from ivystack.balancing.connection_budget import ConnectionBudget
+from ivystack.balancing.load_shedding import LoadShedder
+from ivystack.balancing.slow_start import SlowStart
+from ivystack.balancing.tenant_quotas import TenantQuotas
 from ivystack.model import Outcome, Request, Send, Tenant
 from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, work
 from ivystack.settings import FaultError, Settings
@@ -63,13 +66,13 @@
 
 def test_excess_of_a_tenant_finds_no_way_round_its_share_by_the_floor():
     tenants = [Tenant("own", 600.0), Tenant("other", 600.0), Tenant("more", 60.0)]
-    shares = Shares(Random(1), tenants, 0.1, 40)
+    shares = LoadShedder(Random(1), TenantQuotas(tenants, 40), 0.1)
     parts = {one.name: [] for one in tenants}
     for turn in range(2000):
         for tenant, worth in zip(tenants, (5.0, 3.0, 1.0), strict=True):
-            asked = req(tenant=tenant, key=turn)
+            asked = make_request(tenant=tenant, key=turn)
             asked.request_class.priority_weight = worth
-            parts[tenant.name].append((shares.part_of_window(asked, turn * 10_000), asked.required_share))
+            parts[tenant.name].append((shares.limit_fraction(asked, turn * 10_000), asked.required_share))
     excess = [part for part, required_share in parts["more"][400:] if required_share]
     within = [part for part, required_share in parts["more"][400:] if not required_share]
     assert len(excess) > 5 * len(within) > 0
@@ -85,26 +88,28 @@
 
 
 def test_an_attempt_that_outlasts_patience_is_told_while_its_queue_still_grows():
-    made = choice(nodes(4), proxies=100, peers=True)
-    asked = req()
+    made = make_balancer(make_servers(4), process_count=100, gossip=True)
+    asked = make_request()
     node = made.route(asked, 0).server
-    made.doubt(asked, S // 2)
-    assert made.hearsay.ended == {node: 2} and node.admitted_share < 1.0
+    made.suspect_late_attempts(asked, S // 2)
+    assert made.gossip.latest == {node: 2} and node.admitted_share < 1.0
 
 
 def test_reqs_without_hope_are_nacked_at_once_but_a_few_which_show_when_there_is_some():
-    made = choice(nodes(4))
-    asked = req()
+    made = make_balancer(make_servers(4))
+    asked = make_request()
     asked.request_class.success_times.extend([300_000] * 64)
 
     def sent(give_up):
         again = [Request(asked.request_class, 0, give_up, key) for key in range(400)]
         return sum(isinstance(made.route(one, 0), Send) for one in again)
 
-    made.room.has = lambda *_: True
+    made.limiter.admits = lambda *_: True
     assert 1 <= sent(200_000) <= 20 and sent(400_000) == 400
     # One of fewer chances ranks below one with more, and nothing is known before twenty answers.
-    parts = [made.shares.part_of_window(req(key=turn), 0, (0.2, 1.0)[turn % 2]) for turn in range(200)]
+    parts = [
+        made.shedder.limit_fraction(make_request(key=turn), 0, (0.2, 1.0)[turn % 2]) for turn in range(200)
+    ]
     assert sum(parts[100::2]) < sum(parts[101::2]) - 20
     asked.request_class.success_times.clear()
     asked.request_class.success_times.extend([300_000] * 15)
@@ -122,42 +127,42 @@
 
 
 def test_a_new_connection_turned_away_moves_no_share_and_is_told_to_nobody():
-    made = choice(nodes(4), proxies=100, peers=True)
-    asked = req()
+    made = make_balancer(make_servers(4), process_count=100, gossip=True)
+    asked = make_request()
     node = made.route(asked, 0).server
-    keep = made.links.keep
+    keep = made.connections.idle_time
     asked.attempts[0].first_on_connection = True  # as the network part tells
     made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 1000)
-    assert (node.admitted_share, made.room.common, made.hearsay.ended) == (1.0, 1.0, {})
-    assert made.links.keep < keep
+    assert (node.admitted_share, made.limiter.common_share, made.gossip.latest) == (1.0, 1.0, {})
+    assert made.connections.idle_time < keep
     made.next_wakeup(1000)
     assert isinstance(made.route(asked, 1000), Send) and asked.attempts[1].server is not node
     # Without one of our own there it is left alone for a while; one that is open still serves.
-    made.links.idle.clear()
-    assert all(made.pick(req(), 2000) is not node for _ in range(20))
-    made.links.idle[node] = 2000
-    assert any(made.pick(req(), 2000) is node for _ in range(20))
+    made.connections.idle_since.clear()
+    assert all(made.select_server(make_request(), 2000) is not node for _ in range(20))
+    made.connections.idle_since[node] = 2000
+    assert any(made.select_server(make_request(), 2000) is node for _ in range(20))
 
 
 def test_a_full_queue_still_is_one():
-    made = choice(nodes(4), proxies=100, peers=True)
-    first, second = req(), req()
+    made = make_balancer(make_servers(4), process_count=100, gossip=True)
+    first, second = make_request(), make_request()
     made.route(first, 0)
     made.record_outcome(first.attempts[0], Outcome.SUCCEEDED, 1000)
     node = made.route(second, 2000).server
     made.record_outcome(second.attempts[0], Outcome.OVERLOADED, 3000)
-    assert node.admitted_share < 1.0 and node in made.hearsay.ended
+    assert node.admitted_share < 1.0 and node in made.gossip.latest
 
 
 def test_how_long_idle_connections_stay_settles_by_what_is_turned_away():
-    links, node = Links(60 * S, 200), nodes(1)[0]
+    links, node = ConnectionBudget(60 * S, 200), make_servers(1)[0]
     for _ in range(2000):
-        links.taken()
-    assert links.keep == 60 * S  # nobody is turned away: for as long as the nodes let them
+        links.record_accepted()
+    assert links.idle_time == 60 * S  # nobody is turned away: for as long as the nodes let them
     for turn in range(4000):
-        links.turned_away(node, 0) if turn % 10 == 0 else links.taken()
-    assert links.keep < S  # a tenth is
-    assert Links(60 * S, 16).keep == 0
+        links.record_rejected(node, 0) if turn % 10 == 0 else links.record_accepted()
+    assert links.idle_time < S  # a tenth is
+    assert ConnectionBudget(60 * S, 16).idle_time == 0
 
 
 # Worths that say nothing, and classes that are none.
@@ -176,11 +181,11 @@
     sheet = {"methods": [MIX[0].sheet() | {"name": name, "criticality": worth}
                          for name, worth in zip("ab", worths, strict=True)]}  # fmt: skip
     made = Settings(1, sheet)
-    shares, methods = made.balancer.shares, made.request_classes
+    shares, methods = made.balancer.shedder, made.request_classes
     parts = {name: [] for name in methods}
     for turn in range(600):
         for name, method in methods.items():
-            parts[name].append(shares.part_of_window(Request(method, turn, turn + S, turn), turn))
+            parts[name].append(shares.limit_fraction(Request(method, turn, turn + S, turn), turn))
     for name in parts:  # at half of the share
         assert sum(part > 0.5 for part in parts[name][200:]) > 400 * 0.2, name
 
@@ -207,7 +212,7 @@
 
 
 def test_the_count_of_a_cold_nodes_reqs_finds_one_that_is_sent_all(monkeypatch):
-    monkeypatch.setattr(Cold, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(SlowStart, "warm_fraction", lambda *_: 1.0)
     loads = [Load("only", 1.0, 60_000, 1, 750_000)]
     world = World(nodes=6, proxies=30, reqs_per_s=6 * 3 / work(loads), overload=1.2, cold_share=0.2)
     swarm = Swarm(Random(3), loads, world)
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -1,10 +1,17 @@
 """A thousand nodes in a list and a thousand peers in a configuration: nothing is cut off, nothing falls."""
 
 import msgspec
-from helpers import Transport, choice, entries, get, nodes, proxy, told
+from helpers import Transport, entries, get, make_balancer, make_servers, proxy, told
 from loguru import logger
 
-from ivystack.choice import Placement
+from ivystack.balancing import gossip
+from ivystack.balancing.gossip_codec import (
+    GossipedOutcome,
+    decode_slot_order_part,
+    encode_slot_order,
+    server_hash,
+)
+from ivystack.balancing.placement import Placement
 from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, Table
 from ivystack.duties.leases import KNOWN, VALUE, Leases
 from ivystack.duties.order import MARK, SlotOrder
@@ -12,7 +19,6 @@
 from ivystack.mesh.link import MESSAGE
 from ivystack.model import FailureState, Server
 from ivystack.net.handover import MOST, State
-from ivystack.words import mark, order, read_order
 
 MANY = 1024
 
@@ -22,35 +28,35 @@
     seen = {}
     for number in range(1 << 16):
         name = f"x{number}"
-        other = seen.setdefault(mark(Server(name)), name)
+        other = seen.setdefault(server_hash(Server(name)), name)
         if other != name:
             return other, name
     raise AssertionError
 
 
 def test_a_slot_order_of_a_thousand_nodes_is_asked_for_and_put_together():
-    slots = nodes(MANY)
+    slots = make_servers(MANY)
     parts, found = {}, []
-    for part in order(slots):
+    for part in encode_slot_order(slots):
         assert len(part) <= 256
-        found = found or read_order(part, parts)
-    assert found == [*map(mark, slots)]
+        found = found or decode_slot_order_part(part, parts)
+    assert found == [*map(server_hash, slots)]
 
 
 def test_two_nodes_with_one_mark_both_keep_their_slots():
     pair = [Server(name, started_at=at) for at, name in enumerate(alike(), 1)]
-    rest = nodes(30)
-    first, second = choice([*rest, *pair]), choice([*reversed(pair), *rest])
-    marks = [mark(node) for node in first.placement.slots]
-    assert marks.count(mark(pair[0])) == 2
-    second.placement.adopt(marks, [*second.servers.values()], 0)
+    rest = make_servers(30)
+    first, second = make_balancer([*rest, *pair]), make_balancer([*reversed(pair), *rest])
+    marks = [server_hash(node) for node in first.placement.slots]
+    assert marks.count(server_hash(pair[0])) == 2
+    second.placement.adopt_order(marks, [*second.servers.values()], 0)
     assert [n.name for n in second.placement.slots] == [n.name for n in first.placement.slots]
     agreed = b"".join(marks)
     taker = proxy(0)
     named = zip(entries(32), [*rest, *pair], strict=True)
     taker.listed([{**one, "instanceId": node.name} for one, node in named], True)
     assert SlotOrder(taker).take(agreed) == ""
-    assert SlotOrder(taker).take(agreed + 2 * mark(pair[0])) == "malformed"
+    assert SlotOrder(taker).take(agreed + 2 * server_hash(pair[0])) == "malformed"
     assert len(agreed) == 32 * MARK
 
 
@@ -58,11 +64,11 @@
     made = proxy(MANY)
     slots = made.balancer.placement.slots
     assert len(slots) == MANY
-    homes = {node for key in range(6000) for node in made.balancer.placement.homes(key, 2)[:2]}
+    homes = {node for key in range(6000) for node in made.balancer.placement.replicas(key, 2)}
     assert len(homes) == MANY
     read = made.settings.request_classes["read"]
     for node in slots:  # each has been met, and failed a class
-        made.balancer.health.failed(node.class_failures.setdefault(read, FailureState()), True, 5)
+        made.balancer.outliers.record_failure(node.class_failures.setdefault(read, FailureState()), True, 5)
     words = msgspec.json.encode(made.state())
     assert len(words) < MOST // 2
     assert len(msgspec.json.decode(words, type=State).nodes) == MANY
@@ -75,11 +81,11 @@
     ))  # fmt: skip
     run.peers = [("127.0.0.1", 2000 + number) for number in range(MANY)]
     made = proxy(3, run=run)
-    assert len(made.peers.senders) == MANY and len(made.balancer.hearsay.others) == MANY - 1
+    assert len(made.peers.senders) == MANY and len(made.balancer.gossip.peers) == MANY - 1
     for node in made.balancer.servers.values():
-        made.balancer.hearsay.note(node, 0, 0)
-    said = made.balancer.hearsay.due(1 << 60)
-    assert len({one.peer for one in said}) == made.balancer.hearsay.TO
+        made.balancer.gossip.note(node, GossipedOutcome.FAILED, 0)
+    said = made.balancer.gossip.due(1 << 60)
+    assert len({one.peer for one in said}) == gossip.FANOUT
 
 
 def test_more_nodes_than_descriptors_cost_a_try_never_the_process():
@@ -133,6 +139,9 @@
 
 def test_a_walk_over_a_thousand_slots_ends_for_any_part_of_them():
     placement = Placement(False)
-    placement.settle(nodes(MANY), 0)
-    found = placement.homes(7, 2)
-    assert len({*placement.homes(7, MANY)}) == MANY and placement.homes(7, 16)[:2] == found[:2]
+    placement.update(make_servers(MANY), 0)
+    found = placement.replicas_and_spares(7, 2)
+    assert (
+        len({*placement.replicas_and_spares(7, MANY)}) == MANY
+        and placement.replicas_and_spares(7, 16)[:2] == found[:2]
+    )
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -84,7 +84,7 @@
     deadlines, news = Deadlines(reactor, lambda: round(reactor.seconds() * S)), []
     agent = Agent(reactor, kinds, start + back_at)
     made = Discovery(
-        reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1),
+        reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1),
         lambda entries, whole: news.append(deadlines.now() - start) or (True, False),
     )  # fmt: skip
     made.agent = agent
@@ -133,7 +133,7 @@
     reactor.advance(1000)
     settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
     deadlines = Deadlines(reactor, lambda: round(reactor.seconds() * S))
-    made = Discovery(reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1), None)
+    made = Discovery(reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1), None)
     made.watch = lambda: calls.append(deadlines.now())
     silent = deadlines.now()
     made.heard()
