--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,15 @@
 from ivystack.balancing.slot_order import SlotOrderExchange
 from ivystack.balancing.slow_start import SlowStart
 from ivystack.balancing.tenant_quotas import TenantQuotas
-from ivystack.model import DedupGroup, Idempotency, Request, RequestClass, Server
+from ivystack.model import (
+    DedupGroup,
+    Idempotency,
+    Outcome,
+    Request,
+    RequestClass,
+    SendGossip,
+    Server,
+)
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import bulk, command
 from ivystack.settings import Config, Run, checked
@@ -86,6 +94,59 @@
     return Request(request_class, arrived_at, arrived_at + time_to_deadline, key, **more)
 
 
+def make_weighted_servers(*weights, kind=0):
+    """A cache server of each weight."""
+    return [Server(f"n{i:02}", kind, weight) for i, weight in enumerate(weights)]
+
+
+def make_balancer_with_origin(**more):
+    """A balancer whose cache servers answer misses at once, and the origin behind them."""
+    listed = [*make_servers(3), Server("origin", kind=4)]
+    balancer = make_balancer(listed, origin_kind=4, hedging_enabled=False, max_attempts=2, **more)
+    return balancer, balancer.servers["origin"]
+
+
+def route_after_miss(balancer, now, **more):
+    """A read that a cache server has just missed, and the next decision of it."""
+    request = make_request(arrived_at=now, time_to_deadline=more.pop("time_to_deadline", 3 * S), **more)
+    balancer.route(request, now)
+    balancer.record_outcome(request.attempts[0], Outcome.CACHE_MISS, now)
+    balancer.next_wakeup(now)
+    return request, balancer.route(request, now)
+
+
+def make_ranked_request(now):
+    """A request of middle rank that warming servers take too."""
+    request = make_request(arrived_at=now)
+    request.is_ranked, request.limit_fraction, request.warm_up_draw = True, 0.5, 0.1
+    return request
+
+
+def make_fleet(count, servers_each=4):
+    """The balancers of so many processes that know the same servers, with a seed of its own each."""
+    balancers = [
+        make_balancer(make_servers(servers_each), process_count=count, gossip=True, own_number=me)
+        for me in range(count)
+    ]
+    for one in balancers:
+        one.slot_order.settled_at = one.slot_order.next_at = -1  # they have run for long
+        one.next_wakeup(0)
+    return balancers
+
+
+def deliver_gossip(balancers, now):
+    """Deliver the datagrams that are due; return how many they were, and of how many bytes."""
+    sent = [
+        (r.peer, r.datagram)
+        for one in balancers
+        for r in one.next_wakeup(now).due
+        if isinstance(r, SendGossip)
+    ]
+    for peer, datagram in sent:
+        balancers[peer].receive_gossip(datagram, now)
+    return len(sent), sum(len(datagram) for _, datagram in sent)
+
+
 class Transport(StringTransport):
     """Keeps what is written, as sockets would pass it on."""
 
--- /dev/null
+++ b/tests/test_placement.py
@@ -0,0 +1,101 @@
+"""Which servers hold a key: the paper's walk, weights, and how slots follow the endpoint list."""
+
+from collections import Counter
+
+from helpers import S, make_balancer, make_request, make_servers
+
+from ivystack.balancing.placement import Placement, factorial_digits, key_digits, replica_slots
+from ivystack.model import Server, ServerState, Wait
+
+
+PRINTED = [0, 2, 3, 2, 1, 3, 3, 3, 1, 3, 9, 12, 1]  # the paper's expansion of 12345678910, from x_1 on
+
+
+def plain_replica_slots(found, k):
+    """The paper's figure 3, slot after slot."""
+    place = list(range(k))
+    for slot in range(k, len(found)):
+        if found[slot] < k:
+            place[found[slot]] = slot
+    return place
+
+
+def test_factorial_digits_of_the_papers_example():
+    assert factorial_digits(12345678910, 14) == [0, *PRINTED]
+
+
+def test_short_expansions_end_in_zeros_which_are_digits():
+    assert replica_slots(factorial_digits(1, 6), 2)[:2] == [5, 1]
+
+
+def test_worked_example_of_the_paper():
+    # It reads the printed list from index 0, so bin l takes x_(l+1); the walk is the same.
+    found = {count: replica_slots(PRINTED[:count], 3)[:3] for count in range(3, 12)}
+    assert found[3] == [0, 1, 2] and found[4] == [0, 1, 3]
+    assert all(found[count] == [0, 4, 3] for count in range(5, 9))
+    assert all(found[count] == [0, 8, 3] for count in range(9, 12))
+
+
+def test_keys_are_spread_evenly_and_no_two_replicas_share_a_slot():
+    for k, count in ((2, 7), (3, 25), (2, 40)):
+        shares = Counter()
+        for key in range(6000):
+            replicas = replica_slots(key_digits(key, count), k)
+            assert len(set(replicas)) == k + 1
+            shares.update(replicas[:k])
+        assert all(abs(shares[slot] * count / (6000 * k) - 1) < 0.2 for slot in range(count))
+
+
+def test_fewer_servers_than_replicas():
+    assert replica_slots(key_digits(5, 1), 2) == [0]
+    assert replica_slots([], 2) == []
+    assert make_balancer().route(make_request(), 0) == Wait()
+
+
+def test_keys_are_spread_in_proportion_to_weights():
+    placement = Placement(True)
+    placement.update([Server(f"n{i}", weight=1.0 if i < 6 else 2.0) for i in range(9)], 0)
+    shares = Counter(server.name for key in range(8000) for server in placement.replicas(key, 2))
+    assert 1.7 < shares["n8"] / shares["n4"] < 2.3
+
+
+def test_a_weight_due_more_than_every_key_takes_every_key_once():
+    placement = Placement(True)
+    placement.update([Server("a"), Server("b"), Server("c", weight=50.0)], 0)
+    assert all("c" in [server.name for server in placement.replicas(key, 2)] for key in range(200))
+
+
+def test_a_drained_servers_slot_goes_to_the_last_server():
+    balancer = make_balancer(make_servers(5))
+    balancer.update_endpoints([Server("n01", state=ServerState.DRAINING)], False, 0)
+    assert [server.name for server in balancer.placement.slots] == ["n00", "n04", "n02", "n03"]
+
+
+def test_a_crashed_server_keeps_its_slot_and_returns_in_slow_start():
+    balancer = make_balancer(make_servers(4), initial_fraction=0.1, warm_up_time=10 * S)
+    balancer.update_endpoints([Server("n01", state=ServerState.GONE)], False, S)
+    balancer.update_endpoints([Server("n01", state=ServerState.READY, started_at=5 * S)], False, 6 * S)
+    server = balancer.placement.slots[1]
+    assert server.name == "n01" and balancer.slow_start.warm_fraction(server, 6 * S) < 0.2
+
+
+def test_slots_after_our_own_restart_follow_start_times():
+    balancer = make_balancer(
+        [Server("a", started_at=9), Server("b", started_at=0), Server("c", started_at=5)]
+    )
+    assert [server.name for server in balancer.placement.slots] == ["b", "c", "a"]
+
+
+def test_zero_weights_hold_no_keys_but_the_first():
+    placement = Placement(True)
+    placement.update([Server("a"), Server("b"), Server("c", weight=0.0), Server("d")], 0)
+    assert all("c" not in [server.name for server in placement.replicas(key, 2)] for key in range(100))
+
+
+def test_replicas_are_those_of_the_papers_plain_walk_at_any_size():
+    for count in (2, 3, 13, 33, 80, 500):
+        placement = Placement(False)
+        placement.update(make_servers(count), 0)
+        for key in range(50):
+            names = [placement.slots[slot] for slot in plain_replica_slots(key_digits(key, count), 2)]
+            assert placement.replicas(key, 2) == names
