--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,4 +1,4 @@
-"""Requests that may be executed only once: what holds of an attempt when it is sent, not when it was decided."""
+"""Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
 from helpers import S, client, entries, hit, link, proxy, told
@@ -53,7 +53,7 @@
 
 
 def severed(made, after):
-    """The first attempt has been sent; so many milliseconds later it may have been executed, and a retry waits."""
+    """The first attempt was sent; so many milliseconds later it is possibly executed, and a retry waits."""
     asking = client(made)
     asking.dataReceived(put())
     first = link(made)
@@ -230,7 +230,7 @@
     ],
 )
 def test_each_row_of_the_protocols_table(answer, outcome):
-    # Only a -BUSY, and what never was sent complete, proves that it was not executed (PROTOCOL, the nodes' table).
+    # Only a -BUSY, or an incomplete sending, proves that it was not executed (PROTOCOL, the nodes' table).
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.go()
     assert of.said(link(of.made), answer) == [outcome]
