--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -307,7 +307,7 @@
             self._learn_from_peer(server, outcome, now)
 
     def _learn_from_peer(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
-        # What a process in a small fleet sees itself, lately, goes before what its peers tell.
+        # What a process in a small fleet sees itself, lately, goes before what its peers report.
         seen_recently = (
             not self.connections.is_large_fleet and now < server.last_outcome_at + RECENT_OUTCOME_US
         )
--- a/ivystack/balancing/gossip.py
+++ b/ivystack/balancing/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of outcomes: each process tells some peers how its last attempts at each server ended.
+"""Gossip of outcomes: each process sends some peers how its last attempts at each server ended.
 
 So hundreds of processes don't learn one by one that a server is full or hangs.  A lost, late, repeated or
 wrong datagram does little: it moves a known server's share as one attempt of our own would.
@@ -14,13 +14,13 @@
 INTERVAL_US = (
     250_000  # well below the time in which many processes overload a server that none has seen to be full
 )
-FAILURE_DELAY_US = 30_000  # outcomes come in bursts, and one datagram tells all that failed in this time
+FAILURE_DELAY_US = 30_000  # outcomes come in bursts, and one datagram has all that failed in this time
 FANOUT = 12  # peers a round, drawn anew: each process hears of that many times the outcomes of its own
 MAX_OUTCOMES = 64  # in a datagram
 
 
 class OutcomeGossip:
-    """What is to be told of recent outcomes, when and to whom."""
+    """The recent outcomes that peers are to be sent, when and to whom."""
 
     def __init__(self, rng: Random, own_number: int, process_count: int) -> None:
         self.rng, self.peers = rng, [peer for peer in range(process_count) if peer != own_number]
@@ -29,7 +29,7 @@
         self.next_at: int | None = None  # the next round
 
     def note(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
-        """Note how an attempt ended, to be told in the next round."""
+        """Note how an attempt ended, to be sent in the next round."""
         if not self.peers:
             return
         self.latest[server] = outcome
@@ -54,7 +54,7 @@
         self.servers_by_hash = {server_hash(server): server for server in servers}
 
     def receive(self, datagram: bytes) -> list[tuple[Server, GossipedOutcome]]:
-        """Return the outcomes that a peer tells of known servers."""
+        """Return the outcomes that a peer reports of known servers."""
         return [
             (self.servers_by_hash[one], outcome)
             for one, outcome in decode_outcomes(datagram)
--- a/ivystack/balancing/gossip_codec.py
+++ b/ivystack/balancing/gossip_codec.py
@@ -21,7 +21,7 @@
 
 
 class GossipedOutcome(enum.IntEnum):
-    """How the latest attempt at a server ended, as peers are told."""
+    """How the latest attempt at a server ended, in datagrams to peers."""
 
     FAILED = 0
     ON_TIME = 1
@@ -36,7 +36,7 @@
 
 
 def encode_outcomes(outcomes: list[tuple[Server, GossipedOutcome]]) -> bytes:
-    """Return the datagram that tells the latest outcome at each of these servers."""
+    """Return the datagram with the latest outcome at each of these servers."""
     return b"".join(server_hash(server) + bytes([outcome]) for server, outcome in outcomes)
 
 
@@ -67,7 +67,7 @@
 
 
 def encode_slot_order(slots: list[Server]) -> list[bytes]:
-    """Return the datagrams that tell the order of the slots; none has the length of one with outcomes."""
+    """Return the datagrams with the order of the slots; none has the length of one with outcomes."""
     hashes = b"".join(map(server_hash, slots))
     head = b"=%b%b" % (blake2b(hashes, digest_size=4).digest(), len(slots).to_bytes(2, "big"))
     parts = []
--- a/ivystack/balancing/outcomes.py
+++ b/ivystack/balancing/outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's outcome says of its server's health, limits, load and zone, and what peers are told."""
+"""What an attempt's outcome says of its server's health, limits, load and zone, and to peers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     def learn(
         self, attempt: Attempt, outcome: Outcome, now: int, report: dict[str, float] | None, is_hit: bool
     ) -> GossipedOutcome | None:
-        """Learn from an outcome; return what peers are to be told of the server, None if nothing.
+        """Learn from an outcome; return what to gossip of the server, None if nothing.
 
         :param report: the figures of the server's load report, where it sent one.
         :param is_hit: the server said that it answered from its cache.
@@ -75,7 +75,7 @@
         return server.kind == self.parameters.origin_kind
 
     def _record_for_zone(self, attempt: Attempt, outcome: Outcome, now: int) -> None:
-        # Not in a small fleet that tells no loads: ejecting a zone of it that is merely loaded overloads the
+        # Not in a small fleet without load reports: ejecting a zone of it that is merely loaded overloads the
         # rest.
         if self.is_origin(attempt.server) or not (self.connections.is_large_fleet or self.load.enabled):
             return
@@ -172,8 +172,8 @@
         if not self.load.enabled:
             self._record_overload(attempt, self.outliers.is_healthy(server.health), heard_recently, now)
             return
-        # Where loads are told a rejection shows that moment alone, and nothing of other servers; but what a
-        # warming server rejects counts towards its collapse.
+        # Where loads are reported a rejection shows that moment alone, and nothing of other servers; but what
+        # a warming server rejects counts towards its collapse.
         is_warming = self.slow_start.warm_fraction(server, now) < 1
         lower_admitted_share(server, SHARE_FACTOR if is_warming else RECENT_SHARE_FACTOR)
 
--- a/ivystack/balancing/parameters.py
+++ b/ivystack/balancing/parameters.py
@@ -17,7 +17,7 @@
     )
     max_attempts: int = 1  # of a request
     hedging_enabled: bool = False  # an attempt may be sent while another is in flight
-    retry_after: int = 0  # microseconds, told with a rejection; 0: not told
+    retry_after: int = 0  # microseconds, sent with a rejection; 0: none is sent
     clock_granularity: int = 0  # microseconds
 
     @property
--- a/ivystack/balancing/retry_policy.py
+++ b/ivystack/balancing/retry_policy.py
@@ -67,7 +67,7 @@
 
 
 def can_reject(request: Request) -> bool:
-    """Return whether the client may be told that the request had no effect, or that it may send it again."""
+    """Return whether the client may be answered that it can safely send the request again."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/ivystack/balancing/server_load.py
+++ b/ivystack/balancing/server_load.py
@@ -22,13 +22,13 @@
     """
 
     def __init__(self, enabled: bool) -> None:
-        """:param enabled: whether loads are told at all, by the endpoint list or by servers' answers."""
+        """:param enabled: whether loads are known at all, from the endpoint list or from servers' answers."""
         self.enabled = enabled
         self.max_weights: dict[int, float] = {}  # by machine kind
         self.mean_load = 0.0  # of the cache servers listed last
 
     def reset(self, enabled: bool) -> None:
-        """Begin anew, with loads told or not."""
+        """Begin anew, with loads known or not."""
         self.enabled, self.max_weights, self.mean_load = enabled, {}, 0.0
 
     def update_weights(self, servers: list[Server], now: int) -> bool:
@@ -54,7 +54,7 @@
             server.load, server.load_reported_at = in_flight / server.weight, now
 
     def load(self, server: Server, now: int) -> float:
-        """Return the load last told, counted less the older it is, and our own attempts in flight on top."""
+        """Return the load last reported, counted less the older it is, plus our own attempts in flight."""
         return (
             server.load * max(0.0, 1 - (now - server.load_reported_at) / LOAD_MAX_AGE_US)
             + server.in_flight / server.weight
@@ -62,5 +62,5 @@
 
 
 def load_is_recent(server: Server, now: int) -> bool:
-    """Return whether the server's load was told lately enough to go by."""
+    """Return whether the server's load was reported lately enough to go by."""
     return now < server.load_reported_at + LOAD_MAX_AGE_US
--- a/ivystack/balancing/server_selection.py
+++ b/ivystack/balancing/server_selection.py
@@ -118,15 +118,20 @@
             k = self.hot_keys.replica_count(key, REPLICAS, len(self.placement.slots))
         nearby = self.placement.replicas_and_spares(key, k)
         replicas = nearby[:k]
+        first = self._draw_first(replicas)
+        repeatable = REPEATABLE_HERE_WITH_LOADS if self.load.enabled else REPEATABLE_HERE
+        tried = [attempt.server for attempt in request.attempts if attempt.outcome not in repeatable]
+        return Selection(request, now, pacing, key, replicas[first:] + replicas[:first], nearby, tried)
+
+    def _draw_first(self, replicas: list[Server]) -> int:
+        """Return the index of the replica that is asked first."""
         first = self.rng.randrange(len(replicas))
         if self.first_replica_chance and self.rng.random() < self.first_replica_chance:
             first = 0
-        if self.load.enabled and k > REPLICAS:  # by size: a hot key loads each of its replicas alike
+        if self.load.enabled and len(replicas) > REPLICAS:  # by size: a hot key loads its replicas alike
             weights = [server.weight for server in replicas]
             first = self.rng.choices(range(len(replicas)), weights)[0]
-        repeatable = REPEATABLE_HERE_WITH_LOADS if self.load.enabled else REPEATABLE_HERE
-        tried = [attempt.server for attempt in request.attempts if attempt.outcome not in repeatable]
-        return Selection(request, now, pacing, key, replicas[first:] + replicas[:first], nearby, tried)
+        return first
 
     def _find_probe(self, selection: Selection) -> Server | None:
         """Return an ejected replica whose pause is over, for a request that can bear a failed attempt.
@@ -163,9 +168,10 @@
         return candidates
 
     def _walk_wider(self, selection: Selection) -> list[Server]:
-        """Walk to further servers of the key while all nearer ones are gone, ejected, cold or out of reach.
+        """Walk to further servers of the key while no nearer one is available.
 
-        Never for strain, which it would spread.
+        They are gone, ejected, warming up or out of reach; never merely under strain, which a walk would
+        spread.
         """
         now, nearby = selection.now, selection.nearby
         out_of_reach = any(self.zone_outliers.is_ejected(server.zone, now) for server in nearby)
--- a/ivystack/balancing/tenant_quotas.py
+++ b/ivystack/balancing/tenant_quotas.py
@@ -11,7 +11,7 @@
 from ..model import Tenant
 
 RECENT_REQUESTS = 200  # about a second of a busy process
-PRIOR_REQUESTS = 8  # assumed on top, in proportion to the quotas: the first dozens tell little
+PRIOR_REQUESTS = 8  # assumed on top, in proportion to the quotas: the first dozens show little
 
 
 class TenantQuotas:
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -3,7 +3,7 @@
 from helpers import make_balancer, make_request, make_servers
 
 from ivystack.balancing.concurrency_limit import MIN_LIMIT_FRACTION
-from ivystack.balancing.load_shedding import PRIOR_REQUESTS, RECENT_REQUESTS
+from ivystack.balancing.load_shedding import CACHED_KEYS, PRIOR_REQUESTS, RECENT_REQUESTS
 
 
 def test_low_priority_and_likely_misses_are_shed_first():
@@ -25,3 +25,11 @@
         assert part == MIN_LIMIT_FRACTION + (1 - MIN_LIMIT_FRACTION) * (below + PRIOR_REQUESTS) / (
             len(weights) + PRIOR_REQUESTS
         )
+
+
+def test_only_so_many_answered_keys_are_kept_and_the_oldest_answer_goes_first():
+    shedder = make_balancer(make_servers(2)).shedder
+    for key in (*range(CACHED_KEYS), 0, CACHED_KEYS):
+        shedder.record_answer(key)
+    assert len(shedder.cached_keys) == CACHED_KEYS
+    assert 0 in shedder.cached_keys and 1 not in shedder.cached_keys
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,13 @@
 
 from helpers import S, make_balancer, make_request, make_servers
 
-from ivystack.balancing.placement import Placement, factorial_digits, key_digits, replica_slots
+from ivystack.balancing.placement import (
+    CACHED_LOCATIONS,
+    Placement,
+    factorial_digits,
+    key_digits,
+    replica_slots,
+)
 from ivystack.model import Server, ServerState, Wait
 
 
@@ -99,3 +105,21 @@
         for key in range(50):
             names = [placement.slots[slot] for slot in plain_replica_slots(key_digits(key, count), 2)]
             assert placement.replicas(key, 2) == names
+
+
+def test_only_so_many_keys_locations_are_kept_and_the_oldest_go_first():
+    placement = Placement(False)
+    placement.update(make_servers(5), 0)
+    first = placement.replicas(0, 2)
+    for key in range(1, CACHED_LOCATIONS + 1):
+        placement.replicas(key, 2)
+    assert len(placement.located) == CACHED_LOCATIONS and (0, 2) not in placement.located
+    assert placement.replicas(0, 2) == first
+
+
+def test_spares_follow_the_replicas_of_a_key_with_few():
+    placement = Placement(False)
+    placement.update(make_servers(9), 0)
+    for key in range(50):
+        assert len(placement.spares(key, 2)) == 1 and placement.spares(key, 4) == []
+        assert placement.spares(key, 2)[0] not in placement.replicas(key, 2)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -87,3 +87,22 @@
     )
     write = make_request(Idempotency.KEYED, is_write=True, time_to_deadline=3 * S, dedup_window=9 * S)
     assert balancer.route(write, 0).timeout_at == S  # fills nothing
+
+
+def test_an_invalid_request_fails_and_is_not_sent_elsewhere():
+    balancer = make_balancer(make_servers(4))
+    request = make_request()
+    balancer.route(request, 0)
+    balancer.route(request, S // 4)
+    follow_up = balancer.record_outcome(request.attempts[0], Outcome.INVALID_REQUEST, S // 3)
+    assert follow_up == OutcomeDecision(Fail(), [request.attempts[1]])
+
+
+def test_a_partly_sent_request_is_not_sent_again():
+    for idempotency, answer in ((Idempotency.IDEMPOTENT, Reject(5)), (Idempotency.NOT_IDEMPOTENT, Fail())):
+        balancer = make_balancer(make_servers(4), retry_after=5)
+        request = make_request(idempotency)
+        balancer.route(request, 0)
+        request.partly_sent = True
+        follow_up = balancer.record_outcome(request.attempts[0], Outcome.ERROR, 10)
+        assert follow_up == OutcomeDecision(answer, [])
