--- a/ivystack/balancing/outlier_detection.py
+++ b/ivystack/balancing/outlier_detection.py
@@ -42,8 +42,7 @@
         state.consecutive_failures += 1
         state.connection_failed = state.connection_failed or connection_failed
         if state.consecutive_failures >= EJECT_AFTER and now >= state.next_probe_at:
-            state.next_probe_at = now + (PROBE_BACKOFF_US << min(state.probes, MAX_BACKOFF_DOUBLINGS))
-            state.probes += 1
+            start_probe_pause(state, now)
             state.skipped_requests = 0
 
     def record_success(self, state: FailureState) -> None:
@@ -63,6 +62,12 @@
             server.started_at = now
 
 
+def start_probe_pause(state: FailureState, now: int) -> None:
+    """Let no probe be sent for a pause that doubles with each probe."""
+    state.next_probe_at = now + (PROBE_BACKOFF_US << min(state.probes, MAX_BACKOFF_DOUBLINGS))
+    state.probes += 1
+
+
 def later_attempt_succeeded(attempt: Attempt) -> bool:
     """Return whether the server has answered an attempt sent later: it is not the server that is late."""
     return attempt.sent_at < attempt.server.latest_success_sent_at
--- a/ivystack/balancing/zone_outliers.py
+++ b/ivystack/balancing/zone_outliers.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from ..model import FailureState
-from .outlier_detection import MAX_BACKOFF_DOUBLINGS, PROBE_BACKOFF_US
+from .outlier_detection import start_probe_pause
 
 EJECT_ZONE_AFTER = 8  # failures in a row over all of its servers: far more than chance or one server gives
 
@@ -38,8 +38,7 @@
         """Start the pause before the next probe, if an attempt that goes there now is a probe."""
         state = self.zones.get(zone)
         if state and state.consecutive_failures >= EJECT_ZONE_AFTER and now >= state.next_probe_at:
-            state.next_probe_at = now + (PROBE_BACKOFF_US << min(state.probes, MAX_BACKOFF_DOUBLINGS))
-            state.probes += 1
+            start_probe_pause(state, now)
 
     def forget_unlisted(self, zones: set[str]) -> None:
         """Drop what is known of zones other than these."""
