--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -81,9 +81,8 @@
         self.servers: dict[str, Server] = {}  # by name
         self.origins: list[Server] = []  # the ready ones
         self.in_flight = 0  # attempts, at all servers
-        self.timers: list[
-            tuple[int, int, Request]
-        ] = []  # a heap: when, a running number, whom to decide again
+        # A heap: when, a running number, and the request to decide again.
+        self.timers: list[tuple[int, int, Request]] = []
         self.timer_count = 0
         self.first_attempts: deque[Request] = deque()  # due now, and not sent yet
         self.retries: deque[Request] = deque()  # due now, and sent before
--- a/ivystack/balancing/placement.py
+++ b/ivystack/balancing/placement.py
@@ -20,9 +20,8 @@
 MAX_LOCATIONS = 3  # of a key with few replicas, its spare included
 CACHED_LOCATIONS = 4_000  # keys' servers that are kept: about 1 MB
 CRASHED_SLOT_US = 40_000_000  # a server that left without draining keeps its slot: longer than most outages
-DIGIT_PARTS = (
-    64  # of a digit where sizes differ widely: whole ones give a far smaller slot one replica's keys or none
-)
+# Of a digit, where sizes differ widely: whole ones give a far smaller slot one replica's keys or none.
+DIGIT_PARTS = 64
 # Digits that one hash block of 512 bits gives: 32 use up under 400 bits while slots stay below 4096, 16 in 64
 # parts under 300, so each digit is even to within 2^-100.
 DIGITS_A_BLOCK = 32
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -98,9 +98,8 @@
     one = make_fleet(2)[0]
     for server in one.servers.values():
         one.gossip.note(server, GossipedOutcome.FAILED, 0)
-        one.gossip.note(
-            server, GossipedOutcome.ON_TIME, FAILURE_DELAY_US // 2
-        )  # a good one does not put it off
+        # A good one does not put it off.
+        one.gossip.note(server, GossipedOutcome.ON_TIME, FAILURE_DELAY_US // 2)
     sent = [r.datagram for r in one.next_wakeup(FAILURE_DELAY_US).due if isinstance(r, SendGossip)]
     assert len(sent) == 1 and len(sent[0]) == OUTCOME_BYTES * len(one.servers)
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -40,9 +40,8 @@
         server.admitted_share,
         balancer.limiter.common_share,
     ) == (0, 1, 1)
-    balancer.record_outcome(
-        behind.attempts[0], Outcome.TIMED_OUT, S + 20
-    )  # a lone one at a server heard from just now: the same
+    # A lone one at a server heard from just now: the same.
+    balancer.record_outcome(behind.attempts[0], Outcome.TIMED_OUT, S + 20)
     assert before - 1 < server.concurrency_limit and server.health.consecutive_failures == 1
     further = make_request(arrived_at=S)
     balancer.route(further, S)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -12,9 +12,8 @@
     for _ in range(3):
         balancer.outliers.record_failure(server.health, False, 0)
     assert all(balancer.select_server(make_request(), 10) is not server for _ in range(20))
-    assert (
-        balancer.select_server(make_request(), S) is not server
-    )  # it was looked at long before this request came: none passed by
+    # It was looked at long before this request came: none passed by.
+    assert balancer.select_server(make_request(), S) is not server
     server.health.skipped_requests = 4
     assert balancer.select_server(make_request(), S) is server
     balancer.outliers.note_return(server, S)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -78,9 +78,8 @@
     request, decision = route_after_miss(balancer, 0)
     assert isinstance(decision, Send) and decision.timeout_at > S  # after the latency objective
     assert balancer.next_wakeup(S - 1).due == []
-    assert balancer.next_wakeup(S).due == [request] and balancer.route(request, S) == Reject(
-        5
-    )  # at once, not at `until`
+    # At once, not when the attempt times out.
+    assert balancer.next_wakeup(S).due == [request] and balancer.route(request, S) == Reject(5)
     request.concluded = True
     assert balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, S + 1) == OutcomeDecision(
         Done(), []
--- a/tests/test_server_load.py
+++ b/tests/test_server_load.py
@@ -45,9 +45,8 @@
     before = placed_names(balancer)
     balancer.update_endpoints(make_weighted_servers(0.0, -1.0, nan, inf), False, S)
     assert placed_names(balancer) == before and all(server.load == 0 for server in balancer.placement.slots)
-    assert placed_names(
-        make_balancer(make_weighted_servers(0.0, nan, 0.0), live_weights=True)
-    )  # nor where nothing else was ever told
+    # Nor where no other weight was ever listed.
+    assert placed_names(make_balancer(make_weighted_servers(0.0, nan, 0.0), live_weights=True))
 
 
 def test_own_attempts_count_on_top_of_the_listed_load():
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -123,9 +123,8 @@
         server.load, server.load_reported_at = load, S
         left = sum(balancer.selector.queues_too_long(server, request.request_class, S) for _ in range(100))
         assert least <= left <= most
-    assert not balancer.selector.queues_too_long(
-        server, make_request().request_class, S
-    )  # nothing known yet of how long such requests take
+    # Nothing known yet of how long such requests take.
+    assert not balancer.selector.queues_too_long(server, make_request().request_class, S)
 
 
 def test_a_full_replica_that_is_the_only_one_left_lets_the_walk_go_on():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -22,9 +22,8 @@
         initial_fraction=0.1,
         warm_up_time=100 * S,
     )
-    assert (
-        sum(isinstance(balancer.route(make_request(key=key), 2), Send) for key in range(400)) < 80
-    )  # all are cold
+    # All are warming up.
+    assert sum(isinstance(balancer.route(make_request(key=key), 2), Send) for key in range(400)) < 80
 
 
 def test_a_warming_server_takes_nothing_that_its_keys_other_replicas_cannot():
@@ -36,9 +35,8 @@
     assert 60 < picks[cold] < 140  # its own turns
     cold.started_at = 0
     assert {balancer.select_server(make_ranked_request(2 * S), 2 * S) for _ in range(50)} == {cold}
-    balancer = make_balancer(
-        make_servers(6), initial_fraction=0.5, warm_up_time=20 * S, overload_factor=4.0
-    )  # as much as it is said to bear
+    # As much as it is said to bear.
+    balancer = make_balancer(make_servers(6), initial_fraction=0.5, warm_up_time=20 * S, overload_factor=4.0)
     cold, other = balancer.placement.replicas(7, 2)
     cold.started_at, other.admitted_share = 2 * S, 0.0
     assert {balancer.select_server(make_ranked_request(2 * S), 2 * S) for _ in range(50)} == {cold}
