--- a/ivystack/configuration/process.py
+++ b/ivystack/configuration/process.py
@@ -67,7 +67,7 @@
         """Return a line for each value that is allowed but seldom meant, with its key."""
         lines = []
         settings = self.settings
-        least = settings.balancer.MARGIN * settings.balancer.tick
+        least = settings.balancer.parameters.clock_margin
         for place, request_class in enumerate(settings.request_classes.values()):
             window, key = request_class.dedup_window, f"settings.methods[{place}].window"
             if request_class.idempotency is not Idempotency.KEYED:
