--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -20,7 +20,7 @@
 from twisted.internet import defer, reactor
 
 from ivystack.consensus.core import Save
-from ivystack.consensus.forms import DATA, Config, Entry, Snapshot
+from ivystack.consensus.messages import EntryKind, Configuration, Entry, Snapshot
 from ivystack.consensus.store import FILE, Store
 from ivystack.rig.play import Rig
 from ivystack.rig.scenario import checked
@@ -33,11 +33,11 @@
     store = Store(folder, lambda call, *values: None, print)
     store.open()
     base = store.connect(folder / FILE)
-    store.write(base, Save(0, 1, "", 2, [], Snapshot(1, 1, Config(("a",))), 1))
+    store.write(base, Save(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
     at, end = 2, time.monotonic() + seconds
     began = time.monotonic()
     while time.monotonic() < end:
-        entries = [Entry(1, DATA, bytes(PAYLOAD))] * each
+        entries = [Entry(1, EntryKind.DATA, bytes(PAYLOAD))] * each
         base.execute("BEGIN IMMEDIATE")
         store.write(base, Save(0, 1, "", at, entries, None, 1))
         base.execute("COMMIT")
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -14,23 +14,21 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from .forms import (  # fmt: skip
-    CONFIG,
-    DATA,
-    NOTHING,
-    Append,
-    Appended,
-    Ask,
-    Config,
+from .messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Configuration,
+    DataLossDetected,
     Entry,
-    Hand,
-    Install,
+    EntryKind,
+    InstallSnapshot,
     Message,
-    Older,
+    RequestVote,
     Snapshot,
-    Vote,
-    config_of,
-    packed,
+    TimeoutNow,
+    VoteReply,
+    decode_configuration,
+    encode,
 )
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
@@ -85,10 +83,10 @@
         self.term, self.voted, self.snapshot = term, voted, snapshot
         self.base, self.base_term = snapshot.index, snapshot.term  # what lies before the first entry kept
         self.entries = list(entries)
-        self.configs: list[tuple[int, Config]] = [(snapshot.index, snapshot.config)]
+        self.configs: list[tuple[int, Configuration]] = [(snapshot.index, snapshot.configuration)]
         for at, entry in enumerate(self.entries, self.base + 1):
-            if entry.kind == CONFIG:
-                self.configs.append((at, config_of(entry.data)))
+            if entry.kind == EntryKind.CONFIGURATION:
+                self.configs.append((at, decode_configuration(entry.data)))
         self.commit = self.applied = snapshot.index
         self.stable = self.last()
         self.role, self.leader = FOLLOWER, ""
@@ -131,7 +129,7 @@
         return self.entries[index - self.base - 1]
 
     @property
-    def config(self) -> Config:
+    def config(self) -> Configuration:
         return self.configs[-1][1]
 
     def majority(self, ids, voters: tuple[str, ...] | None = None) -> bool:
@@ -143,8 +141,8 @@
         first = self.last() + 1
         self.entries += entries
         for at, entry in enumerate(entries, first):
-            if entry.kind == CONFIG:
-                self.configs.append((at, config_of(entry.data)))
+            if entry.kind == EntryKind.CONFIGURATION:
+                self.configs.append((at, decode_configuration(entry.data)))
         self.mark(first)
 
     def cut(self, index: int) -> None:
@@ -201,7 +199,7 @@
             self.voted = self.ident
             self.mark()
         term = self.term + 1 if pre else self.term
-        asked = Ask(term, self.last(), self.term_at(self.last()), pre, handed)
+        asked = RequestVote(term, self.last(), self.term_at(self.last()), pre, handed)
         for one in self.config.voters:
             if one != self.ident:
                 self.say(one, asked, not pre)
@@ -224,13 +222,13 @@
         self.peers = {}
         self.round = 0
         self.meet(now)
-        self.append(Entry(self.term, NOTHING))
+        self.append(Entry(self.term, EntryKind.NO_OP))
         self.due = now
         self.flush = True
 
     def meet(self, now: int) -> None:
         """Followers as the configuration has them."""
-        wanted = [one for one in self.config.everybody() if one != self.ident]
+        wanted = [one for one in self.config.all_members() if one != self.ident]
         for one in wanted:
             self.peers.setdefault(one, Peer(self.last() + 1, acked_at=now))
         for one in [*self.peers]:
@@ -264,7 +262,7 @@
         if peer.next <= self.base and self.term_at(peer.next - 1) is None:
             if beat or not peer.probing:
                 peer.probing = True
-                self.say(to, Install(self.term, self.snapshot, self.round), False)
+                self.say(to, InstallSnapshot(self.term, self.snapshot, self.round), False)
             return
         before = peer.next - 1
         most = [] if peer.probing and not beat else self.entries[before - self.base :][: self.each]
@@ -280,7 +278,9 @@
             return
         entries = tuple(most[:chosen])
         commit = min(self.commit, before + chosen)
-        self.say(to, Append(self.term, before, self.term_at(before), entries, commit, self.round), False)
+        self.say(
+            to, AppendEntries(self.term, before, self.term_at(before), entries, commit, self.round), False
+        )
         if not peer.probing:
             peer.next += chosen
 
@@ -289,42 +289,42 @@
     def receive(self, now: int, frm: str, message: Message) -> None:
         if self.withdrawn:
             return
-        if isinstance(message, Ask):
+        if isinstance(message, RequestVote):
             return self.asked(now, frm, message)
-        if isinstance(message, Vote):
-            if message.term > self.term and not (message.pre and message.yes):
+        if isinstance(message, VoteReply):
+            if message.term > self.term and not (message.pre_vote and message.granted):
                 return self.raise_term(message.term, now)
             wanted = self.term + 1 if self.pre else self.term
-            right = self.role == CANDIDATE and message.pre == self.pre and message.term == wanted
-            if right and message.yes:
+            right = self.role == CANDIDATE and message.pre_vote == self.pre and message.term == wanted
+            if right and message.granted:
                 self.votes.add(frm)
                 self.count_votes(now)
             return
         if message.term > self.term:
             self.raise_term(message.term, now)
-        if isinstance(message, Append | Install):
+        if isinstance(message, AppendEntries | InstallSnapshot):
             return self.told(now, frm, message)
         if message.term < self.term:
             return
-        if isinstance(message, Appended):
+        if isinstance(message, AppendEntriesReply):
             self.answered(now, frm, message)
-        elif isinstance(message, Hand):
+        elif isinstance(message, TimeoutNow):
             if self.ident in self.config.voters and self.role != LEADER:
                 self.campaign(now, False, True)
-        elif isinstance(message, Older) and frm == self.leader:
+        elif isinstance(message, DataLossDetected) and frm == self.leader:
             self.withdrawn = True
 
-    def asked(self, now: int, frm: str, message: Ask) -> None:
+    def asked(self, now: int, frm: str, message: RequestVote) -> None:
         led = self.role == LEADER or now - self.heard < self.election
-        if led and not message.handed:  # 4.2.3: one that was removed or cut off unseats nobody
+        if led and not message.leadership_transfer:  # 4.2.3: one that was removed or cut off unseats nobody
             return
         if message.term < self.term:
-            return self.say(frm, Vote(self.term, False, message.pre))
+            return self.say(frm, VoteReply(self.term, False, message.pre_vote))
         mine = (self.term_at(self.last()), self.last())
-        good = (message.last, message.index) >= mine
-        if message.pre:
+        good = (message.last_log_term, message.last_log_index) >= mine
+        if message.pre_vote:
             yes = good and message.term > self.term
-            return self.say(frm, Vote(message.term if yes else self.term, yes, True))
+            return self.say(frm, VoteReply(message.term if yes else self.term, yes, True))
         if message.term > self.term:
             self.raise_term(message.term, now)
         yes = good and self.voted in ("", frm)
@@ -333,42 +333,47 @@
                 self.voted = frm
                 self.mark()
             self.due = now + self.patience()
-        self.say(frm, Vote(self.term, yes))
+        self.say(frm, VoteReply(self.term, yes))
 
-    def told(self, now: int, frm: str, message: Append | Install) -> None:
+    def told(self, now: int, frm: str, message: AppendEntries | InstallSnapshot) -> None:
         """A leader's entries or snapshot."""
         if message.term < self.term:
-            return self.say(frm, Appended(self.term, False, 0, message.round, self.last()))
+            return self.say(frm, AppendEntriesReply(self.term, False, 0, message.round, self.last()))
         if self.role != FOLLOWER or self.leader != frm:
             self.follow(now, frm)
         self.heard = now
         self.due = now + self.patience()
-        if isinstance(message, Install):
+        if isinstance(message, InstallSnapshot):
             return self.install(frm, message)
-        before = self.term_at(message.index)
-        if message.index < self.base:  # what is before our snapshot is committed, and so alike
-            skip = self.base - message.index
-            message = Append(
-                message.term, self.base, self.base_term, message.entries[skip:], message.commit, message.round
+        before = self.term_at(message.prev_log_index)
+        if message.prev_log_index < self.base:  # what is before our snapshot is committed, and so alike
+            skip = self.base - message.prev_log_index
+            message = AppendEntries(
+                message.term,
+                self.base,
+                self.base_term,
+                message.entries[skip:],
+                message.leader_commit,
+                message.round,
             )
             before = self.base_term
-        if before != message.last:
-            hint = min(message.index - 1, self.last())
+        if before != message.prev_log_term:
+            hint = min(message.prev_log_index - 1, self.last())
             if before is not None:  # the whole of a term that differs is left out
                 while hint > self.commit and self.term_at(hint) == before:
                     hint -= 1
-            return self.say(frm, Appended(self.term, False, hint, message.round, self.last()))
-        for at, entry in enumerate(message.entries, message.index + 1):
+            return self.say(frm, AppendEntriesReply(self.term, False, hint, message.round, self.last()))
+        for at, entry in enumerate(message.entries, message.prev_log_index + 1):
             if self.term_at(at) != entry.term:
                 if at <= self.last():
                     self.cut(at)
-                self.append(*message.entries[at - message.index - 1 :])
+                self.append(*message.entries[at - message.prev_log_index - 1 :])
                 break
-        upto = message.index + len(message.entries)
-        self.commit = max(self.commit, min(message.commit, upto))
-        self.say(frm, Appended(self.term, True, upto, message.round, self.last()))
+        upto = message.prev_log_index + len(message.entries)
+        self.commit = max(self.commit, min(message.leader_commit, upto))
+        self.say(frm, AppendEntriesReply(self.term, True, upto, message.round, self.last()))
 
-    def install(self, frm: str, message: Install) -> None:
+    def install(self, frm: str, message: InstallSnapshot) -> None:
         snapshot = message.snapshot
         if snapshot.index > self.commit:
             if self.term_at(snapshot.index) != snapshot.term:
@@ -377,34 +382,34 @@
             else:
                 self.entries = self.entries[snapshot.index - self.base :]
                 self.configs = [one for one in self.configs if one[0] > snapshot.index]
-            self.configs.insert(0, (snapshot.index, snapshot.config))
+            self.configs.insert(0, (snapshot.index, snapshot.configuration))
             self.base, self.base_term = snapshot.index, snapshot.term
             self.snapshot = self.new_snapshot = self.restore = snapshot
             self.commit = self.applied = snapshot.index
             self.stable = max(snapshot.index, min(self.stable, self.last()))
             self.mark(self.base + 1)
-        self.say(frm, Appended(self.term, True, max(snapshot.index, 0), message.round, self.last()))
+        self.say(frm, AppendEntriesReply(self.term, True, max(snapshot.index, 0), message.round, self.last()))
 
-    def answered(self, now: int, frm: str, message: Appended) -> None:
+    def answered(self, now: int, frm: str, message: AppendEntriesReply) -> None:
         peer = self.peers.get(frm)
         if self.role != LEADER or peer is None:
             return
         peer.acked_at = now
         peer.acked = max(peer.acked, message.round)
-        if message.yes:
-            if message.index > peer.match:
-                peer.match, peer.matched = message.index, self.round
+        if message.success:
+            if message.match_index > peer.match:
+                peer.match, peer.matched = message.match_index, self.round
             peer.next = max(peer.next, peer.match + 1)
             peer.probing = False
             self.advance(now)
             self.send(frm, now)
-        elif message.last < peer.match and message.round > peer.matched:
+        elif message.last_log_index < peer.match and message.round > peer.matched:
             # It answers what was said after it had acknowledged more: that is gone from its disk.
-            self.say(frm, Older(self.term), False)
+            self.say(frm, DataLossDetected(self.term), False)
             del self.peers[frm]
             return
-        elif message.index < peer.next - 1:
-            peer.next = max(peer.match, message.index) + 1
+        elif message.match_index < peer.next - 1:
+            peer.next = max(peer.match, message.match_index) + 1
             peer.probing = True
             self.send(frm, now, True)
         self.answer_reads()
@@ -429,11 +434,13 @@
 
     # What the caller wants.
 
-    def propose(self, data: bytes, kind: str = DATA) -> tuple[int, int] | None:
+    def propose(self, data: bytes, kind: str = EntryKind.DATA) -> tuple[int, int] | None:
         """The index and term of a new entry; None where we do not lead."""
         if self.role != LEADER or self.handing or self.withdrawn:
             return None
-        if self.last() - self.commit >= WAITING and kind == DATA:  # guards the memory of one that is cut off
+        if (
+            self.last() - self.commit >= WAITING and kind == EntryKind.DATA
+        ):  # guards the memory of one that is cut off
             return None
         self.append(Entry(self.term, kind, data))
         self.flush = True
@@ -444,12 +451,12 @@
         settled = self.configs[-1][0] <= self.commit and self.term_at(self.commit) == self.term
         return self.role == LEADER and settled and not self.handing
 
-    def change(self, config: Config, now: int) -> bool:
+    def change(self, config: Configuration, now: int) -> bool:
         """Another configuration, if it differs by one voter at most and the last one is settled."""
         differ = {*config.voters} ^ {*self.config.voters}
         if not self.may_change() or len(differ) > 1 or not config.voters:
             return False
-        self.propose(packed(config), CONFIG)
+        self.propose(encode(config), EntryKind.CONFIGURATION)
         self.meet(now)
         return True
 
@@ -484,7 +491,7 @@
         if self.peers[to].match < self.last():
             return False
         self.handing = now + 2 * self.election
-        self.say(to, Hand(self.term), False)
+        self.say(to, TimeoutNow(self.term), False)
         return True
 
     def compact(self, index: int, data: bytes) -> None:
--- a/ivystack/consensus/council.py
+++ b/ivystack/consensus/council.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from .core import Core
-from .forms import Config
+from .messages import Configuration
 
 LATE = 64  # entries that a learner may lack to be promoted
 
@@ -24,7 +24,7 @@
     return one.rpartition("/")[0]
 
 
-def next_config(core: Core, wanted: list[str], knocking: dict[str, str], now: int) -> Config | None:
+def next_config(core: Core, wanted: list[str], knocking: dict[str, str], now: int) -> Configuration | None:
     """The next step towards members of just these names; `knocking` are ids, by name, of processes that say
     they are no members.  None: nothing to change, or not now."""
     if not core.may_change():
@@ -33,10 +33,10 @@
     heard = {one for one, peer in core.peers.items() if now - peer.acked_at < core.election} | {core.ident}
     by_name = {name_of(one): one for one in config.voters}
 
-    def without(one: str) -> Config | None:
+    def without(one: str) -> Configuration | None:
         voters = tuple(other for other in config.voters if other != one)
         learners = tuple(other for other in config.learners if other != one)
-        return Config(voters, learners) if core.majority(heard, voters) else None
+        return Configuration(voters, learners) if core.majority(heard, voters) else None
 
     for one in config.learners:  # superseded or not wanted any more
         new = knocking.get(name_of(one), one)
@@ -51,13 +51,13 @@
             step = without(old) if old != core.ident else None
         else:
             rest = tuple(other for other in config.learners if other != one)
-            step = Config((*config.voters, one), rest)
+            step = Configuration((*config.voters, one), rest)
         if step is not None:
             return step
     for name in wanted:
         new = knocking.get(name)
-        if new is not None and new not in config.everybody():
-            return Config(config.voters, (*config.learners, new))
+        if new is not None and new not in config.all_members():
+            return Configuration(config.voters, (*config.learners, new))
     for one in config.voters:
         if name_of(one) not in wanted and len(config.voters) > 1 and all(n in by_name for n in wanted):
             step = without(one)
--- a/ivystack/consensus/member.py
+++ b/ivystack/consensus/member.py
@@ -16,7 +16,7 @@
 
 from .core import LEADER, Core
 from .council import ident, name_of, next_config
-from .forms import DATA, Config, Entry, Install, Message, Snapshot, packed
+from .messages import EntryKind, Configuration, Entry, InstallSnapshot, Message, Snapshot, encode
 from .machine import Machine, NewerError
 from .store import Loaded, Store, UnfitError
 
@@ -205,7 +205,7 @@
                 self.noted(part, name, args, answer)
                 self.answer(asker, number, True, answer)
                 continue
-            answer = self.machine.apply(entry.data) if entry.kind == DATA else None
+            answer = self.machine.apply(entry.data) if entry.kind == EntryKind.DATA else None
             self.applied = index
             term, asker, number = self.waiting.pop(index, (0, ("", None), 0))
             if term:
@@ -273,7 +273,7 @@
         if self.core is None:
             return
         config, now = self.core.config, self.now()
-        if self.ident not in config.everybody() or not self.core.leader:
+        if self.ident not in config.all_members() or not self.core.leader:
             for name in self.wanted:
                 if name != self.name:
                     self.mesh.say(name, "knock", (self.ident, bool(config.voters)))
@@ -292,12 +292,12 @@
         if self.wanted[0] != self.name or any(name not in fresh or fresh[name][1] for name in others):
             return
         voters = (self.ident, *(fresh[name][0] for name in others))
-        first = Snapshot(1, 1, Config(voters))
+        first = Snapshot(1, 1, Configuration(voters))
         logger.info("group: begun voters={}", " ".join(voters))
-        self.core.receive(self.now(), self.ident, Install(1, first, 0))
+        self.core.receive(self.now(), self.ident, InstallSnapshot(1, first, 0))
         self.act()
         for name in others:
-            self.mesh.say(name, "raft", (self.ident, fresh[name][0], Install(1, first, 0)))
+            self.mesh.say(name, "raft", (self.ident, fresh[name][0], InstallSnapshot(1, first, 0)))
 
     def of_group(self, frm: str) -> bool:
         """Guards the group against a peer that has a key and speaks as if it were a member."""
@@ -328,7 +328,7 @@
         if self.core is None or self.core.role != LEADER:
             return self.refuse(asker, number)
         who = f"{frm}/{self.mesh.life if own else self.mesh.link.life}"
-        data = packed(what)
+        data = encode(what)
         fit = how == "look" or (self.machine.knows(what) and what[0] == who and len(data) <= ENTRY)
         if not fit or not self.may(who, *what[-3:]):
             self.mesh.count("not-allowed", frm)
@@ -352,7 +352,7 @@
         self.count += 1
         # By term and number, since no client of that name ever asks twice.
         who = f"{self.ident} {self.core.term}"
-        if self.core.propose(packed((who, self.count, part, name, args))) is not None:
+        if self.core.propose(encode((who, self.count, part, name, args))) is not None:
             self.act()
 
     def refuse(self, asker: Asker, number: int) -> None:
--- a/ivystack/consensus/planted.py
+++ b/ivystack/consensus/planted.py
@@ -4,7 +4,7 @@
 """
 
 PLANTED = {
-    "a vote for a shorter log": ("good = (message.last, message.index) >= mine", "good = True"),
+    "a vote for a shorter log": ("good = (message.last_log_term, message.last_log_index) >= mine", "good = True"),
     "two votes in a term": ('yes = good and self.voted in ("", frm)', "yes = good"),
     "promises before they are on disk": ("if promise and (self.dirty or self.writing):", "if False:"),
     "half of the voters for a majority": (
@@ -21,7 +21,7 @@
         "(self.stable if one == self.ident", "(self.last() if one == self.ident"
     ),
     "keeps what differs from the leader's": ("if self.term_at(at) != entry.term:", "if at > self.last():"),
-    "takes entries without looking at what is before": ("if before != message.last:", "if before is None:"),
+    "takes entries without looking at what is before": ("if before != message.prev_log_term:", "if before is None:"),
     "reads without asking a majority": (
         "if not self.majority(sure):\n                return", "if False:\n                return"
     ),
@@ -37,14 +37,14 @@
         "        self.term, self.voted = term, \"\"\n", "        self.term = term\n"
     ),
     "learners count for a majority": (
-        "voters = self.config.voters if voters is None else voters", "voters = self.config.everybody()"
+        "voters = self.config.voters if voters is None else voters", "voters = self.config.all_members()"
     ),
     "applies again what a snapshot holds": (
         "self.commit = self.applied = snapshot.index\n            self.stable",
         "self.commit = snapshot.index\n            self.stable",
     ),
     "never looks further back in a follower's log": (
-        "            peer.next = max(peer.match, message.index) + 1\n", ""
+        "            peer.next = max(peer.match, message.match_index) + 1\n", ""
     ),
 }  # fmt: skip
 
--- a/ivystack/consensus/sim.py
+++ b/ivystack/consensus/sim.py
@@ -16,7 +16,7 @@
 
 from . import core as real
 from .council import ident, name_of, next_config
-from .forms import Config, Entry, Snapshot
+from .messages import Configuration, Entry, Snapshot
 
 MS = 1000
 BEAT, ELECTION = 50 * MS, 200 * MS
@@ -82,7 +82,7 @@
         """A new directory: a new life."""
         self.lives += 1
         self.ident = ident(self.name, str(self.lives))
-        self.disk = disk or Disk(0, "", Snapshot(0, 0, Config()))
+        self.disk = disk or Disk(0, "", Snapshot(0, 0, Configuration()))
 
     def start(self) -> None:
         self.begin += 1
@@ -122,7 +122,7 @@
         if begin != self.begin or self.core is None:
             return
         if not self.core.withdrawn and (
-            self.ident not in self.core.config.everybody() or not self.core.leader
+            self.ident not in self.core.config.all_members() or not self.core.leader
         ):
             for other in self.sim.members.values():
                 self.sim.send(self, other.name, "knock", self.ident)
@@ -217,7 +217,7 @@
         self.faults: list[str] = []
         for member in self.members.values():
             member.fresh(None)
-        first = Snapshot(1, 1, Config(tuple(one.ident for one in self.members.values())))
+        first = Snapshot(1, 1, Configuration(tuple(one.ident for one in self.members.values())))
         for member in self.members.values():
             member.disk = Disk(1, "", first, base=1)
         self.log[1] = (b"", b"")
--- a/ivystack/consensus/store.py
+++ b/ivystack/consensus/store.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from .core import Save
-from .forms import VERSION, Config, Entry, Snapshot, packed
+from .messages import FORMAT_VERSION, Configuration, Entry, Snapshot, encode
 
 FILE, LOCK = "agreed.sqlite", "lock"
 # A marker that is made once and never touched, and how many commits were acknowledged, in two slots in turn.
@@ -98,18 +98,18 @@
             raise UnfitError("lost", f"{fault.filename}: {fault.strerror}") from None
 
     def create(self) -> Loaded:
-        life, nothing = secrets.token_hex(4), Snapshot(0, 0, Config())
+        life, nothing = secrets.token_hex(4), Snapshot(0, 0, Configuration())
         try:
             with closing(self.connect(self.file)) as base:
                 base.executescript(TABLES)
-                self.put(base, "head", packed((VERSION, "", 0, 0, 0)))
-                self.put(base, "snapshot", packed(nothing))
+                self.put(base, "head", encode((FORMAT_VERSION, "", 0, 0, 0)))
+                self.put(base, "snapshot", encode(nothing))
                 with open(self.tail, "xb") as tail, open(self.mark, "xb") as mark:
                     self.acknowledge(tail.fileno(), 0)
                     os.fsync(mark.fileno())
                 self.sync_folder()
                 # Last: without it the directory counts as lost.
-                self.put(base, "identity", packed((VERSION, life, *self.marked())))
+                self.put(base, "identity", encode((FORMAT_VERSION, life, *self.marked())))
         except (OSError, sqlite3.Error) as fault:
             raise UnfitError("unwritable", f"{self.folder}: {fault}") from None
         return Loaded(life, 0, "", nothing, [], False)
@@ -163,8 +163,8 @@
             if (*known,) != marked:
                 raise UnfitError("older", f"{self.folder}: a copy; what it lacks can't be known")
             version, voted, term, last, self.commits = head_of(self.get(base, "head"))
-            if version != VERSION:
-                raise UnfitError("newer", f"{file}: version {version}, this program reads {VERSION}")
+            if version != FORMAT_VERSION:
+                raise UnfitError("newer", f"{file}: version {version}, this program reads {FORMAT_VERSION}")
             if not told <= self.commits <= told + 1:  # one more: it ended between the two
                 raise UnfitError("older", f"{file}: {self.commits} commits, {told} were acknowledged")
             snapshot = snapshot_of(self.get(base, "snapshot"))
@@ -276,12 +276,12 @@
 
     def write(self, base: sqlite3.Connection, save: Save) -> None:
         if save.snapshot is not None:
-            self.put(base, "snapshot", packed(save.snapshot))
+            self.put(base, "snapshot", encode(save.snapshot))
         base.execute("DELETE FROM entry WHERE at >= ? OR at < ?", (save.first, save.kept_from))
         rows = []
         for at, entry in enumerate(save.entries, save.first):
-            value = packed(entry)
+            value = encode(entry)
             rows.append((at, value, digest(f"entry {at}", value)))
         base.executemany("INSERT INTO entry VALUES (?, ?, ?)", rows)
         last = save.first + len(save.entries) - 1
-        self.put(base, "head", packed((VERSION, save.voted, save.term, last, self.commits)))
+        self.put(base, "head", encode((FORMAT_VERSION, save.voted, save.term, last, self.commits)))
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -14,16 +14,15 @@
 
 from ivystack.consensus import core as real
 from ivystack.consensus.core import Save
-from ivystack.consensus.forms import (  # fmt: skip
-    CONFIG,
-    DATA,
-    Append,
-    Appended,
-    Ask,
-    Config,
+from ivystack.consensus.messages import (
+    EntryKind,
+    AppendEntries,
+    AppendEntriesReply,
+    RequestVote,
+    Configuration,
     Entry,
-    Install,
-    Older,
+    InstallSnapshot,
+    DataLossDetected,
     Snapshot,
 )
 from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, NewerError, Table
@@ -36,6 +35,7 @@
 
 MS = 1000
 VOTERS = ("a/1", "b/1", "c/1")
+GROUP = Configuration(VOTERS)
 
 
 def test_three_hundred_schedules_with_every_fault_hold():
@@ -60,7 +60,7 @@
 # Schedules written out.
 
 
-def member(module=real, ident="b/1", entries=(), config=Config(VOTERS), index=1, term=1, now=10_000 * MS):  # noqa: B008
+def member(module=real, ident="b/1", entries=(), config=GROUP, index=1, term=1, now=10_000 * MS):
     return module.Core(
         ident, now, Random(1), 50 * MS, 200 * MS, term=term, voted="", snapshot=Snapshot(index, term, config),
         entries=list(entries),
@@ -80,42 +80,42 @@
 
 def vote_is_written(module):
     core = member(module)
-    core.receive(10_000 * MS, "a/1", Ask(2, 0, 0))  # a shorter log: no vote, but the term rises
-    assert not [m for _, m in written(core) if m.yes]
-    core.receive(10_000 * MS, "c/1", Ask(2, 1, 1))
+    core.receive(10_000 * MS, "a/1", RequestVote(2, 0, 0))  # a shorter log: no vote, but the term rises
+    assert not [m for _, m in written(core) if m.granted]
+    core.receive(10_000 * MS, "c/1", RequestVote(2, 1, 1))
     out = core.take(10_000 * MS)
     assert out.save is not None and out.save.voted == "c/1" and not out.messages
     core.saved(out.save.number, 10_000 * MS)
-    assert core.take(10_000 * MS).messages[0][1].yes
+    assert core.take(10_000 * MS).messages[0][1].granted
 
 
 def configuration_goes_with_its_entry(module):
     core = member(module)
-    new = Entry(1, CONFIG, real.packed(Config((*VOTERS, "d/1"))))
-    core.receive(10_000 * MS, "a/1", Append(1, 1, 1, (new,), 1, 1))
+    new = Entry(1, EntryKind.CONFIGURATION, real.encode(Configuration((*VOTERS, "d/1"))))
+    core.receive(10_000 * MS, "a/1", AppendEntries(1, 1, 1, (new,), 1, 1))
     assert len(core.config.voters) == 4
-    core.receive(10_000 * MS, "c/1", Append(2, 1, 1, (Entry(2, "n"),), 1, 1))
+    core.receive(10_000 * MS, "c/1", AppendEntries(2, 1, 1, (Entry(2, "n"),), 1, 1))
     assert core.config.voters == VOTERS
 
 
 def older_snapshot_changes_nothing(module):
-    entries = [Entry(1, DATA, b"%d" % n) for n in range(9)]
+    entries = [Entry(1, EntryKind.DATA, b"%d" % n) for n in range(9)]
     core = member(module, entries=entries)
-    core.receive(10_000 * MS, "a/1", Append(1, 10, 1, (), 10, 1))
+    core.receive(10_000 * MS, "a/1", AppendEntries(1, 10, 1, (), 10, 1))
     written(core)
-    core.receive(10_000 * MS, "a/1", Install(1, Snapshot(5, 1, Config(VOTERS), b"old"), 2))
+    core.receive(10_000 * MS, "a/1", InstallSnapshot(1, Snapshot(5, 1, Configuration(VOTERS), b"old"), 2))
     assert core.take(10_000 * MS).restore is None and core.commit == core.applied == core.last() == 10
 
 
 def snapshot_takes_the_place_of_a_log_that_does_not_fit(module):
-    core = member(module, entries=[Entry(1, DATA, b"%d" % n) for n in range(9)])
-    core.receive(10_000 * MS, "c/1", Install(3, Snapshot(5, 2, Config(VOTERS), b"new"), 1))
+    core = member(module, entries=[Entry(1, EntryKind.DATA, b"%d" % n) for n in range(9)])
+    core.receive(10_000 * MS, "c/1", InstallSnapshot(3, Snapshot(5, 2, Configuration(VOTERS), b"new"), 1))
     assert core.last() == 5 and core.term_at(5) == 2
 
 
 def term_before_the_log_stays(module):
-    core = member(module, entries=[Entry(1, DATA, b"%d" % n) for n in range(300)])
-    core.receive(10_000 * MS, "a/1", Append(2, 301, 1, (), 301, 1))
+    core = member(module, entries=[Entry(1, EntryKind.DATA, b"%d" % n) for n in range(300)])
+    core.receive(10_000 * MS, "a/1", AppendEntries(2, 301, 1, (), 301, 1))
     written(core)
     core.compact(301, b"state")
     assert core.base == 301 - real.KEPT and core.term_at(core.base) == 1
@@ -142,11 +142,11 @@
     core = member(ident="a/1")
     core.campaign(10_000 * MS, False)
     written(core)
-    core.receive(10_000 * MS, "b/1", real.Vote(2, True))
+    core.receive(10_000 * MS, "b/1", real.VoteReply(2, True))
     written(core)
     assert core.role == real.LEADER
     for one in ("b/1", "c/1"):
-        core.receive(10_000 * MS, one, Appended(2, True, 2, core.round, 2))
+        core.receive(10_000 * MS, one, AppendEntriesReply(2, True, 2, core.round, 2))
     written(core)
     assert core.commit == 2
     return core
@@ -155,12 +155,14 @@
 def test_a_follower_that_lost_what_it_acknowledged_is_told_and_votes_no_more():
     core = leading()
     core.tick(10_060 * MS)
-    core.receive(10_060 * MS, "b/1", Appended(2, False, 0, core.round, 1))  # it had acknowledged entry 2
-    assert ("b/1", Older(2)) in written(core, 10_060 * MS) and "b/1" not in core.peers
+    core.receive(
+        10_060 * MS, "b/1", AppendEntriesReply(2, False, 0, core.round, 1)
+    )  # it had acknowledged entry 2
+    assert ("b/1", DataLossDetected(2)) in written(core, 10_060 * MS) and "b/1" not in core.peers
     old = member(ident="b/1", term=2)
-    old.receive(10_000 * MS, "a/1", Append(2, 1, 1, (), 1, 1))
-    old.receive(10_000 * MS, "a/1", Older(2))
-    old.receive(10_000 * MS, "c/1", Ask(9, 9, 9))
+    old.receive(10_000 * MS, "a/1", AppendEntries(2, 1, 1, (), 1, 1))
+    old.receive(10_000 * MS, "a/1", DataLossDetected(2))
+    old.receive(10_000 * MS, "c/1", RequestVote(9, 9, 9))
     assert old.take(10_000 * MS).withdrawn and old.term == 2
 
 
@@ -169,18 +171,20 @@
     assert core.hand_on(10_060 * MS) and core.propose(b"x") is None
     to, hand = written(core)[-1]
     other = member(ident=to, term=2, entries=[Entry(2, "n")])
-    other.receive(10_100 * MS, "a/1", Append(2, 2, 2, (), 2, 1))  # it has a leader, and is asked all the same
+    other.receive(
+        10_100 * MS, "a/1", AppendEntries(2, 2, 2, (), 2, 1)
+    )  # it has a leader, and is asked all the same
     other.receive(10_100 * MS, "a/1", hand)
-    asked = [m for _, m in written(other) if isinstance(m, Ask)]
-    assert asked and all(m.handed and not m.pre for m in asked)
+    asked = [m for _, m in written(other) if isinstance(m, RequestVote)]
+    assert asked and all(m.leadership_transfer and not m.pre_vote for m in asked)
     core.receive(10_100 * MS, to, asked[0])
     assert core.role == real.FOLLOWER and core.voted == to
 
 
 def test_a_member_that_was_cut_off_unseats_no_leader():
     core = leading()
-    core.receive(10_050 * MS, "c/1", Ask(99, 9, 9, True))
-    core.receive(10_050 * MS, "c/1", Ask(99, 9, 9))
+    core.receive(10_050 * MS, "c/1", RequestVote(99, 9, 9, True))
+    core.receive(10_050 * MS, "c/1", RequestVote(99, 9, 9))
     assert core.role == real.LEADER and core.term == 2
 
 
@@ -204,8 +208,8 @@
 def filled(folder, count=20):
     disk = Disk(folder)
     life = disk.store.open().life
-    entries = [Entry(1, DATA, b"entry %d" % n) for n in range(count)]
-    first = Snapshot(1, 1, Config(VOTERS), b"state")
+    entries = [Entry(1, EntryKind.DATA, b"entry %d" % n) for n in range(count)]
+    first = Snapshot(1, 1, Configuration(VOTERS), b"state")
     disk.save(Save(1, 1, "a/1", 2, entries[:9], first, 1), Save(2, 3, "b/1", 6, entries[9:], None, 1))
     assert disk.done == [1, 2] and not disk.fault
     return life, entries[:4] + entries[9:]
@@ -229,7 +233,7 @@
     life, entries = filled(tmp_path / "s")
     loaded = opened(tmp_path / "s")
     assert (loaded.life, loaded.term, loaded.voted, loaded.entries) == (life, 3, "b/1", entries)
-    assert loaded.snapshot == Snapshot(1, 1, Config(VOTERS), b"state") and loaded.begun
+    assert loaded.snapshot == Snapshot(1, 1, Configuration(VOTERS), b"state") and loaded.begun
 
 
 def test_each_record_that_is_changed_or_missing_is_found_and_nothing_is_cut_off(tmp_path):
@@ -309,14 +313,15 @@
 KILLED = """
 import os, sys
 from pathlib import Path
-from test_consensus import DATA, VOTERS, Config, Disk, Entry, Save, Snapshot
+from test_consensus import VOTERS, EntryKind, Configuration, Disk, Entry, Save, Snapshot
 
 disk = Disk(Path(sys.argv[1]))
 disk.store.open()
 disk.store.start()
-disk.store.save(Save(1, 1, "", 2, [], Snapshot(1, 1, Config(VOTERS)), 1), disk.done.append)
+disk.store.save(Save(1, 1, "", 2, [], Snapshot(1, 1, Configuration(VOTERS)), 1), disk.done.append)
 for number in range(20):
-    disk.store.save(Save(number + 2, 1, "", number + 2, [Entry(1, DATA, b"x")], None, 1), disk.done.append)
+    entry = Entry(1, EntryKind.DATA, b"x")
+    disk.store.save(Save(number + 2, 1, "", number + 2, [entry], None, 1), disk.done.append)
     while len(disk.done) < number + 2:
         pass
 os._exit(0)
@@ -357,14 +362,14 @@
     disk = Disk(tmp_path / "s")
     disk.store.open()
     disk.store.start()
-    good = Save(1, 1, "", 2, [Entry(1, DATA, b"x")], None, 1)
+    good = Save(1, 1, "", 2, [Entry(1, EntryKind.DATA, b"x")], None, 1)
     disk.store.save(good, disk.done.append)
     while not disk.done:
         pass
     os.rename(tmp_path / "s", tmp_path / "gone")  # taken away under it, and another put there
     Disk(tmp_path / "s").store.open()
     for number in (2, 3):
-        disk.store.save(Save(number, 1, "", 3, [Entry(1, DATA, b"x")], None, 1), disk.done.append)
+        disk.store.save(Save(number, 1, "", 3, [Entry(1, EntryKind.DATA, b"x")], None, 1), disk.done.append)
     disk.store.stop()
     assert disk.done == [1] and len(disk.fault) == 1 and "replaced" in disk.fault[0]
 
@@ -417,7 +422,7 @@
     machine = Machine()
 
     def do(client, number, *args):
-        return machine.apply(real.packed([client, number, "table", "set", list(args)]))
+        return machine.apply(real.encode([client, number, "table", "set", list(args)]))
 
     assert do("x", 1, "a", b"1", None) == [True, 1] == do("x", 1, "a", b"1", None)
     other = Machine()
@@ -441,9 +446,9 @@
     machine = Machine()
     for what in (["x", 1, "nothing", "set", []], ["x", 1, "table", "unheard", []], 5):
         with pytest.raises(NewerError):
-            machine.apply(real.packed(what))
+            machine.apply(real.encode(what))
     for args in ([1, 2], [], [{}]):
-        assert machine.apply(real.packed([f"x{args}", 1, "table", "set", args])) is None
+        assert machine.apply(real.encode([f"x{args}", 1, "table", "set", args])) is None
     assert machine.knows(["x/1", 1, "table", "set", []])
     for what in ([], ["x", 1, "table", "set"], ["x", 1, None, "set", []], ["x", 1, "table", "none", []],
                  ["x", "1", "table", "set", []], [5, 1, "table", "set", []], ["x", 1, "table", {}, []],
