--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,9 +19,10 @@
 from loguru import logger
 from twisted.internet import defer, reactor
 
-from ivystack.consensus.core import Save
-from ivystack.consensus.messages import EntryKind, Configuration, Entry, Snapshot
-from ivystack.consensus.store import FILE, Store
+from ivystack.consensus.messages import Configuration, Entry, EntryKind, Snapshot
+from ivystack.consensus.records import WriteBatch
+from ivystack.consensus.storage import Storage
+from ivystack.consensus.storage_files import DATABASE_FILE, connect
 from ivystack.rig.play import Rig
 from ivystack.rig.scenario import checked
 
@@ -30,16 +31,16 @@
 
 def disk(folder: Path, each: int, seconds: float) -> float:
     """Entries a second that the store writes, so many to a sync."""
-    store = Store(folder, lambda call, *values: None, print)
+    store = Storage(folder, lambda call, *values: None, print)
     store.open()
-    base = store.connect(folder / FILE)
-    store.write(base, Save(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
+    base = connect(folder / DATABASE_FILE)
+    store.write_batch(base, WriteBatch(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
     at, end = 2, time.monotonic() + seconds
     began = time.monotonic()
     while time.monotonic() < end:
         entries = [Entry(1, EntryKind.DATA, bytes(PAYLOAD))] * each
         base.execute("BEGIN IMMEDIATE")
-        store.write(base, Save(0, 1, "", at, entries, None, 1))
+        store.write_batch(base, WriteBatch(0, 1, "", at, entries, None, 1))
         base.execute("COMMIT")
         at += each
     spent = time.monotonic() - began
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -30,6 +30,7 @@
     decode_configuration,
     encode,
 )
+from .records import WriteBatch
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
 ENTRIES, BYTES = 256, 65_536  # in one message
@@ -38,22 +39,9 @@
 KEPT = 128  # entries before a snapshot that stay, for followers that are a little behind
 
 
-@dataclass
-class Save:
-    """What has to be on disk, whole or not at all: `entries` replace all from `first` on."""
-
-    number: int
-    term: int
-    voted: str
-    first: int
-    entries: list[Entry]
-    snapshot: Snapshot | None = None  # instead of all entries up to its own
-    kept_from: int = 1  # entries before it go
-
-
 @dataclass
 class Out:
-    save: Save | None = None
+    save: WriteBatch | None = None
     messages: list[tuple[str, Message]] = field(default_factory=list)
     restore: Snapshot | None = None  # the state is this, before what is applied
     applied: list[tuple[int, Entry]] = field(default_factory=list)
@@ -539,7 +527,7 @@
         if self.dirty and self.writing is None:
             self.number += 1
             first = max(self.first_dirty or self.last() + 1, self.base + 1)
-            out.save = Save(
+            out.save = WriteBatch(
                 self.number, self.term, self.voted, first, self.entries[first - self.base - 1 :],
                 self.new_snapshot, self.base + 1,
             )  # fmt: skip
--- a/ivystack/consensus/member.py
+++ b/ivystack/consensus/member.py
@@ -16,9 +16,10 @@
 
 from .core import LEADER, Core
 from .council import ident, name_of, next_config
-from .messages import EntryKind, Configuration, Entry, InstallSnapshot, Message, Snapshot, encode
+from .errors import FaultCode, StorageError
 from .machine import Machine, NewerError
-from .store import Loaded, Store, UnfitError
+from .messages import Configuration, Entry, EntryKind, InstallSnapshot, Message, Snapshot, encode
+from .storage import Storage, StoredState
 
 KNOCK = 500_000  # microseconds: who is no member says so
 FRESH = 4 * KNOCK  # a knock counts for so long
@@ -42,7 +43,7 @@
         self.reactor, self.deadlines, self.now, self.rng = reactor, deadlines, now, rng
         self.name, self.wanted, self.folder, self.mesh, self.machine = name, wanted, folder, mesh, machine
         self.beat, self.election = beat, election
-        self.store: Store | None = None
+        self.store: Storage | None = None
         self.core: Core | None = None
         self.ident = ""
         self.off = "opening"  # why we are no member of use; empty: we are
@@ -72,41 +73,43 @@
 
     def open(self) -> None:
         """On a thread: the directory, or why not."""
-        store = Store(self.folder, self.reactor.callFromThread, self.failed)
+        store = Storage(self.folder, self.reactor.callFromThread, self.failed)
         try:
             try:
                 loaded = store.open()
-            except UnfitError as fault:
+            except StorageError as fault:
                 if fault.code not in ("lost", "older", "spoilt"):
                     raise
-                aside = store.put_aside(fault.code)
+                aside = store.set_aside(fault.code)
                 self.reactor.callFromThread(self.begins_anew, str(fault), aside)
                 loaded = store.open()
-        except UnfitError as fault:
+        except StorageError as fault:
             store.close()
             self.reactor.callFromThread(self.unfit, fault)
         except Exception as fault:  # a directory that can't be moved, whatever else a disk may do
             store.close()
-            self.reactor.callFromThread(self.unfit, UnfitError("unwritable", f"{self.folder}: {fault}"))
+            self.reactor.callFromThread(
+                self.unfit, StorageError(FaultCode.UNWRITABLE, f"{self.folder}: {fault}")
+            )
         else:
             self.reactor.callFromThread(self.opened, store, loaded)
 
     def begins_anew(self, why: str, aside: Path) -> None:
         logger.error("group: {}; put aside as {}, we come back as a new member", why, aside)
 
-    def unfit(self, fault: UnfitError) -> None:
+    def unfit(self, fault: StorageError) -> None:
         if self.off != fault.code:
             logger.error("group: not a member code={} {}", fault.code, fault)
         self.off = fault.code
         if fault.code != "newer" and not self.stopped:
             self.deadlines.at(self.now() + AGAIN, self.start)
 
-    def opened(self, store: Store, loaded: Loaded) -> None:
+    def opened(self, store: Storage, loaded: StoredState) -> None:
         if self.stopped:
             return store.stop()
-        self.store, self.ident, self.off = store, ident(self.name, loaded.life), ""
+        self.store, self.ident, self.off = store, ident(self.name, loaded.incarnation), ""
         store.start()
-        self.run(loaded.term, loaded.voted, loaded.snapshot, loaded.entries)
+        self.run(loaded.term, loaded.voted_for, loaded.snapshot, loaded.entries)
         logger.info("group: member={} term={} entries={}", self.ident, loaded.term, self.core.last())
         self.knock()
 
@@ -379,7 +382,7 @@
             made |= {
                 "role": core.role, "leader": core.leader, "term": core.term, "commit": core.commit,
                 "entries": len(core.entries), "voters": core.config.voters, "learners": core.config.learners,
-                "writes": self.store.writes, "syncs": self.store.syncs,
-                "slowest_sync_ms": round(1000 * self.store.slowest, 1),
+                "writes": self.store.batches_written, "syncs": self.store.syncs,
+                "slowest_sync_ms": round(1000 * self.store.slowest_sync_s, 1),
             }  # fmt: skip
         return made
--- a/ivystack/consensus/sim.py
+++ b/ivystack/consensus/sim.py
@@ -50,12 +50,12 @@
     base: int = 0  # the index before the first entry
 
     def write(self, save) -> None:
-        self.term, self.voted = save.term, save.voted
+        self.term, self.voted = save.term, save.voted_for
         if save.snapshot is not None:
             self.snapshot = save.snapshot
-        keep = self.entries[: max(0, save.first - self.base - 1)]
-        keep = keep[max(0, save.kept_from - 1 - self.base) :]
-        self.base = max(self.base, save.kept_from - 1)
+        keep = self.entries[: max(0, save.first_index - self.base - 1)]
+        keep = keep[max(0, save.retained_from - 1 - self.base) :]
+        self.base = max(self.base, save.retained_from - 1)
         self.entries = [*keep, *save.entries]
 
     def loaded(self) -> dict[str, Any]:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,23 +13,25 @@
 from test_rig import PACKAGE, ivy
 
 from ivystack.consensus import core as real
-from ivystack.consensus.core import Save
+from ivystack.consensus.errors import StorageError
+from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, NewerError, Table
+from ivystack.consensus.member import EACH, ENTRY, Member
 from ivystack.consensus.messages import (
-    EntryKind,
     AppendEntries,
     AppendEntriesReply,
-    RequestVote,
     Configuration,
+    DataLossDetected,
     Entry,
+    EntryKind,
     InstallSnapshot,
-    DataLossDetected,
+    RequestVote,
     Snapshot,
 )
-from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, NewerError, Table
-from ivystack.consensus.member import EACH, ENTRY, Member
 from ivystack.consensus.planted import PLANTED, SCRIPTED
+from ivystack.consensus.records import WriteBatch
 from ivystack.consensus.sim import found, mutant, played
-from ivystack.consensus.store import FILE, MARK, SLOT, TAIL, Store, UnfitError
+from ivystack.consensus.storage import Storage
+from ivystack.consensus.storage_files import COUNTER_FILE, COUNTER_SLOT_BYTES, DATABASE_FILE, MARKER_FILE
 from ivystack.rig.check import agreed
 from ivystack.rig.linear import Op
 
@@ -84,7 +86,7 @@
     assert not [m for _, m in written(core) if m.granted]
     core.receive(10_000 * MS, "c/1", RequestVote(2, 1, 1))
     out = core.take(10_000 * MS)
-    assert out.save is not None and out.save.voted == "c/1" and not out.messages
+    assert out.save is not None and out.save.voted_for == "c/1" and not out.messages
     core.saved(out.save.number, 10_000 * MS)
     assert core.take(10_000 * MS).messages[0][1].granted
 
@@ -196,7 +198,7 @@
 
     def __init__(self, folder):
         self.done, self.fault = [], []
-        self.store = Store(folder, lambda call, *values: call(*values), self.fault.append)
+        self.store = Storage(folder, lambda call, *values: call(*values), self.fault.append)
 
     def save(self, *saves):
         self.store.start()
@@ -207,12 +209,14 @@
 
 def filled(folder, count=20):
     disk = Disk(folder)
-    life = disk.store.open().life
+    incarnation = disk.store.open().incarnation
     entries = [Entry(1, EntryKind.DATA, b"entry %d" % n) for n in range(count)]
     first = Snapshot(1, 1, Configuration(VOTERS), b"state")
-    disk.save(Save(1, 1, "a/1", 2, entries[:9], first, 1), Save(2, 3, "b/1", 6, entries[9:], None, 1))
+    disk.save(
+        WriteBatch(1, 1, "a/1", 2, entries[:9], first, 1), WriteBatch(2, 3, "b/1", 6, entries[9:], None, 1)
+    )
     assert disk.done == [1, 2] and not disk.fault
-    return life, entries[:4] + entries[9:]
+    return incarnation, entries[:4] + entries[9:]
 
 
 def opened(folder):
@@ -224,21 +228,22 @@
 
 
 def code(folder):
-    with pytest.raises(UnfitError) as fault:
+    with pytest.raises(StorageError) as fault:
         opened(folder)
     return fault.value.code
 
 
 def test_what_was_written_is_read_again_whole(tmp_path):
-    life, entries = filled(tmp_path / "s")
+    incarnation, entries = filled(tmp_path / "s")
     loaded = opened(tmp_path / "s")
-    assert (loaded.life, loaded.term, loaded.voted, loaded.entries) == (life, 3, "b/1", entries)
-    assert loaded.snapshot == Snapshot(1, 1, Configuration(VOTERS), b"state") and loaded.begun
+    assert (loaded.incarnation, loaded.term, loaded.voted_for) == (incarnation, 3, "b/1")
+    assert loaded.entries == entries
+    assert loaded.snapshot == Snapshot(1, 1, Configuration(VOTERS), b"state") and loaded.was_member
 
 
 def test_each_record_that_is_changed_or_missing_is_found_and_nothing_is_cut_off(tmp_path):
     filled(tmp_path / "s")
-    base = sqlite3.connect(tmp_path / "s" / FILE)
+    base = sqlite3.connect(tmp_path / "s" / DATABASE_FILE)
     base.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     rows = [("entry", "at", at) for (at,) in base.execute("SELECT at FROM entry")]
     rows += [("kept", "name", name) for (name,) in base.execute("SELECT name FROM kept")]
@@ -265,9 +270,9 @@
 
 def test_each_page_of_the_file_that_is_overwritten_is_found(tmp_path):
     filled(tmp_path / "s")
-    whole = (tmp_path / "s" / FILE).read_bytes()
+    whole = (tmp_path / "s" / DATABASE_FILE).read_bytes()
     for page in range(0, len(whole), 4096):
-        with open(tmp_path / "s" / FILE, "r+b") as file:
+        with open(tmp_path / "s" / DATABASE_FILE, "r+b") as file:
             file.write(whole)
             file.seek(page)
             file.write(b"\xff" * 4096)
@@ -280,7 +285,7 @@
     shutil.rmtree(tmp_path / "s")
     shutil.move(tmp_path / "old", tmp_path / "s")
     assert code(tmp_path / "s") == "older"
-    for name in (MARK, FILE, TAIL):
+    for name in (MARKER_FILE, DATABASE_FILE, COUNTER_FILE):
         filled(tmp_path / name)
         (tmp_path / name / name).unlink()
         assert code(tmp_path / name) == "lost"
@@ -292,8 +297,8 @@
     opened(tmp_path / "t")
     (tmp_path / "plain").write_text("")
     assert code(tmp_path / "plain") == "unwritable"
-    aside = Disk(tmp_path / "t").store.put_aside("older")
-    assert aside.is_dir() and not opened(tmp_path / "t").begun
+    aside = Disk(tmp_path / "t").store.set_aside("older")
+    assert aside.is_dir() and not opened(tmp_path / "t").was_member
 
 
 def test_a_copy_is_found_where_every_file_has_its_old_inode_number_again(tmp_path):
@@ -313,15 +318,15 @@
 KILLED = """
 import os, sys
 from pathlib import Path
-from test_consensus import VOTERS, EntryKind, Configuration, Disk, Entry, Save, Snapshot
+from test_consensus import VOTERS, EntryKind, Configuration, Disk, Entry, WriteBatch, Snapshot
 
 disk = Disk(Path(sys.argv[1]))
 disk.store.open()
 disk.store.start()
-disk.store.save(Save(1, 1, "", 2, [], Snapshot(1, 1, Configuration(VOTERS)), 1), disk.done.append)
+disk.store.save(WriteBatch(1, 1, "", 2, [], Snapshot(1, 1, Configuration(VOTERS)), 1), disk.done.append)
 for number in range(20):
     entry = Entry(1, EntryKind.DATA, b"x")
-    disk.store.save(Save(number + 2, 1, "", number + 2, [entry], None, 1), disk.done.append)
+    disk.store.save(WriteBatch(number + 2, 1, "", number + 2, [entry], None, 1), disk.done.append)
     while len(disk.done) < number + 2:
         pass
 os._exit(0)
@@ -336,7 +341,7 @@
     assert len(opened(whole).entries) == 20  # and the library has put its log into the file
     shutil.rmtree(whole)
     subprocess.run([sys.executable, "-c", KILLED, str(whole)], check=True, env=environ)
-    log, file, tail = (whole / name for name in (FILE + "-wal", FILE, TAIL))
+    log, file, tail = (whole / name for name in (DATABASE_FILE + "-wal", DATABASE_FILE, COUNTER_FILE))
     kept = {path: path.read_bytes() for path in (log, file, tail)}
 
     def spoilt(path, text):
@@ -349,10 +354,10 @@
         assert spoilt(log, text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) in ("older", "spoilt"), at
         assert spoilt(log, text[:at]) in ("older", "spoilt", "lost"), at
     assert spoilt(log, b"") in ("older", "spoilt", "lost")
-    assert spoilt(tail, bytes(2 * SLOT)) == "spoilt" == spoilt(tail, b"")
+    assert spoilt(tail, bytes(2 * COUNTER_SLOT_BYTES)) == "spoilt" == spoilt(tail, b"")
     log.write_bytes(kept[log])
     one = bytearray(kept[tail])
-    one[20 % 2 * SLOT] ^= 1  # a torn write spoils the slot before the last commit's at most
+    one[20 % 2 * COUNTER_SLOT_BYTES] ^= 1  # a torn write spoils the slot before the last commit's at most
     for path, before in kept.items():
         path.write_bytes(bytes(one) if path is tail else before)
     assert len(opened(whole).entries) == 20
@@ -362,14 +367,16 @@
     disk = Disk(tmp_path / "s")
     disk.store.open()
     disk.store.start()
-    good = Save(1, 1, "", 2, [Entry(1, EntryKind.DATA, b"x")], None, 1)
+    good = WriteBatch(1, 1, "", 2, [Entry(1, EntryKind.DATA, b"x")], None, 1)
     disk.store.save(good, disk.done.append)
     while not disk.done:
         pass
     os.rename(tmp_path / "s", tmp_path / "gone")  # taken away under it, and another put there
     Disk(tmp_path / "s").store.open()
     for number in (2, 3):
-        disk.store.save(Save(number, 1, "", 3, [Entry(1, EntryKind.DATA, b"x")], None, 1), disk.done.append)
+        disk.store.save(
+            WriteBatch(number, 1, "", 3, [Entry(1, EntryKind.DATA, b"x")], None, 1), disk.done.append
+        )
     disk.store.stop()
     assert disk.done == [1] and len(disk.fault) == 1 and "replaced" in disk.fault[0]
 
