--- a/ivystack/consensus/errors.py
+++ b/ivystack/consensus/errors.py
@@ -36,3 +36,7 @@
 
 class CommittedEntryError(ConsensusError):
     """An attempt to replace a committed entry: the group's promise would be broken."""
+
+
+class UnknownEntryError(ConsensusError):
+    """An entry or a snapshot that this program does not know: another version wrote it."""
--- a/ivystack/consensus/member.py
+++ b/ivystack/consensus/member.py
@@ -16,9 +16,9 @@
 
 from .core import LEADER, Core
 from .council import ident, name_of, next_config
-from .errors import FaultCode, StorageError
-from .machine import Machine, NewerError
+from .errors import FaultCode, StorageError, UnknownEntryError
 from .messages import Configuration, Entry, EntryKind, InstallSnapshot, Message, Snapshot, encode
+from .state_machine import StateMachine
 from .storage import Storage, StoredState
 
 KNOCK = 500_000  # microseconds: who is no member says so
@@ -37,7 +37,7 @@
 class Member:
     def __init__(
         self, reactor, deadlines, now, rng: Random, name: str, wanted: list[str], folder: Path, mesh,
-        machine: Machine, beat: int, election: int,
+        machine: StateMachine, beat: int, election: int,
     ):  # fmt: skip
         """`wanted` are the members' names in the file's order, ours among them; times are microseconds."""
         self.reactor, self.deadlines, self.now, self.rng = reactor, deadlines, now, rng
@@ -153,7 +153,7 @@
         """Guards the group: a member whose own steps fail must not go on with half of one."""
         try:
             return call(*values)
-        except NewerError as fault:
+        except UnknownEntryError as fault:
             self.withdraw("newer", str(fault))
         except Exception as fault:
             logger.exception("group: a step has failed")
@@ -232,7 +232,7 @@
 
     def look(self, part: str, name: str, args: list) -> Any:
         try:
-            return self.machine.look(part, name, args)
+            return self.machine.query(part, name, args)
         except (KeyError, TypeError, ValueError, IndexError):  # what nobody knows here
             return None
 
@@ -332,7 +332,7 @@
             return self.refuse(asker, number)
         who = f"{frm}/{self.mesh.life if own else self.mesh.link.life}"
         data = encode(what)
-        fit = how == "look" or (self.machine.knows(what) and what[0] == who and len(data) <= ENTRY)
+        fit = how == "look" or (self.machine.accepts(what) and what[0] == who and len(data) <= ENTRY)
         if not fit or not self.may(who, *what[-3:]):
             self.mesh.count("not-allowed", frm)
             return self.answer(asker, number, True, None)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,8 +13,7 @@
 from test_rig import PACKAGE, ivy
 
 from ivystack.consensus import core as real
-from ivystack.consensus.errors import StorageError
-from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, NewerError, Table
+from ivystack.consensus.errors import StorageError, UnknownEntryError
 from ivystack.consensus.member import EACH, ENTRY, Member
 from ivystack.consensus.messages import (
     AppendEntries,
@@ -30,6 +29,7 @@
 from ivystack.consensus.planted import PLANTED, SCRIPTED
 from ivystack.consensus.records import WriteBatch
 from ivystack.consensus.sim import found, mutant, played
+from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.consensus.storage import Storage
 from ivystack.consensus.storage_files import COUNTER_FILE, COUNTER_SLOT_BYTES, DATABASE_FILE, MARKER_FILE
 from ivystack.rig.check import agreed
@@ -407,7 +407,7 @@
     # Guards the group: an entry beyond a message's bound reaches no follower, nor do beats with it; a session
     # that anybody could use up would let a command be done twice.
     heard = Heard()
-    made = Member(None, None, lambda: 10_060 * MS, Random(1), "a", ["a"], None, heard, Machine(), MS, MS)
+    made = Member(None, None, lambda: 10_060 * MS, Random(1), "a", ["a"], None, heard, StateMachine(), MS, MS)
     made.core, made.act = leading(), lambda: None
     me, last = f"z/{'f' * 16}", made.core.last()
     for number, what in enumerate((
@@ -426,41 +426,41 @@
 
 
 def test_a_command_that_comes_twice_is_done_once_and_a_snapshot_keeps_that():
-    machine = Machine()
+    machine = StateMachine()
 
     def do(client, number, *args):
         return machine.apply(real.encode([client, number, "table", "set", list(args)]))
 
     assert do("x", 1, "a", b"1", None) == [True, 1] == do("x", 1, "a", b"1", None)
-    other = Machine()
+    other = StateMachine()
     other.load(machine.dump())
     machine = other
-    assert do("x", 1, "a", b"1", None) == [True, 1] and machine.look("table", "get", ["a"]) == [b"1", 1]
-    for number in range(2, 2 + ANSWERS):
+    assert do("x", 1, "a", b"1", None) == [True, 1] and machine.query("table", "get", ["a"]) == [b"1", 1]
+    for number in range(2, 2 + ANSWERS_PER_SESSION):
         do("x", number, "a", b"%d" % number, None)
-    version = machine.look("table", "get", ["a"])[1]
-    assert do("x", 1, "a", b"late", None) is None and machine.look("table", "get", ["a"])[1] == version
-    for number in range(2 * CLIENTS):
+    version = machine.query("table", "get", ["a"])[1]
+    assert do("x", 1, "a", b"late", None) is None and machine.query("table", "get", ["a"])[1] == version
+    for number in range(2 * MAX_SESSIONS):
         do(f"c{number}", 1, "b", b"1", 0)
-    assert len(machine.answers) == CLIENTS and len(machine.dump()) < 200_000
+    assert len(machine.answers) == MAX_SESSIONS and len(machine.dump()) < 200_000
 
 
 def test_the_table_is_bounded_and_an_entry_that_is_not_known_stops_it():
-    table = Table()
-    assert table.do("set", ["k", bytes(Table.VALUE + 1), None]) == [False, 0]
-    assert sum(table.do("set", [f"k{n}", bytes(1000), None])[0] for n in range(1000)) <= 66
-    assert table.do("set", ["k0", b"", None]) == [True, 0] and table.look("get", ["k0"]) == [b"", 0]
-    machine = Machine()
+    table = KeyValueTable()
+    assert table.execute("set", ["k", bytes(KeyValueTable.MAX_VALUE_BYTES + 1), None]) == [False, 0]
+    assert sum(table.execute("set", [f"k{n}", bytes(1000), None])[0] for n in range(1000)) <= 66
+    assert table.execute("set", ["k0", b"", None]) == [True, 0] and table.query("get", ["k0"]) == [b"", 0]
+    machine = StateMachine()
     for what in (["x", 1, "nothing", "set", []], ["x", 1, "table", "unheard", []], 5):
-        with pytest.raises(NewerError):
+        with pytest.raises(UnknownEntryError):
             machine.apply(real.encode(what))
     for args in ([1, 2], [], [{}]):
         assert machine.apply(real.encode([f"x{args}", 1, "table", "set", args])) is None
-    assert machine.knows(["x/1", 1, "table", "set", []])
+    assert machine.accepts(["x/1", 1, "table", "set", []])
     for what in ([], ["x", 1, "table", "set"], ["x", 1, None, "set", []], ["x", 1, "table", "none", []],
                  ["x", "1", "table", "set", []], [5, 1, "table", "set", []], ["x", 1, "table", {}, []],
                  ["x", 1, [], "set", []]):  # fmt: skip
-        assert not machine.knows(what)
+        assert not machine.accepts(what)
 
 
 def test_a_history_that_no_order_explains_is_found_also_behind_many_good_ones():
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from ivystack.choice import Placement
-from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, Table
+from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.duties.leases import KNOWN, VALUE, Leases
 from ivystack.duties.order import MARK, SlotOrder
 from ivystack.fleet.settings import Fleet
@@ -99,13 +99,13 @@
 
 def test_the_agreed_state_of_a_thousand_proxies_fits_one_message():
     leases = Leases(3_000_000)
-    machine = Machine(duty=leases)
-    for number in range(CLIENTS):
-        for turn in range(ANSWERS):
+    machine = StateMachine(duty=leases)
+    for number in range(MAX_SESSIONS):
+        for turn in range(ANSWERS_PER_SESSION):
             who, row = f"proxy-{number:04}/{0xFFFFFF - number:x}", [f"k{number}", b"v" * 24, None]
             ask = [who, 1000 + turn, "table", "set", row]
             machine.apply(msgspec.msgpack.encode(ask))
-    assert len(machine.answers) == CLIENTS and len(machine.parts["table"].rows) == Table.KEYS
+    assert len(machine.answers) == MAX_SESSIONS and len(machine.parts["table"].rows) == KeyValueTable.MAX_KEYS
     assert len(machine.dump()) + len(KNOWN) * VALUE < MESSAGE
 
 
