--- a/ivystack/duties/leases.py
+++ b/ivystack/duties/leases.py
@@ -26,7 +26,7 @@
 
 
 class Leases:
-    NAMES = "take", "free", "put"
+    COMMANDS = "take", "free", "put"
 
     def __init__(self, lease: int = 0):
         """`lease` in microseconds is no part of the state: it serves looks alone."""
@@ -38,16 +38,16 @@
             raise ValueError(duty)
         return self.rows.setdefault(duty, Row())
 
-    def do(self, name: str, args: list) -> Any:
+    def execute(self, name: str, args: list) -> Any:
         """`take` duty who: a free one; who holds it then and its token.  `free` duty token: the holder lets
         go, or its lease is over.  `put` duty token value: whether it was taken, and the value's version.
 
         >>> leases = Leases()
-        >>> leases.do("take", ["slot-order", "a/1"]), leases.do("take", ["slot-order", "b/1"])
+        >>> leases.execute("take", ["slot-order", "a/1"]), leases.execute("take", ["slot-order", "b/1"])
         (['a/1', 1], ['a/1', 1])
-        >>> leases.do("free", ["slot-order", 1]), leases.do("take", ["slot-order", "b/1"])
+        >>> leases.execute("free", ["slot-order", 1]), leases.execute("take", ["slot-order", "b/1"])
         (True, ['b/1', 2])
-        >>> leases.do("put", ["slot-order", 1, b"old"]), leases.do("put", ["slot-order", 2, b"new"])
+        >>> leases.execute("put", ["slot-order", 1, b"old"]), leases.execute("put", ["slot-order", 2, b"new"])
         ([False, 0], [True, 1])
         """
         row = self.row(args[0])
@@ -68,7 +68,7 @@
             return [good, row.version]
         raise KeyError(name)
 
-    def look(self, name: str, args: list) -> Any:
+    def query(self, name: str, args: list) -> Any:
         """`renew` duty token who since: whether that is so; None, and no more is granted, where its last
         answer was too long ago.  `value` duty: version, its token, value.
 
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from ..consensus.client import Client
-from ..consensus.machine import Machine
 from ..consensus.member import Member
+from ..consensus.state_machine import StateMachine
 from ..duties.leases import Leases
 from ..duties.run import Duties
 from ..mesh.mesh import Mesh
@@ -42,7 +42,7 @@
         leases = Leases(fleet.times.lease * 1000)
         self.member = Member(
             proxy.reactor, proxy.deadlines, proxy.now, self.rng, fleet.name, [*fleet.members],
-            fleet.directory, self.mesh, Machine(duty=leases), fleet.times.beat * 1000,
+            fleet.directory, self.mesh, StateMachine(duty=leases), fleet.times.beat * 1000,
             fleet.times.election * 1000,
         )  # fmt: skip
         self.client.with_own(self.member)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -42,7 +42,7 @@
         for number in range(3):
             self.rates.append(1 + self.rng.choice([-1, 1]) * DRIFT / 2)
             made = keepers.Keeper(
-                f"p{number}/x", LEASE, DRIFT, self.asks(number, "do"), self.asks(number, "look"),
+                f"p{number}/x", LEASE, DRIFT, self.asks(number, "execute"), self.asks(number, "query"),
                 lambda *_: None, lambda *_: None,
             )  # fmt: skip
             made.duty(DUTY, lambda: True)
@@ -105,7 +105,7 @@
             if faults and self.rng.random() < 0.01:
                 self.fault()
             for duty, token in self.leader.over(self.leases.rows, self.term, self.own()):
-                self.leases.do("free", [duty, token])
+                self.leases.execute("free", [duty, token])
             if step % 5 == 0:
                 rows = self.leases.told()
                 for number, one in enumerate(self.keepers):
@@ -223,12 +223,13 @@
     leases = Leases(LEASE)
     for name, args in (("take", ["mine", "a/1"]), ("free", ["mine", 1]), ("put", ["mine", 1, b""])):
         with pytest.raises(ValueError):
-            leases.do(name, args)
-    leases.do("take", [DUTY, "a/1"])
+            leases.execute(name, args)
+    leases.execute("take", [DUTY, "a/1"])
     for token in (0, 2, -1, None, "1", 1 << 70):
-        assert leases.do("put", [DUTY, token, b"x"]) == [False, 0] and not leases.do("free", [DUTY, token])
-    assert leases.do("put", [DUTY, 1, bytes(20_000)]) == [False, 0]
-    assert leases.do("put", [DUTY, 1, "text"]) == [False, 0]
+        assert leases.execute("put", [DUTY, token, b"x"]) == [False, 0]
+        assert not leases.execute("free", [DUTY, token])
+    assert leases.execute("put", [DUTY, 1, bytes(20_000)]) == [False, 0]
+    assert leases.execute("put", [DUTY, 1, "text"]) == [False, 0]
     other = Leases(LEASE)
     other.load(leases.dump())
     assert other.told() == leases.told() == {DUTY: ["a/1", 1, 0]}
