--- a/ivystack/duties/run.py
+++ b/ivystack/duties/run.py
@@ -12,7 +12,7 @@
 import msgspec
 from loguru import logger
 
-from ..consensus.core import LEADER
+from ..consensus.records import Role
 from ..mesh.mesh import Mesh
 from .fence import Fence
 from .grantor import Grantor
@@ -85,7 +85,7 @@
 
     def lead(self, now: int) -> None:
         core = self.member.core if self.member is not None else None
-        if core is None or core.role != LEADER or core.term_at(core.commit) != core.term:
+        if core is None or core.role != Role.LEADER or core.log.term_at(core.commit_index) != core.term:
             return
         for duty, token in self.grantor.over(self.leases.rows, core.term, now):
             logger.info("duty: lease over duty={} token={}", duty, token)
@@ -96,7 +96,7 @@
     def changed(self) -> None:
         """The agreed state has moved on here: where we lead, all hear of it at once."""
         core = self.member.core
-        if core is not None and core.role == LEADER and self.leases.told() != self.told:
+        if core is not None and core.role == Role.LEADER and self.leases.told() != self.told:
             self.tell(self.now())
 
     def tell(self, now: int) -> None:
