--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -75,7 +75,7 @@
                     done.callback(None)
 
             number = len(times) % 200
-            client.do("table", "set", [f"k{number}", bytes(PAYLOAD), None], answered, 3_000_000)
+            client.execute("table", "set", [f"k{number}", bytes(PAYLOAD), None], answered, 3_000_000)
 
         began = time.monotonic()
         for _ in range(flying):
@@ -101,7 +101,7 @@
 
         try:
             for flying in (1, 4, 64):
-                clients.AT_ONCE, clients.MOST = max(4, flying), max(64, flying)
+                clients.COMMAND_WINDOW, clients.MAX_PENDING = max(4, flying), max(64, flying)
                 with tempfile.TemporaryDirectory() as folder:
                     times, spent, leader = await measure(Path(folder), seconds, flying)
                 each = max(1, round(len(times) / max(1, leader["syncs"])))
--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -1,125 +1,156 @@
-"""Asks the consensus group, from any proxy.
+"""Client of the consensus group, in any proxy.
 
-Owns what is asked and not answered yet.  It must never do a command twice, hold more than its bound, or give
-an answer that did not come from the group.
+A command is executed once at most, though it may be sent several times: the group keeps the last few answers
+of each client, so no more commands than that are in flight. At most :data:`MAX_PENDING` requests wait.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-MOST = 64  # that wait at once
-AT_ONCE = 4  # commands from the oldest that waits on: the group keeps so many answers of each of us
-ANSWER = 1_000_000  # microseconds for one member to answer before another is asked
-REST = 50_000  # before it is asked again who leads, by chance up to twice that
+from .pending_requests import Requester
+from .wire import MessageKind, Reply, Request, RequestKind
 
-answer_of = tuple[int, bool, Any]
+if TYPE_CHECKING:
+    from ..mesh.mesh import Mesh
+    from ..net.tables import Deadlines
+    from .replica import Replica
 
+MAX_PENDING = 64
+COMMAND_WINDOW = 4  # commands from the oldest pending one on: the answers that the group keeps of each client
+REPLY_TIMEOUT = 1_000_000  # microseconds for one member to reply before another is asked
+RETRY_DELAY = 50_000  # microseconds before another member is asked who leads, up to twice that at random
+REDIRECT_DELAY = RETRY_DELAY // 10  # where a member has named the leader
 
-class Asked:
-    __slots__ = ("number", "how", "what", "done", "until", "timer", "to", "command")
+Callback = Callable[[bool, Any], None]
 
-    def __init__(self, number: int, how: str, what: list, done: Callable, until: int):
-        self.number, self.how, self.what, self.done, self.until = number, how, what, done, until
-        self.timer: list | None = None
-        self.to = ""
-        self.command = 0  # its number among our commands; 0: it is none
+
+@dataclass(eq=False, slots=True)
+class PendingRequest:
+    """A request without a reply; ``until`` in microseconds, ``command_number`` is 0 for a query."""
+
+    number: int
+    kind: RequestKind
+    fields: list
+    callback: Callback
+    until: int
+    command_number: int = 0
+    member: str = ""  # that was asked last
+    timer: list | None = None
 
 
 class Client:
-    def __init__(self, deadlines, now, rng: Random, mesh, members: list[str]):
+    """Sends requests to whoever leads the group, and retries elsewhere until a deadline."""
+
+    def __init__(
+        self, deadlines: Deadlines, now: Callable[[], int], rng: Random, mesh: Mesh, members: list[str]
+    ) -> None:
+        """Begin without knowing who leads; ``members`` are the names of the group's proxies."""
         self.deadlines, self.now, self.rng, self.mesh, self.members = deadlines, now, rng, mesh, members
-        self.local = None
+        self.local: Replica | None = None
         self.leader = ""
-        self.number = self.commands = 0
-        self.open: dict[int, Asked] = {}
-        mesh.takers["answer"] = self.answered
+        self.request_count = self.command_count = 0
+        self.pending: dict[int, PendingRequest] = {}  # by number
+        mesh.takers[MessageKind.REPLY] = self._receive_reply
 
-    def with_own(self, member) -> None:
-        """Our own process is a member: it is asked without a link."""
-        self.local, member.answer = member, self.own_answer
+    def use_local_replica(self, replica: Replica) -> None:
+        """Ask this process's own replica without a link."""
+        self.local, replica.deliver_reply = replica, self._deliver_local_reply
 
-    def do(self, part: str, name: str, args: list, done: Callable[[bool, Any], None], within: int) -> bool:
-        """A command; `done(True, answer)` once it has been done, `done(False, None)` where that is not known
-        within so many microseconds: it may be done, or may yet.  False: too many wait, nothing is asked."""
-        return self.ask("do", [part, name, args], done, within)
+    def execute(self, part: str, name: str, args: list, callback: Callback, timeout: int) -> bool:
+        """Send a command.
 
-    def look(self, part: str, name: str, args: list, done: Callable[[bool, Any], None], within: int) -> bool:
-        """The state now, or after."""
-        return self.ask("look", [part, name, args], done, within)
+        :param callback: called with True and the answer once the command was executed, or with False and None
+            where that is not known within ``timeout`` microseconds: it may have been, or be executed yet.
+        :returns: False where too many requests are pending; nothing is sent then.
+        """
+        return self._submit(RequestKind.COMMAND, [part, name, args], callback, timeout)
 
-    def ask(self, how: str, what: list, done: Callable, within: int) -> bool:
-        if len(self.open) >= MOST:
+    def query(self, part: str, name: str, args: list, callback: Callback, timeout: int) -> bool:
+        """Ask for the state as of now or later; parameters as of :meth:`execute`."""
+        return self._submit(RequestKind.QUERY, [part, name, args], callback, timeout)
+
+    def _submit(self, kind: RequestKind, fields: list, callback: Callback, timeout: int) -> bool:
+        if len(self.pending) >= MAX_PENDING:
             return False
-        self.number += 1
-        asked = self.open[self.number] = Asked(self.number, how, what, done, self.now() + within)
-        if how == "do":
-            self.commands += 1
-            asked.command = self.commands
-            asked.what = [f"{self.mesh.name}/{self.mesh.life}", self.commands, *what]
-        self.next(asked)
+        self.request_count += 1
+        request = PendingRequest(self.request_count, kind, fields, callback, self.now() + timeout)
+        self.pending[request.number] = request
+        if kind == RequestKind.COMMAND:
+            self.command_count += 1
+            request.command_number = self.command_count
+            client_id = f"{self.mesh.name}/{self.mesh.life}"
+            request.fields = [client_id, self.command_count, *fields]
+        self._attempt(request)
         return True
 
-    def next(self, asked: Asked) -> None:
-        """Sends it to whoever is thought to lead, else to another."""
-        if asked.number not in self.open:
+    def _attempt(self, request: PendingRequest) -> None:
+        """Send a request to whoever is thought to lead, else to a member at random."""
+        if request.number not in self.pending:
             return
         now = self.now()
-        if now >= asked.until:
-            return self.end(asked, False, None)
-        wait = ANSWER
-        # Guards against being taken for a repeat that nobody waits for: the group keeps few answers.
-        first = min((one.command for one in self.open.values() if one.command), default=0)
-        if asked.command >= first + AT_ONCE:
-            wait = REST
+        if now >= request.until:
+            return self._finish(request, False, None)
+        delay = REPLY_TIMEOUT
+        if not self._in_command_window(request):
+            delay = RETRY_DELAY
         else:
-            able = [one for one in self.members if one != asked.to]
-            asked.to = self.leader if self.leader in self.members else self.rng.choice(able or self.members)
-            if not self.send(asked):
+            others = [name for name in self.members if name != request.member]
+            known = self.leader in self.members
+            request.member = self.leader if known else self.rng.choice(others or self.members)
+            if not self._send(request):
                 self.leader = ""
-                wait = REST
-        asked.timer = self.deadlines.at(min(asked.until, now + wait), self.late, asked)
-
-    def send(self, asked: Asked) -> bool:
-        body = (asked.number, asked.how, asked.what)
-        if self.local is not None and asked.to == self.mesh.name:
-            # In a turn of its own: the answer may come within the call.
-            self.deadlines.at(self.now(), self.local.asked, asked.to, body, True)
+                delay = RETRY_DELAY
+        request.timer = self.deadlines.at(min(request.until, now + delay), self._timed_out, request)
+
+    def _in_command_window(self, request: PendingRequest) -> bool:
+        """Whether the group would still recognize a command as a retry after those before it."""
+        oldest = min((one.command_number for one in self.pending.values() if one.command_number), default=0)
+        return request.command_number < oldest + COMMAND_WINDOW
+
+    def _send(self, request: PendingRequest) -> bool:
+        body = Request(request.number, request.kind, request.fields)
+        if self.local is not None and request.member == self.mesh.name:
+            # In a turn of its own: the reply may come within the call.
+            self.deadlines.at(self.now(), self.local.receive_request, request.member, body, True)
             return True
-        return self.mesh.say(asked.to, "ask", body)
+        return self.mesh.say(request.member, MessageKind.REQUEST, body)
 
-    def late(self, asked: Asked) -> None:
-        if asked.to == self.leader:
+    def _timed_out(self, request: PendingRequest) -> None:
+        if request.member == self.leader:
             self.leader = ""
-        self.next(asked)
+        self._attempt(request)
 
-    def own_answer(self, asker: tuple, number: int, done: bool, what: Any) -> None:
-        if asker[1] is None:
-            self.take(self.mesh.name, number, done, what)
-        else:
-            self.local.say_answer(asker, number, done, what)
+    def _deliver_local_reply(self, requester: Requester, reply: Reply) -> None:
+        if requester.link is None:
+            self._handle_reply(self.mesh.name, reply)
+        elif self.local is not None:
+            self.local.send_reply(requester, reply)
 
-    def answered(self, frm: str, body: Any) -> None:
-        if frm in self.members:
-            self.take(frm, *msgspec.convert(body, answer_of))
+    def _receive_reply(self, sender: str, body: Any) -> None:
+        if sender in self.members:
+            self._handle_reply(sender, msgspec.convert(body, Reply))
 
-    def take(self, frm: str, number: int, done: bool, what: Any) -> None:
-        asked = self.open.get(number)
-        if asked is None or frm != asked.to:
+    def _handle_reply(self, sender: str, reply: Reply) -> None:
+        request = self.pending.get(reply.number)
+        if request is None or sender != request.member:
             return
-        if done:
-            self.leader = frm
-            return self.end(asked, True, what)
-        self.leader = what if isinstance(what, str) and what in self.members and what != frm else ""
-        self.deadlines.drop(asked.timer)
-        rest = REST // 10 if self.leader else int(REST * (1 + self.rng.random()))
-        asked.timer = self.deadlines.at(self.now() + rest, self.next, asked)
-
-    def end(self, asked: Asked, done: bool, what: Any) -> None:
-        self.deadlines.drop(asked.timer)
-        self.open.pop(asked.number, None)
-        asked.done(done, what)
+        if reply.accepted:
+            self.leader = sender
+            return self._finish(request, True, reply.answer)
+        named = reply.answer
+        other_member = isinstance(named, str) and named in self.members and named != sender
+        self.leader = named if other_member else ""
+        self.deadlines.drop(request.timer)
+        delay = REDIRECT_DELAY if self.leader else int(RETRY_DELAY * (1 + self.rng.random()))
+        request.timer = self.deadlines.at(self.now() + delay, self._attempt, request)
+
+    def _finish(self, request: PendingRequest, accepted: bool, answer: Any) -> None:
+        self.deadlines.drop(request.timer)
+        self.pending.pop(request.number, None)
+        request.callback(accepted, answer)
--- /dev/null
+++ b/ivystack/consensus/membership.py
@@ -0,0 +1,108 @@
+"""Membership changes without I/O: the leader's next single step towards the configured members."""
+
+from __future__ import annotations
+
+from .core import Core
+from .messages import Configuration
+
+MAX_PROMOTION_LAG = 64  # entries that a learner may lack to become a voter
+
+
+def replica_id(name: str, incarnation: str) -> str:
+    """Return the id of a proxy's replica: a directory that was lost makes a new incarnation.
+
+    >>> replica_id("p0", "5c")
+    'p0/5c'
+    """
+    return f"{name}/{incarnation}"
+
+
+def proxy_name(replica: str) -> str:
+    """Return the name of the proxy that a replica id belongs to."""
+    return replica.rpartition("/")[0]
+
+
+def next_configuration(
+    core: Core, wanted: list[str], announced: dict[str, str], now: int
+) -> Configuration | None:
+    """Return the next configuration on the way to members of just the ``wanted`` names.
+
+    Each step leaves a majority of its voters among the replicas that were heard lately.
+
+    :param announced: ids, by proxy name, of replicas that say that they are no members.
+    :param now: microseconds.
+    :returns: None where nothing is to be changed, or not now.
+    """
+    if not core.may_change_membership():
+        return None
+    step = _MembershipStep(core, wanted, announced, now)
+    stale = step.stale_learner()
+    if stale is not None:
+        return step.without(stale)
+    return step.promotion() or step.addition() or step.removal()
+
+
+class _MembershipStep:
+    def __init__(self, core: Core, wanted: list[str], announced: dict[str, str], now: int) -> None:
+        self.core, self.wanted, self.announced = core, wanted, announced
+        self.configuration = core.configuration
+        self.reachable = {core.replica_id} | {
+            one
+            for one, progress in core.progress.items()
+            if now - progress.last_reply_at < core.election_timeout
+        }
+        self.voter_by_name = {proxy_name(voter): voter for voter in self.configuration.voters}
+
+    def without(self, replica: str) -> Configuration | None:
+        """Return the configuration without a replica; None if too few of its voters are reachable."""
+        voters = tuple(one for one in self.configuration.voters if one != replica)
+        learners = tuple(one for one in self.configuration.learners if one != replica)
+        return Configuration(voters, learners) if self.core.has_majority(self.reachable, voters) else None
+
+    def stale_learner(self) -> str | None:
+        """Return a learner that a new incarnation has replaced, or whose proxy is not wanted any more."""
+        for learner in self.configuration.learners:
+            name = proxy_name(learner)
+            if self.announced.get(name, learner) != learner or name not in self.wanted:
+                return learner
+        return None
+
+    def promotion(self) -> Configuration | None:
+        """Make a learner that has caught up a voter; its own former incarnation is removed first."""
+        for learner in self.configuration.learners:
+            if not self._has_caught_up(learner):
+                continue
+            former = self.voter_by_name.get(proxy_name(learner))
+            if former is None:
+                learners = tuple(one for one in self.configuration.learners if one != learner)
+                return Configuration((*self.configuration.voters, learner), learners)
+            step = self.without(former) if former != self.core.replica_id else None
+            if step is not None:
+                return step
+        return None
+
+    def _has_caught_up(self, learner: str) -> bool:
+        progress = self.core.progress.get(learner)
+        if progress is None or learner not in self.reachable:
+            return False
+        return progress.match_index >= self.core.commit_index - MAX_PROMOTION_LAG
+
+    def addition(self) -> Configuration | None:
+        """Add a wanted replica that has announced itself as a learner."""
+        for name in self.wanted:
+            new = self.announced.get(name)
+            if new is not None and new not in self.configuration.all_members():
+                return Configuration(self.configuration.voters, (*self.configuration.learners, new))
+        return None
+
+    def removal(self) -> Configuration | None:
+        """Remove a voter that is not wanted, once every wanted proxy has a voter."""
+        voters = self.configuration.voters
+        if len(voters) <= 1 or any(name not in self.voter_by_name for name in self.wanted):
+            return None
+        for voter in voters:
+            if proxy_name(voter) not in self.wanted:
+                step = self.without(voter)
+                if step is not None:
+                    return step
+        return None
--- a/ivystack/consensus/sim.py
+++ b/ivystack/consensus/sim.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from . import core as real
-from .council import ident, name_of, next_config
+from .membership import next_configuration, proxy_name, replica_id
 from .messages import Configuration, Entry, Snapshot
 from .mutations import Mutation, mutated_core
 from .records import Role
@@ -82,7 +82,7 @@
     def fresh(self, disk: Disk | None) -> None:
         """A new directory: a new life."""
         self.lives += 1
-        self.ident = ident(self.name, str(self.lives))
+        self.ident = replica_id(self.name, str(self.lives))
         self.disk = disk or Disk(0, "", Snapshot(0, 0, Configuration()))
 
     def start(self) -> None:
@@ -133,7 +133,7 @@
                 self.sim.send(self, other.name, "knock", self.ident)
         core, now = self.core, self.sim.now
         fresh = {name: one for name, (one, at) in self.knocks.items() if now - at < 5 * KNOCK}
-        step = next_config(core, self.sim.wanted, fresh, now)
+        step = next_configuration(core, self.sim.wanted, fresh, now)
         if step is not None:
             core.change_membership(step, now)
             self.act()
@@ -143,7 +143,7 @@
         if self.core is None:
             return
         if what == "knock":
-            self.knocks[name_of(message)] = message, self.sim.now
+            self.knocks[proxy_name(message)] = message, self.sim.now
             return
         self.core.receive(self.sim.now, frm, message)
         self.act()
@@ -159,7 +159,7 @@
             for token in out.confirmed_reads:
                 self.sim.read_done(self, token)
             for to, message in out.messages:
-                self.sim.send(self, name_of(to), "raft", message, to)
+                self.sim.send(self, proxy_name(to), "raft", message, to)
             if out.batch is not None:
                 self.pending = out.batch
                 spent = self.sim.rng.randrange(1, self.write_time + 1)
--- a/ivystack/rig/agree.py
+++ b/ivystack/rig/agree.py
@@ -56,7 +56,7 @@
     def led(self) -> defer.Deferred:
         """Whether the group answers by now."""
         done: defer.Deferred = defer.Deferred()
-        self.client.look("table", "get", ["a"], lambda good, what: done.callback(good), 1_000_000)
+        self.client.query("table", "get", ["a"], lambda good, what: done.callback(good), 1_000_000)
         return done
 
     def start(self) -> None:
@@ -71,12 +71,12 @@
         number, key = self.number, f"k{self.rng.randrange(self.count)}"
         if self.rng.random() < 0.4:
             args: tuple = ("get",)
-            call = self.client.look
+            call = self.client.query
             asked = [key]
         else:
             wanted = self.known.get(key, 0) if self.rng.random() < 0.5 else None
             args = ("set", b"%d" % number, wanted)
-            call = self.client.do
+            call = self.client.execute
             asked = [key, args[1], wanted]
         self.open[number] = key, self.now(), args
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,8 +13,8 @@
 from test_rig import PACKAGE, ivy
 
 from ivystack.consensus import core as real
+from ivystack.consensus.environment import Environment, Timing
 from ivystack.consensus.errors import StorageError, UnknownEntryError
-from ivystack.consensus.member import EACH, ENTRY, Member
 from ivystack.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -30,10 +30,12 @@
 )
 from ivystack.consensus.mutations import MUTATIONS, SCRIPTED_MUTATIONS, mutated_core
 from ivystack.consensus.records import Role, WriteBatch
+from ivystack.consensus.replica import MAX_COMMAND_BYTES, MAX_PENDING_PER_PROXY, Replica
 from ivystack.consensus.sim import found, played
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.consensus.storage import Storage
 from ivystack.consensus.storage_files import COUNTER_FILE, COUNTER_SLOT_BYTES, DATABASE_FILE, MARKER_FILE
+from ivystack.consensus.wire import Reply
 from ivystack.rig.check import agreed
 from ivystack.rig.linear import Op
 
@@ -419,22 +421,23 @@
     # Guards the group: an entry beyond a message's bound reaches no follower, nor do beats with it; a session
     # that anybody could use up would let a command be done twice.
     heard = Heard()
-    made = Member(None, None, lambda: 10_060 * MS, Random(1), "a", ["a"], None, heard, StateMachine(), MS, MS)
-    made.core, made.act = leading(), lambda: None
+    env = Environment(None, None, lambda: 10_060 * MS, Random(1), heard)
+    made = Replica(env, "a", ["a"], None, StateMachine(), Timing(MS, MS))
+    made.core, made.process_ready = leading(), lambda: None
     me, last = f"z/{'f' * 16}", made.core.log.last_index
     for number, what in enumerate((
-        [me, 1, "table", "set", ["k", bytes(ENTRY), None]], [me, 1, "table", "unheard", []],
+        [me, 1, "table", "set", ["k", bytes(MAX_COMMAND_BYTES), None]], [me, 1, "table", "unheard", []],
         [me, 1, "none", "set", []], ["z/1", 1, "table", "set", ["k", b"", None]],
         ["y/" + "f" * 16, 1, "table", "set", ["k", b"", None]], [me, "1", "table", "set", []],
     )):  # fmt: skip
-        made.asked("z", (number, "do", what))
-        assert heard.replies[-1] == (number, True, None) and made.core.log.last_index == last
+        made.receive_request("z", (number, "do", what))
+        assert heard.replies[-1] == Reply(number, True, None) and made.core.log.last_index == last
     assert heard.counted == ["not-allowed"] * 6
-    made.asked("z", (9, "do", [me, 1, "table", "set", ["k", bytes(16_000), None]]))
+    made.receive_request("z", (9, "do", [me, 1, "table", "set", ["k", bytes(16_000), None]]))
     assert made.core.log.last_index == last + 1 and len(heard.replies) == 6
-    for number in range(2 * EACH):
-        made.asked("z", (number, "look", ["table", "get", ["k"]]))
-    assert len(made.reading) == EACH - 1 and heard.replies[-1][1] is False
+    for number in range(2 * MAX_PENDING_PER_PROXY):
+        made.receive_request("z", (number, "look", ["table", "get", ["k"]]))
+    assert len(made.pending.queries) == MAX_PENDING_PER_PROXY - 1 and heard.replies[-1].accepted is False
 
 
 def test_a_command_that_comes_twice_is_done_once_and_a_snapshot_keeps_that():
