--- a/ivystack/duties/run.py
+++ b/ivystack/duties/run.py
@@ -36,7 +36,7 @@
         self.proxy, self.mesh, self.client = proxy, mesh, client
         self.now, self.deadlines = proxy.now, proxy.deadlines
         self.who = f"{mesh.name}/{mesh.life}"
-        self.keeper = Keeper(self.who, lease, drift, client.do, client.look, self.lost, self.won)
+        self.keeper = Keeper(self.who, lease, drift, client.execute, client.query, self.lost, self.won)
         self.grantor = Grantor(lease, drift)
         self.fence = Fence()
         self.order = SlotOrder(proxy)
@@ -62,9 +62,9 @@
     def with_own(self, member, leases: Leases) -> None:
         """Our own process is a member of the group."""
         self.member, self.leases = member, leases
-        member.heirs.append(self.changed)
-        member.noted = self.noted
-        member.may = self.may
+        member.state_observers.append(self.changed)
+        member.query_answered = self.noted
+        member.authorize = self.may
 
     def start(self) -> None:
         self.tick()
@@ -103,7 +103,7 @@
         core = self.member.core
         self.next_news = now + NEWS
         self.told = self.leases.told()
-        news = core.term, self.member.applied, self.told
+        news = core.term, self.member.applied_index, self.told
         self.take_news(*news)
         for peer in [*self.mesh.peers]:
             self.mesh.say(peer, "duty", news)
@@ -156,7 +156,7 @@
         if row is None or self.asking:
             return
         if row[2] > self.order.version:  # who holds it takes up what was before, too
-            self.asking = self.client.look("duty", "value", [ORDER], self.value, 2_000_000)
+            self.asking = self.client.query("duty", "value", [ORDER], self.value, 2_000_000)
         elif self.keeper.held(ORDER, now) and not self.putting and self.order.own():
             self.write_order(now)
 
@@ -174,7 +174,7 @@
             elif good:
                 logger.info("duty: act refused duty={} token={}", ORDER, token)
 
-        self.putting = bool(token) and self.client.do("duty", "put", [ORDER, token, own], put, 2_000_000)
+        self.putting = bool(token) and self.client.execute("duty", "put", [ORDER, token, own], put, 2_000_000)
 
     def value(self, good: bool, what: Any) -> None:
         self.asking = False
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -12,7 +12,8 @@
 from loguru import logger
 
 from ..consensus.client import Client
-from ..consensus.member import Member
+from ..consensus.environment import Environment, Timing
+from ..consensus.replica import Replica
 from ..consensus.state_machine import StateMachine
 from ..duties.leases import Leases
 from ..duties.run import Duties
@@ -30,7 +31,7 @@
             proxy.reactor, proxy.deadlines, proxy.now, self.rng, fleet.name, fleet.keys, fleet.links,
             fleet.members, fleet.listen, bind,
         )  # fmt: skip
-        self.member: Member | None = None
+        self.member: Replica | None = None
         self.client = Client(proxy.deadlines, proxy.now, self.rng, self.mesh, [*fleet.members])
         self.duties = Duties(proxy, self.mesh, self.client, fleet.times.lease * 1000, fleet.times.drift)
         if fleet.name in fleet.members:
@@ -40,12 +41,15 @@
         """This proxy is to be of the consensus group."""
         fleet, proxy = self.fleet, self.proxy
         leases = Leases(fleet.times.lease * 1000)
-        self.member = Member(
-            proxy.reactor, proxy.deadlines, proxy.now, self.rng, fleet.name, [*fleet.members],
-            fleet.directory, self.mesh, StateMachine(duty=leases), fleet.times.beat * 1000,
-            fleet.times.election * 1000,
-        )  # fmt: skip
-        self.client.with_own(self.member)
+        self.member = Replica(
+            Environment(proxy.reactor, proxy.deadlines, proxy.now, self.rng, self.mesh),
+            fleet.name,
+            [*fleet.members],
+            fleet.directory,
+            StateMachine(duty=leases),
+            Timing(fleet.times.beat * 1000, fleet.times.election * 1000),
+        )
+        self.client.use_local_replica(self.member)
         self.duties.with_own(self.member, leases)
 
     def start(self) -> None:
@@ -84,7 +88,7 @@
         """A planned end has begun: the proxy serves a little longer."""
         self.duties.hand_on()
         if self.member is not None:
-            self.member.hand_on()
+            self.member.transfer_leadership()
 
     def stop(self) -> None:
         self.duties.stop()
@@ -96,5 +100,5 @@
         """For operators: how things stand, as JSON."""
         told = {"name": self.fleet.name, "mesh": self.mesh.state(), "duties": self.duties.state()}
         if self.member is not None:
-            told["group"] = self.member.state()
+            told["group"] = self.member.status()
         return 200, orjson.dumps(told).decode()
