--- a/ivystack/consensus/errors.py
+++ b/ivystack/consensus/errors.py
@@ -40,3 +40,7 @@
 
 class UnknownEntryError(ConsensusError):
     """An entry or a snapshot that this program does not know: another version wrote it."""
+
+
+class PropertyViolationError(ConsensusError):
+    """A property of the protocol does not hold in a simulated schedule."""
--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -138,24 +138,24 @@
 @rig.command("schedules")
 @click.option("--seed", type=int, default=0, show_default=True, help="The first schedule's seed.")
 @click.option("--count", type=click.IntRange(1), default=300, show_default=True, help="Schedules from it on.")
-@click.option("--planted", is_flag=True, help="Which of the planted slips they find, instead.")
+@click.option("--planted", is_flag=True, help="Which of the planted faults they find, instead.")
 def schedules(seed, count, planted) -> None:
     """Play the consensus group in virtual time, on all cores; exit code 1 where a property does not hold."""
     from concurrent.futures import ProcessPoolExecutor
 
-    from ..consensus import sim
     from ..consensus.mutations import MUTATIONS
+    from ..consensus.simulation import first_failing_seed, play_schedule
 
     began, bad = time.monotonic(), 0
     seeds = range(seed, seed + count)
     with ProcessPoolExecutor() as pool:
         if planted:
-            finds = pool.map(sim.found, MUTATIONS.values(), [seeds] * len(MUTATIONS))
+            finds = pool.map(first_failing_seed, MUTATIONS.values(), [seeds] * len(MUTATIONS))
             for name, at in zip(MUTATIONS, finds, strict=True):
                 click.echo(f"{'not found' if at is None else f'seed {at}':>12}  {name}")
                 bad += at is None
         else:
-            for told in pool.map(sim.played, seeds, chunksize=8):
+            for told in pool.map(play_schedule, seeds, chunksize=8):
                 if told:
                     click.echo(f"BREACH {told}")
                     bad += 1
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -31,7 +31,7 @@
 from ivystack.consensus.mutations import MUTATIONS, SCRIPTED_MUTATIONS, mutated_core
 from ivystack.consensus.records import Role, WriteBatch
 from ivystack.consensus.replica import MAX_COMMAND_BYTES, MAX_PENDING_PER_PROXY, Replica
-from ivystack.consensus.sim import found, played
+from ivystack.consensus.simulation import first_failing_seed, play_schedule
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.consensus.storage import Storage
 from ivystack.consensus.storage_files import COUNTER_FILE, COUNTER_SLOT_BYTES, DATABASE_FILE, MARKER_FILE
@@ -46,13 +46,13 @@
 
 def test_three_hundred_schedules_with_every_fault_hold():
     with ProcessPoolExecutor() as pool:
-        assert [told for told in pool.map(played, range(300), chunksize=10) if told] == []
+        assert [told for told in pool.map(play_schedule, range(300), chunksize=10) if told] == []
 
 
 def test_every_planted_slip_is_found():
     assert len(MUTATIONS) >= 12
     with ProcessPoolExecutor() as pool:
-        finds = pool.map(found, MUTATIONS.values(), [range(400)] * len(MUTATIONS))
+        finds = pool.map(first_failing_seed, MUTATIONS.values(), [range(400)] * len(MUTATIONS))
         seeds = dict(zip(MUTATIONS, finds, strict=True))
     assert [name for name, seed in seeds.items() if seed is None] == []
 
