--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -110,7 +110,8 @@
 
     def _in_command_window(self, request: PendingRequest) -> bool:
         """Whether the group would still recognize a command as a retry after those before it."""
-        oldest = min((one.command_number for one in self.pending.values() if one.command_number), default=0)
+        numbers = [other.command_number for other in self.pending.values() if other.command_number]
+        oldest = min(numbers, default=0)
         return request.command_number < oldest + COMMAND_WINDOW
 
     def _send(self, request: PendingRequest) -> bool:
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -49,9 +49,11 @@
 
     def _heartbeat(self, now: int) -> None:
         self.wake_at = now + self.heartbeat_interval
-        oldest = QUORUM_TIMEOUT * self.election_timeout
-        heard = {one for one, progress in self.progress.items() if now - progress.last_reply_at < oldest}
-        if not self.has_majority(heard | {self.replica_id}):
+        timeout = QUORUM_TIMEOUT * self.election_timeout
+        reachable = {
+            follower for follower, progress in self.progress.items() if now - progress.last_reply_at < timeout
+        }
+        if not self.has_majority(reachable | {self.replica_id}):
             return self.become_follower(now, "")  # 6.2: a leader cut off would keep clients waiting
         if self.transfer_deadline and now > self.transfer_deadline:
             self.transfer_deadline = 0
@@ -136,10 +138,10 @@
 
         :returns: whether a follower was asked: not unless one holds the whole log.
         """
-        candidates = [one for one in self.configuration.voters if one in self.progress]
+        candidates = [voter for voter in self.configuration.voters if voter in self.progress]
         if self.role != Role.LEADER or not candidates:
             return False
-        target = max(candidates, key=lambda one: self.progress[one].match_index)
+        target = max(candidates, key=lambda voter: self.progress[voter].match_index)
         if self.progress[target].match_index < self.log.last_index:
             return False
         self.transfer_deadline = now + TRANSFER_TIMEOUT * self.election_timeout
--- a/ivystack/consensus/election.py
+++ b/ivystack/consensus/election.py
@@ -58,7 +58,8 @@
 
     def update_progress(self, now: int) -> None:
         """Track just the followers that the configuration names."""
-        followers = [one for one in self.configuration.all_members() if one != self.replica_id]
+        members = self.configuration.all_members()
+        followers = [member for member in members if member != self.replica_id]
         for follower in followers:
             self.progress.setdefault(follower, Progress(self.log.last_index + 1, last_reply_at=now))
         for follower in [*self.progress]:
--- a/ivystack/consensus/membership.py
+++ b/ivystack/consensus/membership.py
@@ -47,16 +47,16 @@
         self.core, self.wanted, self.announced = core, wanted, announced
         self.configuration = core.configuration
         self.reachable = {core.replica_id} | {
-            one
-            for one, progress in core.progress.items()
+            follower
+            for follower, progress in core.progress.items()
             if now - progress.last_reply_at < core.election_timeout
         }
         self.voter_by_name = {proxy_name(voter): voter for voter in self.configuration.voters}
 
     def without(self, replica: str) -> Configuration | None:
         """Return the configuration without a replica; None if too few of its voters are reachable."""
-        voters = tuple(one for one in self.configuration.voters if one != replica)
-        learners = tuple(one for one in self.configuration.learners if one != replica)
+        voters = tuple(voter for voter in self.configuration.voters if voter != replica)
+        learners = tuple(other for other in self.configuration.learners if other != replica)
         return Configuration(voters, learners) if self.core.has_majority(self.reachable, voters) else None
 
     def stale_learner(self) -> str | None:
@@ -74,7 +74,7 @@
                 continue
             former = self.voter_by_name.get(proxy_name(learner))
             if former is None:
-                learners = tuple(one for one in self.configuration.learners if one != learner)
+                learners = tuple(other for other in self.configuration.learners if other != learner)
                 return Configuration((*self.configuration.voters, learner), learners)
             step = self.without(former) if former != self.core.replica_id else None
             if step is not None:
--- a/ivystack/consensus/membership_manager.py
+++ b/ivystack/consensus/membership_manager.py
@@ -48,11 +48,13 @@
         now = self.env.now()
         self._announce(replica.core)
         recent = {
-            name: one for name, one in self.announcements.items() if now - one.received_at < ANNOUNCEMENT_TTL
+            name: received
+            for name, received in self.announcements.items()
+            if now - received.received_at < ANNOUNCEMENT_TTL
         }
         if not replica.core.configuration.voters:
             self._bootstrap(recent)
-        self._change_membership({name: one.replica_id for name, one in recent.items()}, now)
+        self._change_membership({name: received.replica_id for name, received in recent.items()}, now)
 
     def receive(self, sender: str, body: Any) -> None:
         """Take another proxy's announcement."""
--- a/ivystack/consensus/pending_requests.py
+++ b/ivystack/consensus/pending_requests.py
@@ -77,9 +77,9 @@
 
     def release(self, confirmed: set[int]) -> list[ReleasedRequest]:
         """Remove all requests, but for queries that are ``confirmed`` and will be answered yet."""
-        released = [ReleasedRequest(one.requester, one.number) for one in self.commands.values()]
+        released = [ReleasedRequest(command.requester, command.number) for command in self.commands.values()]
         self.commands, self.counts = {}, {}
-        for token in [one for one in self.queries if one not in confirmed]:
+        for token in [token for token in self.queries if token not in confirmed]:
             query = self.queries.pop(token)
             released.append(ReleasedRequest(query.requester, query.number))
         return released
--- a/ivystack/consensus/replication.py
+++ b/ivystack/consensus/replication.py
@@ -108,7 +108,9 @@
         """Confirm reads whose round a majority has answered: nobody else led when they came."""
         while self.reads.pending:
             wanted = self.reads.pending[0].round
-            confirming = {one for one, progress in self.progress.items() if progress.acked_round >= wanted}
+            confirming = {
+                follower for follower, progress in self.progress.items() if progress.acked_round >= wanted
+            }
             if not self.has_majority(confirming | {self.replica_id}):
                 return
             self.reads.confirm_oldest()
--- a/ivystack/consensus/simulated_faults.py
+++ b/ivystack/consensus/simulated_faults.py
@@ -7,7 +7,6 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from .records import Role
 from .simulated_replica import MS, SimulatedReplica
 
 if TYPE_CHECKING:
@@ -154,9 +153,6 @@
     def _running(self) -> list[SimulatedReplica]:
         return [replica for replica in self._all() if replica.core is not None]
 
-    def _leaders(self) -> list[SimulatedReplica]:
-        return [one for one in self._running() if one.core is not None and one.core.role == Role.LEADER]
-
     def _crash(self) -> str | None:
         running = self._running()
         if not running:
@@ -173,7 +169,7 @@
             replica.start()
 
     def _crash_leaders(self) -> None:
-        for replica in self._leaders():
+        for replica in self.simulation.leading_replicas():
             replica.stop()
 
     def _start(self) -> None:
@@ -188,13 +184,13 @@
 
     def _partition_one_way(self) -> None:
         names = [*self.simulation.replicas]
-        one = self.rng.choice(names)
+        isolated = self.rng.choice(names)
         outgoing = self.rng.random() < 0.5
-        self.network.blocked |= {(one, name) if outgoing else (name, one) for name in names}
+        self.network.blocked |= {(isolated, name) if outgoing else (name, isolated) for name in names}
 
     def _isolate_leaders(self) -> None:
         names = [*self.simulation.replicas]
-        for leader in self._leaders():
+        for leader in self.simulation.leading_replicas():
             self.network.blocked |= {(leader.name, name) for name in names}
             self.network.blocked |= {(name, leader.name) for name in names}
 
@@ -234,7 +230,7 @@
         newest = self.simulation.newest_leader()
         if newest is None or newest.core is None or not newest.core.may_change_membership():
             return True
-        wanted = {one.id for one in self._all() if one.name in self.simulation.wanted}
+        wanted = {replica.id for replica in self._all() if replica.name in self.simulation.wanted}
         return wanted != {*newest.core.configuration.voters}
 
     def _fail_writes(self) -> None:
--- a/ivystack/consensus/simulated_replica.py
+++ b/ivystack/consensus/simulated_replica.py
@@ -183,9 +183,9 @@
             for other in simulation.replicas.values():
                 simulation.send_announcement(self, other.name)
         recent = {
-            name: one.replica_id
-            for name, one in self.announcements.items()
-            if simulation.now - one.received_at < ANNOUNCEMENT_TTL
+            name: received.replica_id
+            for name, received in self.announcements.items()
+            if simulation.now - received.received_at < ANNOUNCEMENT_TTL
         }
         step = next_configuration(core, simulation.wanted, recent, simulation.now)
         if step is not None:
--- a/ivystack/consensus/simulation.py
+++ b/ivystack/consensus/simulation.py
@@ -87,7 +87,8 @@
     def _bootstrap(self) -> None:
         for replica in self.replicas.values():
             replica.replace_disk()
-        first = Snapshot(1, 1, Configuration(tuple(one.id for one in self.replicas.values())))
+        voters = tuple(replica.id for replica in self.replicas.values())
+        first = Snapshot(1, 1, Configuration(voters))
         for replica in self.replicas.values():
             replica.disk = SimulatedDisk(1, "", first, base_index=1)
         self.applied_log[1] = AppliedEntry(b"", b"")
@@ -181,8 +182,7 @@
     def _load(self) -> None:
         """Ask each replica that believes to lead for a command, and sometimes for a read."""
         self.schedule(LOAD_INTERVAL, self._load)
-        leaders = [one for one in self.replicas.values() if one.core and one.core.role == Role.LEADER]
-        for leader in leaders:
+        for leader in self.leading_replicas():
             self.proposal_count += 1
             leader.propose(b"v%d" % self.proposal_count)
             if self.rng.random() < READ_FRACTION and leader.core is not None:
@@ -191,10 +191,18 @@
                 leader.core.read(self.read_count)
             leader.process_ready()
 
+    def leading_replicas(self) -> list[SimulatedReplica]:
+        """Return the replicas that believe to lead."""
+        return [
+            replica
+            for replica in self.replicas.values()
+            if replica.core is not None and replica.core.role == Role.LEADER
+        ]
+
     def newest_leader(self) -> SimulatedReplica | None:
         """Return the leader of the highest term."""
-        leaders = [one for one in self.replicas.values() if one.core and one.core.role == Role.LEADER]
-        return max(leaders, key=lambda one: one.core.term if one.core else 0, default=None)
+        leaders = self.leading_replicas()
+        return max(leaders, key=lambda replica: replica.core.term if replica.core else 0, default=None)
 
     def change_wanted_members(self) -> None:
         """Let the group grow from three to five members, or shrink to three others."""
@@ -246,10 +254,11 @@
         if leader.core is None:
             raise PropertyViolationError("the leader is gone though all was repaired")
         voters = leader.core.configuration.voters
-        late = [one.name for one in self.replicas.values() if one.id in voters and one.applied_index < top]
+        replicas = self.replicas.values()
+        late = [replica.name for replica in replicas if replica.id in voters and replica.applied_index < top]
         if late:
             raise PropertyViolationError(f"members that stay behind: {' '.join(late)}")
-        wanted = {one.id for one in self.replicas.values() if one.name in self.wanted}
+        wanted = {replica.id for replica in replicas if replica.name in self.wanted}
         if {*voters} != wanted:
             raise PropertyViolationError(f"members are {sorted(voters)}, wanted {sorted(wanted)}")
 
