--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,9 +19,10 @@
 from loguru import logger
 from twisted.internet import defer, reactor
 
-from ivystack.consensus.core import Save
-from ivystack.consensus.forms import DATA, Config, Entry, Snapshot
-from ivystack.consensus.store import FILE, Store
+from ivystack.consensus.messages import Configuration, Entry, EntryKind, Snapshot
+from ivystack.consensus.records import WriteBatch
+from ivystack.consensus.storage import Storage
+from ivystack.consensus.storage_files import DATABASE_FILE, connect
 from ivystack.rig.play import Rig
 from ivystack.rig.scenario import checked
 
@@ -30,16 +31,16 @@
 
 def disk(folder: Path, each: int, seconds: float) -> float:
     """Entries a second that the store writes, so many to a sync."""
-    store = Store(folder, lambda call, *values: None, print)
+    store = Storage(folder, lambda call, *values: None, print)
     store.open()
-    base = store.connect(folder / FILE)
-    store.write(base, Save(0, 1, "", 2, [], Snapshot(1, 1, Config(("a",))), 1))
+    base = connect(folder / DATABASE_FILE)
+    store.write_batch(base, WriteBatch(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
     at, end = 2, time.monotonic() + seconds
     began = time.monotonic()
     while time.monotonic() < end:
-        entries = [Entry(1, DATA, bytes(PAYLOAD))] * each
+        entries = [Entry(1, EntryKind.DATA, bytes(PAYLOAD))] * each
         base.execute("BEGIN IMMEDIATE")
-        store.write(base, Save(0, 1, "", at, entries, None, 1))
+        store.write_batch(base, WriteBatch(0, 1, "", at, entries, None, 1))
         base.execute("COMMIT")
         at += each
     spent = time.monotonic() - began
@@ -74,7 +75,7 @@
                     done.callback(None)
 
             number = len(times) % 200
-            client.do("table", "set", [f"k{number}", bytes(PAYLOAD), None], answered, 3_000_000)
+            client.execute("table", "set", [f"k{number}", bytes(PAYLOAD), None], answered, 3_000_000)
 
         began = time.monotonic()
         for _ in range(flying):
@@ -100,7 +101,7 @@
 
         try:
             for flying in (1, 4, 64):
-                clients.AT_ONCE, clients.MOST = max(4, flying), max(64, flying)
+                clients.COMMAND_WINDOW, clients.MAX_PENDING = max(4, flying), max(64, flying)
                 with tempfile.TemporaryDirectory() as folder:
                     times, spent, leader = await measure(Path(folder), seconds, flying)
                 each = max(1, round(len(times) / max(1, leader["syncs"])))
