--- a/ivystack/duties/__init__.py
+++ b/ivystack/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that only one proxy of the fleet may hold at a time."""
+"""Duties: named leases, each held by at most one process of the fleet at a time."""
--- /dev/null
+++ b/ivystack/duties/health_check_duty.py
@@ -0,0 +1,157 @@
+"""The `node-trials` duty: one proxy checks whether servers that are down can be reached, for all proxies.
+
+Results never take a server out of use, never send it a request and never make it healthy: only the proxy's
+own traffic does that.  A result merely postpones this proxy's own next check of a server that it already
+holds to be down, for at most `MAX_POSTPONEMENT`, so that not every proxy of a fleet checks a dead server.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from ..model import READY
+from .health_probe import probe
+from .protocol import MAX_SERVERS_PER_MESSAGE
+
+if TYPE_CHECKING:
+    from ..net.proxy import Proxy
+
+CHECK_INTERVAL = 500_000  # microseconds from the first check of a server to the second
+MAX_INTERVAL_DOUBLINGS = 2  # of it, for later checks
+POSTPONEMENT = 4_500_000  # microseconds by a result: two of the longest intervals, one result may be lost
+MAX_POSTPONEMENT = 30_000_000  # microseconds in all: what a faulty holder can cost a server that is back
+REQUEST_LIFETIME = 2_000_000  # microseconds for which another proxy's request for a check counts
+MAX_CONCURRENT_CHECKS = 32
+
+
+class LocalServers:
+    """The proxy's servers and their health, as this duty needs them."""
+
+    def __init__(self, proxy: Proxy) -> None:
+        self.proxy = proxy
+
+    def known(self, name: str) -> bool:
+        """Return whether our endpoint list has that server."""
+        return name in self.proxy.choice.nodes
+
+    def down(self) -> list[str]:
+        """Return ready servers that we hold to be down ourselves, as many as fit a message."""
+        choice = self.proxy.choice
+        down = [n.name for n in choice.nodes.values() if n.state == READY and not choice.health.up(n)]
+        return down[:MAX_SERVERS_PER_MESSAGE]
+
+    def names_not_up(self) -> set[str]:
+        """Return all servers that we hold to be down, in whatever state of the endpoint list."""
+        choice = self.proxy.choice
+        return {node.name for node in choice.nodes.values() if not choice.health.up(node)}
+
+    def not_up(self, name: str) -> Any:
+        """Return that server if we know it and hold it to be down, else None."""
+        node = self.proxy.choice.nodes.get(name)
+        return None if node is None or self.proxy.choice.health.up(node) else node
+
+    def checkable_address(self, name: str) -> tuple[str, int] | None:
+        """Return the address of a ready server; nothing is sent to one that is draining or has left."""
+        node, place = self.proxy.choice.nodes.get(name), self.proxy.nodes.places.get(name)
+        return None if node is None or place is None or node.state != READY else place.address
+
+
+class CheckSchedule(NamedTuple):
+    """How often the holder has checked a server, and when it may do so next, in microseconds."""
+
+    checks: int
+    next_at: int
+
+
+class PostponedCheck(NamedTuple):
+    """Our own check that results postpone: its number for that server, and when it was due."""
+
+    check_number: int
+    due_at: int
+
+
+class HealthCheckDuty:
+    """Checks servers while this process holds the duty, and applies the results of whoever holds it."""
+
+    def __init__(self, proxy: Proxy) -> None:
+        self.proxy, self.servers = proxy, LocalServers(proxy)
+        self.requested: dict[str, int] = {}  # by other proxies: server, and until when
+        self.schedule: dict[str, CheckSchedule] = {}
+        self.in_progress: set[str] = set()
+        self.results: dict[str, bool] = {}  # whether each was reached; not announced yet
+        self.postponed: dict[str, PostponedCheck] = {}
+        self.checks_started = self.checks_postponed = 0  # for operators
+
+    def request(self, names: list[str], now: int) -> None:
+        """Note that another proxy holds these to be down; names outside our endpoint list are ignored."""
+        for name in names[:MAX_SERVERS_PER_MESSAGE]:
+            if self.servers.known(name):
+                self.requested[name] = now + REQUEST_LIFETIME
+
+    def run_checks(self, now: int, may_act: Callable[[], bool]) -> None:
+        """Start the checks that are due; `may_act` is asked right before each one."""
+        self.requested = {name: until for name, until in self.requested.items() if until > now}
+        self.schedule = {
+            name: one for name, one in self.schedule.items() if now - one.next_at < REQUEST_LIFETIME
+        }
+        for name, address in self._due(now):
+            if not may_act():
+                continue
+            checks = self.schedule.get(name, CheckSchedule(0, now)).checks
+            interval = CHECK_INTERVAL << min(checks, MAX_INTERVAL_DOUBLINGS)
+            self.schedule[name] = CheckSchedule(checks + 1, now + interval)
+            self.checks_started += 1
+            self._start_check(name, address)
+
+    def _due(self, now: int) -> Iterator[tuple[str, tuple[str, int]]]:
+        """Yield servers to check now, with their addresses."""
+        for name in dict.fromkeys([*self.servers.down(), *self.requested]):
+            address = self.servers.checkable_address(name)
+            if address is None or len(self.in_progress) >= MAX_CONCURRENT_CHECKS:
+                continue
+            if name not in self.in_progress and now >= self.schedule.get(name, CheckSchedule(0, now)).next_at:
+                yield name, address
+
+    def _start_check(self, name: str, address: tuple[str, int]) -> None:
+        self.in_progress.add(name)
+
+        def done(reached: bool) -> None:
+            self.in_progress.discard(name)
+            self.results[name] = reached
+
+        probe(self.proxy.reactor, self.proxy.deadlines, self.proxy.now(), address, done)
+
+    def take_results(self) -> dict[str, bool]:
+        """Remove and return results that were not announced yet, as many as fit a message."""
+        names = [*self.results][:MAX_SERVERS_PER_MESSAGE]
+        return {name: self.results.pop(name) for name in names}
+
+    def apply_results(self, reached: dict[str, bool], now: int) -> None:
+        """Postpone our own checks of servers that the holder could not reach, up to the bound."""
+        not_up = self.servers.names_not_up()
+        self.postponed = {name: one for name, one in self.postponed.items() if name in not_up}
+        for name, was_reached in reached.items():
+            node = self.servers.not_up(name)
+            if node is None:
+                continue
+            if not was_reached:
+                self._postpone(node, now)
+            elif self.postponed.pop(name, None) is not None:
+                node.trial_at = min(node.trial_at, now)
+
+    def _postpone(self, node: Any, now: int) -> None:
+        if node.name not in self.postponed or self.postponed[node.name].check_number != node.trials:
+            self.postponed[node.name] = PostponedCheck(node.trials, node.trial_at)
+        until = min(now + POSTPONEMENT, self.postponed[node.name].due_at + MAX_POSTPONEMENT)
+        if until > node.trial_at:
+            node.trial_at = until
+            self.checks_postponed += 1
+
+    def state(self) -> dict[str, Any]:
+        """Return how things stand, for the operators' JSON."""
+        return {
+            "looks": self.checks_started,
+            "spaced": self.checks_postponed,
+            "down": self.servers.down(),
+        }
--- /dev/null
+++ b/ivystack/duties/lease_leader.py
@@ -0,0 +1,89 @@
+"""The consensus leader's part in the leases: it ends expired ones and announces all of them to the fleet."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from loguru import logger
+
+from ..consensus.core import LEADER
+from ..mesh.mesh import Mesh
+from .lease_expiry import LeaseExpiry
+from .lease_table import LeaseTable
+from .protocol import LEASE_PART, LeaseCommand, LeaseNews, LeaseRead, LeaseSummary, MessageKind
+
+if TYPE_CHECKING:
+    from ..consensus.member import Member
+
+ANNOUNCEMENT_INTERVAL = 500_000  # microseconds between announcements where nothing changes
+
+
+class LeaseLeader:
+    """Acts on the lease table of our own group member, wherever that member leads."""
+
+    def __init__(
+        self,
+        member: Member,
+        table: LeaseTable,
+        expiry: LeaseExpiry,
+        mesh: Mesh,
+        now: Callable[[], int],
+        on_news: Callable[[LeaseNews], None],
+    ) -> None:
+        """Register with the member.
+
+        :param now: the clock, in microseconds.
+        :param on_news: takes each announcement in this process, before it is sent.
+        """
+        self.member, self.table, self.expiry, self.mesh = member, table, expiry, mesh
+        self.now, self.on_news = now, on_news
+        self.next_announcement = 0
+        self.announced: dict[str, LeaseSummary] | None = None
+        member.heirs.append(self.state_changed)
+        member.noted = self.read_answered
+        member.may = self.is_allowed
+
+    def tick(self, now: int) -> None:
+        """Expire and announce, if this process leads and has committed an entry of its term."""
+        core = self.member.core
+        if core is None or core.role != LEADER or core.term_at(core.commit) != core.term:
+            return
+        for duty, token in self.expiry.expired(self.table.records, core.term, now):
+            logger.info("duty: lease expired, its holder was not heard from duty={} token={}", duty, token)
+            self.member.propose(LEASE_PART, LeaseCommand.RELEASE.value, [duty, token])
+        if now >= self.next_announcement:
+            self._announce(core.term, now)
+
+    def state_changed(self) -> None:
+        """Announce at once where the replicated state has changed and this process leads."""
+        core = self.member.core
+        if core is not None and core.role == LEADER and self.table.summaries() != self.announced:
+            self._announce(core.term, self.now())
+
+    def _announce(self, term: int, now: int) -> None:
+        self.next_announcement = now + ANNOUNCEMENT_INTERVAL
+        self.announced = self.table.summaries()
+        news = LeaseNews(term, self.member.applied, self.announced)
+        self.on_news(news)
+        for peer in [*self.mesh.peers]:
+            self.mesh.say(peer, MessageKind.LEASE_NEWS.value, news)
+
+    def is_allowed(self, process: str, part: Any, name: Any, args: Any) -> bool:
+        """Return whether `process` may ask for this: each acquires, releases and writes for itself alone.
+
+        A peer with a valid key may lie about whom it acts for; the token it names is checked by the table.
+        """
+        if part != LEASE_PART or name == LeaseRead.GET_VALUE:
+            return True
+        if not isinstance(args, list) or len(args) < 2:
+            return False
+        if name == LeaseCommand.ACQUIRE:
+            return args[1] == process
+        record = self.table.records.get(args[0]) if isinstance(args[0], str) else None
+        return record is not None and record.holder == process
+
+    def read_answered(self, part: str, name: str, args: list, answer: Any) -> None:
+        """Count a renewal as word from the holder; a majority has confirmed that this process leads."""
+        if part == LEASE_PART and name == LeaseRead.RENEW and answer is True:
+            self.expiry.renewed(args[0], args[1], self.now())
--- /dev/null
+++ b/ivystack/duties/lease_table.py
@@ -0,0 +1,133 @@
+"""The replicated lease table: holder, fencing token and value of each duty.
+
+A part of the consensus group's state machine, so every member must compute the same result from the same
+command: there is no clock here.  Whether a lease has expired is decided by the leader (lease_expiry.py).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from .exceptions import UnknownDutyError, UnknownLeaseRequestError
+from .protocol import KNOWN_DUTIES, LeaseCommand, LeaseRead, LeaseSummary
+
+MAX_VALUE_BYTES = 16_384  # a slot order of 5,000 servers
+MAX_OWNER_CHARS = 128
+
+
+@dataclass(slots=True)
+class LeaseRecord:
+    """One lease.  The fields are stored in this order."""
+
+    holder: str = ""  # `name/incarnation` of the holding process; empty: the lease is free
+    token: int = 0  # fencing token of the holder, or of the last one
+    value: bytes = b""
+    version: int = 0  # of the value
+    value_token: int = 0  # the token under which the value was written
+
+    def summary(self) -> LeaseSummary:
+        """Return the lease without its value."""
+        return LeaseSummary(self.holder, self.token, self.version)
+
+    def acquire(self, owner: str) -> list:
+        """Give a free lease to `owner` under a new token; return the holder and its token then."""
+        if not self.holder:
+            self.holder, self.token = owner, self.token + 1
+        return [self.holder, self.token]
+
+    def release(self, token: Any) -> bool:
+        """Free the lease if it is held under `token`; return whether it was."""
+        held = bool(self.holder) and token == self.token
+        self.holder = "" if held else self.holder
+        return held
+
+    def put(self, token: Any, value: Any) -> list:
+        """Write the value if the lease is held under `token`; return whether it was, and the version then."""
+        accepted = isinstance(value, bytes) and len(value) <= MAX_VALUE_BYTES
+        accepted = accepted and bool(self.holder) and token == self.token
+        if accepted and value != self.value:
+            self.value, self.version, self.value_token = value, self.version + 1, token
+        return [accepted, self.version]
+
+
+class LeaseTable:
+    """The leases by duty, changed by commands and read by queries of the consensus group."""
+
+    NAMES = tuple(command.value for command in LeaseCommand)
+
+    def __init__(self, lease: int = 0) -> None:
+        """Create an empty table.
+
+        :param lease: duration in microseconds; used by reads alone and no part of the replicated state.
+        """
+        self.max_answer_age = lease * 2 // 3  # a holder without an answer for longer gets no more time
+        self.records: dict[str, LeaseRecord] = {}
+
+    def record(self, duty: str) -> LeaseRecord:
+        """Return the lease of a duty, created free where it is not there yet.
+
+        :raises UnknownDutyError: which bounds the number of records.
+        """
+        if duty not in KNOWN_DUTIES:
+            raise UnknownDutyError(duty)
+        return self.records.setdefault(duty, LeaseRecord())
+
+    def do(self, name: str, args: list) -> Any:
+        """Apply a command: `take` duty owner, `free` duty token, or `put` duty token value.
+
+        :raises UnknownDutyError: nothing is changed.
+        :raises UnknownLeaseRequestError: no lease is changed.
+
+        >>> table = LeaseTable()
+        >>> table.do("take", ["slot-order", "a/1"]), table.do("take", ["slot-order", "b/1"])
+        (['a/1', 1], ['a/1', 1])
+        >>> table.do("free", ["slot-order", 1]), table.do("take", ["slot-order", "b/1"])
+        (True, ['b/1', 2])
+        >>> table.do("put", ["slot-order", 1, b"old"]), table.do("put", ["slot-order", 2, b"new"])
+        ([False, 0], [True, 1])
+        """
+        record = self.record(args[0])
+        if name == LeaseCommand.ACQUIRE:
+            return record.acquire(str(args[1])[:MAX_OWNER_CHARS])
+        if name == LeaseCommand.RELEASE:
+            return record.release(args[1])
+        if name == LeaseCommand.PUT_VALUE:
+            _, token, value = args
+            return record.put(token, value)
+        raise UnknownLeaseRequestError(name)
+
+    def look(self, name: str, args: list) -> Any:
+        """Answer a read: `renew` duty token owner answer-age, or `value` duty.
+
+        `renew` gives whether that owner holds the lease under that token; None, which grants no more time,
+        where its last answer from the group is too old or absent: a holder that can send but not receive
+        would keep the lease forever.  `value` gives the version, the token it was written under, the value.
+
+        :raises UnknownDutyError: as `do`.
+        :raises UnknownLeaseRequestError: as `do`.
+        """
+        record = self.record(args[0])
+        if name == LeaseRead.RENEW:
+            _, token, owner, answer_age = args
+            if not record.holder or [record.token, record.holder] != [token, owner]:
+                return False
+            return True if answer_age is not None and answer_age <= self.max_answer_age else None
+        if name == LeaseRead.GET_VALUE:
+            return [record.version, record.value_token, record.value]
+        raise UnknownLeaseRequestError(name)
+
+    def summaries(self) -> dict[str, LeaseSummary]:
+        """Return all leases without their values, as they are announced to the fleet."""
+        return {duty: record.summary() for duty, record in self.records.items()}
+
+    def dump(self) -> Any:
+        """Return the table as it is stored in a snapshot."""
+        return {
+            duty: [one.holder, one.token, one.value, one.version, one.value_token]
+            for duty, one in self.records.items()
+        }
+
+    def load(self, what: Any) -> None:
+        """Replace the table by one from a snapshot."""
+        self.records = {duty: LeaseRecord(*values) for duty, values in what.items()}
--- /dev/null
+++ b/ivystack/duties/slot_order_duty.py
@@ -0,0 +1,136 @@
+"""The `slot-order` duty: one order of slots for the fleet, written by its holder and adopted by all.
+
+The order is the value of the duty's lease: a concatenation of server marks (words.py), one for each slot.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from enum import StrEnum
+from hashlib import blake2b
+from typing import TYPE_CHECKING, Any
+
+from loguru import logger
+
+from ..model import READY
+from ..words import mark
+from .fencing import FencingTokens
+from .lease_client import LeaseClient, LeaseValue, PutResult
+from .lease_holder import LeaseHolder
+from .protocol import DutyName, LeaseSummary
+
+if TYPE_CHECKING:
+    from ..net.proxy import Proxy
+
+MARK_BYTES = 3  # of one slot
+MAX_SLOTS = 4096
+MAX_WATCH_OUTAGE = 3_000_000  # microseconds without the endpoint list's watch: then our order is out of date
+DIGEST_BYTES = 6  # of the order's digest in the operators' JSON
+DUTY = DutyName.SLOT_ORDER.value
+
+
+class OrderFault(StrEnum):
+    """Why an agreed order is not adopted; the value is the `code=` of the log line."""
+
+    MALFORMED = "malformed"
+    UNFAMILIAR = "strange"  # it names less than half of the servers that are ready here
+
+
+class SlotOrder:
+    """The proxy's own slots, and whether the proxy knows enough to write the fleet's order."""
+
+    def __init__(self, proxy: Proxy) -> None:
+        self.proxy = proxy
+        self.watch_lost_at: int | None = None
+
+    def can_serve(self) -> bool:
+        """Return whether this proxy has a recent endpoint list and knows a ready server."""
+        now = self.proxy.now()
+        if self.proxy.discovery.body is not None:
+            self.watch_lost_at = None
+        elif self.watch_lost_at is None:
+            self.watch_lost_at = now
+        recent = self.watch_lost_at is None or now - self.watch_lost_at < MAX_WATCH_OUTAGE
+        return recent and self.proxy.started and not self.proxy.ending and self.proxy.ready()
+
+    def encode(self) -> bytes:
+        """Return the order of our slots as their marks."""
+        return b"".join(mark(node) for node in self.proxy.choice.placement.slots)
+
+    def digest(self) -> str:
+        """Return a short digest of our order, in hexadecimal, for operators to compare."""
+        return blake2b(self.encode(), digest_size=DIGEST_BYTES).hexdigest()
+
+    def adopt(self, order: bytes) -> OrderFault | None:
+        """Put our slots into that order; return what is wrong with it if it is not adopted."""
+        marks = [order[at : at + MARK_BYTES] for at in range(0, len(order), MARK_BYTES)]
+        servers = self._servers()
+        # A mark comes once, or as often as servers here have it: two of a thousand may share one.
+        known = Counter(map(mark, servers))
+        repeated = any(count > max(1, known[one]) for one, count in Counter(marks).items())
+        if not marks or len(marks) > MAX_SLOTS or len(order) % MARK_BYTES or repeated:
+            return OrderFault.MALFORMED
+        ready = [mark(node) for node in servers if node.state == READY]
+        if 2 * len({*marks} & {*ready}) < len(ready):
+            return OrderFault.UNFAMILIAR
+        if order != self.encode():
+            self.proxy.choice.placement.adopt(marks, servers, self.proxy.now())
+        return None
+
+    def _servers(self) -> list[Any]:
+        """Return the known cache servers, without origins."""
+        choice = self.proxy.choice
+        return [node for node in choice.nodes.values() if node.kind != choice.origin_kind]
+
+
+class SlotOrderDuty:
+    """Keeps our slots in the agreed order, and writes that order while this process holds the duty."""
+
+    def __init__(
+        self, slots: SlotOrder, client: LeaseClient, holder: LeaseHolder, fencing: FencingTokens
+    ) -> None:
+        self.slots, self.client, self.holder, self.fencing = slots, client, holder, fencing
+        self.version = 0  # of the newest order seen
+        self.agreed: bytes | None = None  # the order that the group has, as far as we know
+        self.read_pending = False
+        self.write_pending = False
+
+    def tick(self, announced: LeaseSummary | None, now: int) -> None:
+        """Read a newer order, or write ours as the holder; a new holder first adopts the order before it."""
+        if announced is None or self.read_pending:
+            return
+        if announced.version > self.version:
+            self.read_pending = self.client.get_value(DUTY, self._value_read)
+        elif self.holder.held_token(DUTY, now) and not self.write_pending and self.slots.encode():
+            self._write()
+
+    def _write(self) -> None:
+        order = self.slots.encode()
+        if order == self.agreed:
+            return
+        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write
+
+        def written(result: PutResult | None) -> None:
+            self.write_pending = False
+            if result is None:
+                return
+            if result.accepted:
+                self.agreed, self.version = order, max(self.version, result.version)
+                logger.info("duty: value written duty={} token={} version={}", DUTY, token, result.version)
+            else:
+                logger.info("duty: value rejected by the group duty={} token={}", DUTY, token)
+
+        self.write_pending = bool(token) and self.client.put_value(DUTY, token, order, written)
+
+    def _value_read(self, value: LeaseValue | None) -> None:
+        self.read_pending = False
+        if value is None or value.version <= self.version or not self.fencing.accept(DUTY, value.token):
+            return
+        fault = self.slots.adopt(value.value)
+        if fault is None:
+            words = "duty: value adopted duty={} token={} version={}"
+            logger.info(words, DUTY, value.token, value.version)
+        else:
+            words = "duty: value not adopted, own order kept duty={} token={} version={} code={}"
+            logger.error(words, DUTY, value.token, value.version, fault.value)
+        self.version, self.agreed = value.version, value.value
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -14,8 +14,8 @@
 from ..consensus.client import Client
 from ..consensus.machine import Machine
 from ..consensus.member import Member
-from ..duties.leases import Leases
-from ..duties.run import Duties
+from ..duties.lease_table import LeaseTable
+from ..duties.manager import DutyManager
 from ..mesh.mesh import Mesh
 from ..settings import FaultError
 from .settings import Fleet, load
@@ -32,21 +32,21 @@
         )  # fmt: skip
         self.member: Member | None = None
         self.client = Client(proxy.deadlines, proxy.now, self.rng, self.mesh, [*fleet.members])
-        self.duties = Duties(proxy, self.mesh, self.client, fleet.times.lease * 1000, fleet.times.drift)
+        self.duties = DutyManager(proxy, self.mesh, self.client, fleet.times.lease * 1000, fleet.times.drift)
         if fleet.name in fleet.members:
             self.join()
 
     def join(self) -> None:
         """This proxy is to be of the consensus group."""
         fleet, proxy = self.fleet, self.proxy
-        leases = Leases(fleet.times.lease * 1000)
+        leases = LeaseTable(fleet.times.lease * 1000)
         self.member = Member(
             proxy.reactor, proxy.deadlines, proxy.now, self.rng, fleet.name, [*fleet.members],
             fleet.directory, self.mesh, Machine(duty=leases), fleet.times.beat * 1000,
             fleet.times.election * 1000,
         )  # fmt: skip
         self.client.with_own(self.member)
-        self.duties.with_own(self.member, leases)
+        self.duties.attach_member(self.member, leases)
 
     def start(self) -> None:
         try:
@@ -82,7 +82,7 @@
 
     def hand_on(self) -> None:
         """A planned end has begun: the proxy serves a little longer."""
-        self.duties.hand_on()
+        self.duties.release_all()
         if self.member is not None:
             self.member.hand_on()
 
--- a/ivystack/rig/logs.py
+++ b/ivystack/rig/logs.py
@@ -27,8 +27,8 @@
     return [f"{at:12} {name:>4} {line}" for at, name, _, line in sorted(found)]
 
 
-ACT = re.compile(r"duty: act taken duty=(\S+) token=(\d+) version=(\d+)")
-HELD = re.compile(r"duty: (held|let go) duty=(\S+) token=(\d+)")
+ACT = re.compile(r"duty: value adopted duty=(\S+) token=(\d+) version=(\d+)")
+HELD = re.compile(r"duty: lease (acquired|lost) duty=(\S+) token=(\d+)")
 SEEN = 50_000  # microseconds: the rig looks at the wall clock so often
 START = re.compile(r"(start name|fleet name)=")
 
@@ -58,7 +58,7 @@
                 acts.append(Act(at, found[1], "", int(found[2]), name, True))
             elif holding:
                 key = holding[2], int(holding[3])
-                if holding[1] == "held":
+                if holding[1] == "acquired":
                     open_at[key] = at
                 elif key in open_at:
                     held.append((open_at.pop(key), at, key[0], name, key[1]))
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties: leases against clocks that go apart, fencing, who comes forward, the slot order, real processes."""
+"""Duties: leases under clock drift, fencing, candidates, the slot order, health checks, real processes."""
 
 import sys
 import time
@@ -10,11 +10,13 @@
 from test_consensus import playing
 from test_rig import PACKAGE, altered, ivy
 
-from ivystack.duties import grantor, keeper
-from ivystack.duties.fence import Fence
-from ivystack.duties.leases import Leases
-from ivystack.duties.order import SlotOrder
-from ivystack.duties.trials import MOST, Trials
+from ivystack.duties import lease_expiry, lease_holder
+from ivystack.duties.fencing import FencingTokens
+from ivystack.duties.health_check_duty import MAX_POSTPONEMENT, HealthCheckDuty
+from ivystack.duties.lease_client import LeaseClient
+from ivystack.duties.lease_table import LeaseTable
+from ivystack.duties.protocol import LeaseSummary
+from ivystack.duties.slot_order_duty import OrderFault, SlotOrder
 from ivystack.rig.check import overlapping
 from ivystack.rig.logs import logged
 from ivystack.words import mark
@@ -24,36 +26,34 @@
 DUTY = "slot-order"
 
 
-class Leased:
-    """Proxies with clocks of their own, a leader that changes, words that are late or lost.  True time is in
-    `now`; at most one proxy may believe that it holds."""
+class SimulatedLeases:
+    """Proxies with clocks of their own, a leader that changes, messages that are late or lost.  True time is
+    in `now`; at most one proxy may believe that it holds the lease."""
 
-    def __init__(self, seed, keepers=keeper, grantors=grantor, cut=False):
+    def __init__(self, seed, holders=lease_holder, expiries=lease_expiry, cut=False):
         self.rng = Random(seed)
         self.now, self.calls, self.count = 0, [], 0
-        self.leases = Leases(LEASE)
-        self.grantors, self.term = grantors, 0
+        self.leases = LeaseTable(LEASE)
+        self.expiries, self.term = expiries, 0
         self.loss = 0.0
-        self.slow = self.rng.choice([2, 40, 400])  # milliseconds that a word takes at most
+        self.slow = self.rng.choice([2, 40, 400])  # milliseconds that a message takes at most
         self.says_only = None
-        self.keepers = []
+        self.holders = []
         self.rates = []
         self.held_by: list[tuple[int, int]] = []  # when, by whom, as it changes
         for number in range(3):
             self.rates.append(1 + self.rng.choice([-1, 1]) * DRIFT / 2)
-            made = keepers.Keeper(
-                f"p{number}/x", LEASE, DRIFT, self.asks(number, "do"), self.asks(number, "look"),
-                lambda *_: None, lambda *_: None,
-            )  # fmt: skip
-            made.duty(DUTY, lambda: True)
-            self.keepers.append(made)
+            client = LeaseClient(self.asks(number, "do"), self.asks(number, "look"))
+            made = holders.LeaseHolder(f"p{number}/x", LEASE, DRIFT, client, lambda *_: None, lambda *_: None)
+            made.add_duty(DUTY, lambda: True)
+            self.holders.append(made)
         self.asleep = [0, 0, 0]
         self.lead()
 
     def lead(self):
         self.term += 1
         self.rate = 1 + self.rng.choice([-1, 1]) * DRIFT / 2
-        self.leader = self.grantors.Grantor(LEASE, DRIFT)
+        self.leader = self.expiries.LeaseExpiry(LEASE, DRIFT)
 
     def clock(self, number):
         return int(self.now * self.rates[number]) + number * 77 * S
@@ -104,16 +104,16 @@
                 call[2](*call[3])
             if faults and self.rng.random() < 0.01:
                 self.fault()
-            for duty, token in self.leader.over(self.leases.rows, self.term, self.own()):
+            for duty, token in self.leader.expired(self.leases.records, self.term, self.own()):
                 self.leases.do("free", [duty, token])
             if step % 5 == 0:
-                rows = self.leases.told()
-                for number, one in enumerate(self.keepers):
+                announced = self.leases.summaries()
+                for number, one in enumerate(self.holders):
                     if self.asleep[number] <= self.now:
-                        one.tick(rows, self.clock(number))
+                        one.tick(announced, self.clock(number))
             holding = [
-                n for n, one in enumerate(self.keepers)
-                if one.hands[DUTY].token and self.clock(n) < one.hands[DUTY].until
+                n for n, one in enumerate(self.holders)
+                if one.leases[DUTY].token and self.clock(n) < one.leases[DUTY].expires_at
             ]  # fmt: skip
             if len(holding) > 1:
                 return f"at {self.now / S:.2f} s {holding} both hold"
@@ -131,96 +131,97 @@
             self.loss = 0.5 if kind == "loss" else 0.0
 
 
-def test_never_two_hold_whatever_the_clocks_the_words_and_the_leaders_do_and_somebody_mostly_does():
+def test_at_most_one_holder_whatever_clocks_messages_and_leaders_do_and_mostly_there_is_one():
     for seed in range(60):
-        leased = Leased(seed)
-        assert leased.run(40) is None, seed
-        leased.loss, leased.asleep = 0.0, [0, 0, 0]
-        assert leased.run(10, False) is None
-        assert any(one.held(DUTY, leased.clock(n)) for n, one in enumerate(leased.keepers))
+        simulated = SimulatedLeases(seed)
+        assert simulated.run(40) is None, seed
+        simulated.loss, simulated.asleep = 0.0, [0, 0, 0]
+        assert simulated.run(10, False) is None
+        assert any(one.held_token(DUTY, simulated.clock(n)) for n, one in enumerate(simulated.holders))
 
 
-def slipped(module, before, after):
+def with_change(module, before, after):
     """That module with one piece of its text replaced."""
     with open(module.__file__) as file:
         text = file.read()
     assert text.count(before) == 1
-    made = ModuleType(module.__name__ + "_slipped")
+    made = ModuleType(module.__name__ + "_changed")
     made.__package__ = module.__package__
     sys.modules[made.__name__] = made
-    exec(compile(text.replace(before, after), "slip", "exec"), made.__dict__)
+    exec(compile(text.replace(before, after), "changed", "exec"), made.__dict__)
     return made
 
 
 @pytest.mark.parametrize("module, before, after", [
-    (keeper, "self.lease = int(lease * (1 - drift))", "self.lease = int(lease * 1.3)"),
-    (keeper, "hand.token, hand.until = token, asked + self.lease", "hand.token, hand.until = token, 1 << 60"),
-    (grantor, "self.lease = int(lease * (1 + drift))", "self.lease = int(lease * 0.8)"),
-    (grantor, "            if token != row.token:", "            if False:"),
+    (lease_holder, "self.lease = int(lease * (1 - drift))", "self.lease = int(lease * 1.3)"),
+    (lease_holder, "lease.token, lease.expires_at = token, requested_at + self.lease",
+     "lease.token, lease.expires_at = token, 1 << 60"),
+    (lease_expiry, "self.lease = int(lease * (1 + drift))", "self.lease = int(lease * 0.8)"),
+    (lease_expiry, "            if token != record.token:", "            if False:"),
 ])  # fmt: skip
-def test_a_slip_in_the_reckoning_of_leases_is_found(module, before, after):
-    made = slipped(module, before, after)
-    how = {"keepers": made} if module is keeper else {"grantors": made}
-    assert any(Leased(seed, **how).run(40) for seed in range(60))
-
-
-def test_a_holder_that_is_heard_and_hears_nothing_holds_no_longer_than_two_leases():
-    # Guards a duty against standing still: its renewals would go on being granted.
-    leased = Leased(1)
-    leased.run(5, False)
-    first = leased.held_by[-1][1]
-    leased.says_only = first
-    assert leased.run(2 * LEASE / S + 2, False) is None
-    assert leased.held_by[-1][1] != first
-
-
-def test_who_can_not_do_a_duty_lets_go_and_does_not_come_forward_again_on_a_link_that_flaps():
-    leased = Leased(2)
-    leased.run(5, False)
-    first = leased.held_by[-1][1]
-    able = [True]
-    leased.keepers[first].hands[DUTY].able = lambda: able[0]
-    for _ in range(20):  # off and on each 300 ms: never unable for a second
-        able[0] = not able[0]
-        leased.run(0.3, False)
-    assert [n for _, n in leased.held_by] == [first]
-    able[0] = False
-    leased.run(4, False)
-    able[0] = True
-    leased.run(5, False)
-    assert len(leased.held_by) == 2 and leased.held_by[-1][1] != first
-
-
-def test_a_planned_end_hands_on_at_once():
-    leased = Leased(3)
-    leased.run(5, False)
-    at, first = leased.now, leased.held_by[-1][1]
-    leased.keepers[first].hand_on(leased.clock(first))
-    leased.run(3, False)
-    assert leased.held_by[-1][1] != first and leased.held_by[-1][0] - at < LEASE // 2
-
-
-def test_duties_spread_over_proxies_and_the_next_in_line_is_another():
-    turns = {
-        duty: sorted(range(40), key=lambda n, duty=duty: keeper.Keeper(
-            f"p{n}/1", LEASE, DRIFT, None, None, None, None).turn(duty))
+def test_a_fault_in_the_computation_of_lease_times_is_found(module, before, after):
+    made = with_change(module, before, after)
+    how = {"holders": made} if module is lease_holder else {"expiries": made}
+    assert any(SimulatedLeases(seed, **how).run(40) for seed in range(60))
+
+
+def test_a_holder_that_can_send_but_not_receive_loses_the_lease_within_two_durations():
+    # Else its renewals would be granted forever, and the duty would stand still.
+    simulated = SimulatedLeases(1)
+    simulated.run(5, False)
+    first = simulated.held_by[-1][1]
+    simulated.says_only = first
+    assert simulated.run(2 * LEASE / S + 2, False) is None
+    assert simulated.held_by[-1][1] != first
+
+
+def test_a_holder_that_cannot_serve_releases_and_backs_off_and_a_flapping_link_moves_no_lease():
+    simulated = SimulatedLeases(2)
+    simulated.run(5, False)
+    first = simulated.held_by[-1][1]
+    can_serve = [True]
+    simulated.holders[first].leases[DUTY].can_serve = lambda: can_serve[0]
+    for _ in range(20):  # off and on each 300 ms: never off for a second
+        can_serve[0] = not can_serve[0]
+        simulated.run(0.3, False)
+    assert [n for _, n in simulated.held_by] == [first]
+    can_serve[0] = False
+    simulated.run(4, False)
+    can_serve[0] = True
+    simulated.run(5, False)
+    assert len(simulated.held_by) == 2 and simulated.held_by[-1][1] != first
+
+
+def test_a_graceful_shutdown_releases_the_lease_at_once():
+    simulated = SimulatedLeases(3)
+    simulated.run(5, False)
+    at, first = simulated.now, simulated.held_by[-1][1]
+    simulated.holders[first].release_all(simulated.clock(first))
+    simulated.run(3, False)
+    assert simulated.held_by[-1][1] != first and simulated.held_by[-1][0] - at < LEASE // 2
+
+
+def test_duties_spread_over_proxies_and_the_first_candidates_differ():
+    candidates = {
+        duty: sorted(range(40), key=lambda n, duty=duty: lease_holder.LeaseHolder(
+            f"p{n}/1", LEASE, DRIFT, None, None, None).candidacy_delay(duty))
         for duty in ("slot-order", "list-watch", "node-trials")
     }  # fmt: skip
-    assert len({turn[0] for turn in turns.values()}) == 3
+    assert len({ranked[0] for ranked in candidates.values()}) == 3
 
 
-def test_the_fence_takes_no_older_act_and_none_that_the_group_does_not_bear_out():
-    fence = Fence()
-    assert not fence.admits(DUTY, 1)
-    fence.told(DUTY, 3)
-    assert fence.admits(DUTY, 2) and fence.admits(DUTY, 3)
-    assert not fence.admits(DUTY, 2) and not fence.admits(DUTY, 1_000_000) and not fence.admits(DUTY, 0)
-    fence.told(DUTY, 4)
-    assert fence.admits(DUTY, 3) and fence.admits(DUTY, 4)
+def test_fencing_accepts_no_older_token_and_none_that_the_group_has_not_announced():
+    fencing = FencingTokens()
+    assert not fencing.accept(DUTY, 1)
+    fencing.announce(DUTY, 3)
+    assert fencing.accept(DUTY, 2) and fencing.accept(DUTY, 3)
+    assert not fencing.accept(DUTY, 2) and not fencing.accept(DUTY, 1_000_000) and not fencing.accept(DUTY, 0)
+    fencing.announce(DUTY, 4)
+    assert fencing.accept(DUTY, 3) and fencing.accept(DUTY, 4)
 
 
-def test_leases_take_strange_words_without_harm():
-    leases = Leases(LEASE)
+def test_malformed_lease_requests_do_no_harm():
+    leases = LeaseTable(LEASE)
     for name, args in (("take", ["mine", "a/1"]), ("free", ["mine", 1]), ("put", ["mine", 1, b""])):
         with pytest.raises(ValueError):
             leases.do(name, args)
@@ -229,31 +230,31 @@
         assert leases.do("put", [DUTY, token, b"x"]) == [False, 0] and not leases.do("free", [DUTY, token])
     assert leases.do("put", [DUTY, 1, bytes(20_000)]) == [False, 0]
     assert leases.do("put", [DUTY, 1, "text"]) == [False, 0]
-    other = Leases(LEASE)
+    other = LeaseTable(LEASE)
     other.load(leases.dump())
-    assert other.told() == leases.told() == {DUTY: ["a/1", 1, 0]}
+    assert other.summaries() == leases.summaries() == {DUTY: LeaseSummary("a/1", 1, 0)}
 
 
-def test_an_agreed_order_is_taken_up_and_one_that_names_no_real_node_is_not():
+def test_an_agreed_order_is_adopted_and_one_that_names_no_real_server_is_not():
     made = proxy(4)
     order = SlotOrder(made)
-    own = order.own()
+    own = order.encode()
     marks = [own[at : at + 3] for at in range(0, 12, 3)]
     other = b"".join(reversed(marks))
-    assert order.take(other) == "" and order.own() == other
+    assert order.adopt(other) is None and order.encode() == other
     for bad, why in (
-        (b"", "malformed"),
-        (b"ab", "malformed"),
-        (other + marks[0], "malformed"),
-        (bytes(15_000), "malformed"),
-        (b"xyzuvw", "strange"),
-        (marks[0] + b"xyz", "strange"),
+        (b"", OrderFault.MALFORMED),
+        (b"ab", OrderFault.MALFORMED),
+        (other + marks[0], OrderFault.MALFORMED),
+        (bytes(15_000), OrderFault.MALFORMED),
+        (b"xyzuvw", OrderFault.UNFAMILIAR),
+        (marks[0] + b"xyz", OrderFault.UNFAMILIAR),
     ):
-        assert order.take(bad) == why and order.own() == other
+        assert order.adopt(bad) == why and order.encode() == other
     awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
-    assert order.take(awaited) == "" and order.own() == awaited
+    assert order.adopt(awaited) is None and order.encode() == awaited
     made.listed(entries(5), True)
-    assert order.own() == awaited + mark(made.choice.nodes["n4"])
+    assert order.encode() == awaited + mark(made.choice.nodes["n4"])
 
 
 def test_two_holders_at_once_are_found_unless_one_of_them_did_not_run():
@@ -267,8 +268,8 @@
 def test_a_wall_clock_that_is_set_in_the_middle_of_a_run_moves_no_event_of_the_logs(tmp_path):
     (tmp_path / "p0").mkdir()
     (tmp_path / "p0" / "log").write_text(
-        "10:00:01.000 INFO duty: held duty=slot-order token=1\n"
-        "10:00:12.000 INFO duty: let go duty=slot-order token=1 code=ran-out\n"
+        "10:00:01.000 INFO duty: lease acquired duty=slot-order token=1\n"
+        "10:00:12.000 INFO duty: lease lost duty=slot-order token=1 code=ran-out\n"
     )
     day = int(time.mktime((*time.localtime()[:3], 0, 0, 0, 0, 0, -1))) * S
     begin = day + 36_000 * S  # the rig's own clock is at 0 then; at 3 s the wall's is set 8 s ahead
@@ -287,9 +288,9 @@
     assert [text for text in told.values() if not text.startswith("HOLDS")] == []
 
 
-STOPS = """        token = self.keeper.held(ORDER, self.now())  # right before the act
+STOPS = """        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write
         import os, signal
-        if self.written is not None:
+        if self.agreed is not None:
             try:
                 os.close(os.open("../stopped", os.O_CREAT | os.O_EXCL))
                 os.kill(os.getpid(), signal.SIGSTOP)
@@ -298,23 +299,33 @@
 """
 
 
-def test_a_holder_stopped_between_check_and_act_does_harm_only_without_the_fences(tmp_path):
-    # It looks at its lease, is stopped for eight seconds right then, goes on, and acts under its old token.
+def test_a_holder_stopped_between_check_and_write_does_harm_only_without_fencing(tmp_path):
+    # It looks at its lease, is stopped for eight seconds right then, goes on, and writes under its old token.
     scene = tmp_path / "scene.toml"
     text = (PACKAGE / "rig" / "scenarios" / "holder-stopped.toml").read_text()
     text = text.replace("at = 2\nfor = 10", "at = 3.6\nfor = 8")
     scene.write_text(text.replace("orders = true", "orders = false"))
-    act = "        token = self.keeper.held(ORDER, self.now())  # right before the act\n"
-    program = altered(tmp_path / "a", "duties/run.py", act, STOPS)
+    write = "        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write\n"
+    program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOPS)
     words = "rig", "play", str(scene), "--program", program, "--quiet"
     code, told, _ = ivy(*words, "--keep", str(tmp_path / "k"))
     assert code == 0, told
-    refused = [path for path in (tmp_path / "k").glob("p*/log") if "duty: act refused" in path.read_text()]
-    assert len(refused) == 1
+    rejected = [
+        path for path in (tmp_path / "k").glob("p*/log") if "duty: value rejected" in path.read_text()
+    ]
+    assert len(rejected) == 1
     for path, before, after in (
-        ("duties/leases.py", "good = good and bool(row.holder) and token == row.token", "pass"),
-        ("duties/run.py", "return row is not None and row.holder == who", "return True"),
-        ("duties/fence.py", "if not self.taken.get(duty, 1) <= token <= self.known.get(duty, 0):", "if 0:"),
+        (
+            "duties/lease_table.py",
+            "accepted = accepted and bool(self.holder) and token == self.token",
+            "pass",
+        ),
+        ("duties/lease_leader.py", "return record is not None and record.holder == process", "return True"),
+        (
+            "duties/fencing.py",
+            "if not self.accepted.get(duty, 1) <= token <= self.announced.get(duty, 0):",
+            "if 0:",
+        ),
     ):
         file = tmp_path / "a" / "ivystack" / path
         assert file.read_text().count(before) == 1
@@ -323,7 +334,7 @@
     assert code == 1 and "BREACH of `fencing`" in told, told
 
 
-# Trials of nodes that are down.
+# Health checks of servers that are down.
 
 
 def down_at(made, name):
@@ -333,48 +344,48 @@
     return node
 
 
-def test_a_word_spaces_own_trials_of_a_node_that_is_down_here_and_only_for_so_long():
+def test_a_result_postpones_own_checks_of_a_server_that_is_down_here_and_only_for_so_long():
     made = proxy(3)
-    trials, now = Trials(made), made.now()
+    duty, now = HealthCheckDuty(made), made.now()
     node, well = down_at(made, "n1"), made.choice.nodes["n0"]
     due = node.trial_at
     for second in range(50):
-        trials.take({"n1": False, "n0": False, "nx": False}, now + second * S)
-    assert due < node.trial_at == due + MOST  # then we try it ourselves, whatever is said
+        duty.apply_results({"n1": False, "n0": False, "nx": False}, now + second * S)
+    assert due < node.trial_at == due + MAX_POSTPONEMENT  # then we check it ourselves, whatever the results
     assert well.trial_at == 0 and made.choice.health.up(well)
-    trials.take({"n1": True}, now + 51 * S)
+    duty.apply_results({"n1": True}, now + 51 * S)
     assert node.trial_at <= now + 51 * S and not made.choice.health.up(node)  # its own answers alone say so
 
 
-def test_the_holder_looks_at_what_is_down_anywhere_but_never_at_a_node_that_drains():
+def test_the_holder_checks_what_is_down_anywhere_but_never_a_draining_server():
     made = proxy(4)
-    trials, now = Trials(made), made.now()
+    duty, now = HealthCheckDuty(made), made.now()
     down_at(made, "n1"), down_at(made, "n2")
     made.listed(entries(4, state="DRAINING")[2:3], False)
-    trials.want(["n3", "nx"] * 200, now)
-    assert [*trials.wanted] == ["n3"]
-    trials.look(now, lambda: False)
+    duty.request(["n3", "nx"] * 200, now)
+    assert [*duty.requested] == ["n3"]
+    duty.run_checks(now, lambda: False)
     assert not made.reactor.tcpClients  # not a single one without the duty
-    trials.look(now, lambda: True)
-    trials.look(now + 1000, lambda: True)
+    duty.run_checks(now, lambda: True)
+    duty.run_checks(now + 1000, lambda: True)
     asked = sorted(port for _, port, *_ in made.reactor.tcpClients)
     assert asked == [7001, 7003]
     for answer, (*_, factory, _, _) in zip((b"+PONG\r\n", b"-ERR\r\n"), made.reactor.tcpClients, strict=True):
-        look = factory.buildProtocol(None)
-        look.makeConnection(Transport())
-        look.dataReceived(answer)
-    assert trials.tell() == {"n1": True, "n3": False} and trials.tell() == {}
+        ping = factory.buildProtocol(None)
+        ping.makeConnection(Transport())
+        ping.dataReceived(answer)
+    assert duty.take_results() == {"n1": True, "n3": False} and duty.take_results() == {}
     for step in range(100):  # once more after 0.5 s, after 1 s, then every 2 s
-        trials.want(["n3"], now + step * S // 10)
-        trials.look(now + step * S // 10, lambda: True)
-        trials.looking.clear()
+        duty.request(["n3"], now + step * S // 10)
+        duty.run_checks(now + step * S // 10, lambda: True)
+        duty.in_progress.clear()
     assert sum(port == 7003 for _, port, *_ in made.reactor.tcpClients) == 7
 
 
-def test_a_look_that_hangs_is_a_node_that_was_not_reached():
+def test_a_check_that_hangs_is_a_server_that_was_not_reached():
     made = proxy(2)
-    trials = Trials(made)
+    duty = HealthCheckDuty(made)
     down_at(made, "n0")
-    trials.look(made.now(), lambda: True)
+    duty.run_checks(made.now(), lambda: True)
     made.reactor.advance(1)
-    assert trials.tell() == {"n0": False} and not trials.looking
+    assert duty.take_results() == {"n0": False} and not duty.in_progress
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -6,8 +6,9 @@
 
 from ivystack.choice import Placement
 from ivystack.consensus.machine import ANSWERS, CLIENTS, Machine, Table
-from ivystack.duties.leases import KNOWN, VALUE, Leases
-from ivystack.duties.order import MARK, SlotOrder
+from ivystack.duties.lease_table import MAX_VALUE_BYTES, LeaseTable
+from ivystack.duties.protocol import KNOWN_DUTIES
+from ivystack.duties.slot_order_duty import MARK_BYTES, OrderFault, SlotOrder
 from ivystack.fleet.settings import Fleet
 from ivystack.mesh.link import MESSAGE
 from ivystack.model import Errors, Node
@@ -49,9 +50,9 @@
     taker = proxy(0)
     named = zip(entries(32), [*rest, *pair], strict=True)
     taker.listed([{**one, "instanceId": node.name} for one, node in named], True)
-    assert SlotOrder(taker).take(agreed) == ""
-    assert SlotOrder(taker).take(agreed + 2 * mark(pair[0])) == "malformed"
-    assert len(agreed) == 32 * MARK
+    assert SlotOrder(taker).adopt(agreed) is None
+    assert SlotOrder(taker).adopt(agreed + 2 * mark(pair[0])) == OrderFault.MALFORMED
+    assert len(agreed) == 32 * MARK_BYTES
 
 
 def test_a_thousand_nodes_listed_are_all_homes_and_a_hand_over_tells_of_all():
@@ -98,7 +99,7 @@
 
 
 def test_the_agreed_state_of_a_thousand_proxies_fits_one_message():
-    leases = Leases(3_000_000)
+    leases = LeaseTable(3_000_000)
     machine = Machine(duty=leases)
     for number in range(CLIENTS):
         for turn in range(ANSWERS):
@@ -106,7 +107,7 @@
             ask = [who, 1000 + turn, "table", "set", row]
             machine.apply(msgspec.msgpack.encode(ask))
     assert len(machine.answers) == CLIENTS and len(machine.parts["table"].rows) == Table.KEYS
-    assert len(machine.dump()) + len(KNOWN) * VALUE < MESSAGE
+    assert len(machine.dump()) + len(KNOWN_DUTIES) * MAX_VALUE_BYTES < MESSAGE
 
 
 def test_links_of_a_member_go_by_the_number_of_proxies_and_what_descriptors_bear():
