--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -82,10 +82,10 @@
 @click.option("--id", "ident", default="k1", show_default=True, help="Its name in logs.")
 def key(path, ident) -> None:
     """Write a new key file; never over one that is there."""
-    from .mesh.keys import write
+    from .mesh.keys import write_key_file
 
     try:
-        write(path, ident)
+        write_key_file(path, ident)
     except OSError as fault:
         click.echo(f"{path}: {fault.strerror}", err=True)
         sys.exit(2)
--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -37,7 +37,7 @@
         self.leader = ""
         self.number = self.commands = 0
         self.open: dict[int, Asked] = {}
-        mesh.takers["answer"] = self.answered
+        mesh.handlers["answer"] = self.answered
 
     def with_own(self, member) -> None:
         """Our own process is a member: it is asked without a link."""
@@ -60,7 +60,7 @@
         if how == "do":
             self.commands += 1
             asked.command = self.commands
-            asked.what = [f"{self.mesh.name}/{self.mesh.life}", self.commands, *what]
+            asked.what = [f"{self.mesh.name}/{self.mesh.incarnation}", self.commands, *what]
         self.next(asked)
         return True
 
@@ -90,7 +90,7 @@
             # In a turn of its own: the answer may come within the call.
             self.deadlines.at(self.now(), self.local.asked, asked.to, body, True)
             return True
-        return self.mesh.say(asked.to, "ask", body)
+        return self.mesh.send(asked.to, "ask", body)
 
     def late(self, asked: Asked) -> None:
         if asked.to == self.leader:
--- a/ivystack/consensus/member.py
+++ b/ivystack/consensus/member.py
@@ -61,9 +61,9 @@
         self.may = lambda who, part, name, args: True  # whether that process (name/life) may ask for it
         self.noted = lambda part, name, args, answer: None  # told of each look that was answered
         self.stopped = False
-        mesh.takers["raft"] = self.heard_raft
-        mesh.takers["knock"] = self.heard_knock
-        mesh.takers["ask"] = self.asked
+        mesh.handlers["raft"] = self.heard_raft
+        mesh.handlers["knock"] = self.heard_knock
+        mesh.handlers["ask"] = self.asked
 
     # Start and end.
 
@@ -179,7 +179,7 @@
             if out.save is not None:
                 self.store.save(out.save, self.saved)
             for to, message in out.messages:
-                self.mesh.say(name_of(to), "raft", (self.ident, to, message))
+                self.mesh.send(name_of(to), "raft", (self.ident, to, message))
             self.backlog += out.applied
             for token in out.lost_reads:
                 asker, number, _ = self.reading.pop(token)
@@ -276,7 +276,7 @@
         if self.ident not in config.everybody() or not self.core.leader:
             for name in self.wanted:
                 if name != self.name:
-                    self.mesh.say(name, "knock", (self.ident, bool(config.voters)))
+                    self.mesh.send(name, "knock", (self.ident, bool(config.voters)))
         fresh = {name: one for name, one in self.knocks.items() if now - one[2] < FRESH}
         if not config.voters:
             self.found(fresh)
@@ -297,12 +297,12 @@
         self.core.receive(self.now(), self.ident, Install(1, first, 0))
         self.act()
         for name in others:
-            self.mesh.say(name, "raft", (self.ident, fresh[name][0], Install(1, first, 0)))
+            self.mesh.send(name, "raft", (self.ident, fresh[name][0], Install(1, first, 0)))
 
     def of_group(self, frm: str) -> bool:
         """Guards the group against a peer that has a key and speaks as if it were a member."""
         if frm not in self.wanted:
-            self.mesh.count("no-member", frm)
+            self.mesh.count_drop("no-member", frm)
         return frm in self.wanted
 
     def heard_knock(self, frm: str, body: Any) -> None:
@@ -324,14 +324,14 @@
 
     def asked(self, frm: str, body: Any, own: bool = False) -> None:
         number, how, what = msgspec.convert(body, ask_of)
-        asker = frm, None if own else self.mesh.link
+        asker = frm, None if own else self.mesh.current_link
         if self.core is None or self.core.role != LEADER:
             return self.refuse(asker, number)
-        who = f"{frm}/{self.mesh.life if own else self.mesh.link.life}"
+        who = f"{frm}/{self.mesh.incarnation if own else self.mesh.current_link.incarnation}"
         data = packed(what)
         fit = how == "look" or (self.machine.knows(what) and what[0] == who and len(data) <= ENTRY)
         if not fit or not self.may(who, *what[-3:]):
-            self.mesh.count("not-allowed", frm)
+            self.mesh.count_drop("not-allowed", frm)
             return self.answer(asker, number, True, None)
         if self.owing.get(frm, 0) >= EACH:
             return self.refuse(asker, number)
--- a/ivystack/duties/health_check_exchange.py
+++ b/ivystack/duties/health_check_exchange.py
@@ -12,6 +12,7 @@
 from loguru import logger
 
 from ..mesh.mesh import Mesh
+from ..mesh.protocol import DropCode
 from .fencing import FencingTokens
 from .health_check_duty import HealthCheckDuty
 from .lease_holder import LeaseHolder
@@ -42,8 +43,8 @@
         self.now, self.holder_name = now, holder_name
         self.is_member = False  # whether this process belongs to the consensus group, and so relays
         self.next_request = 0
-        mesh.takers[MessageKind.SERVERS_DOWN.value] = self.servers_down_received
-        mesh.takers[MessageKind.HEALTH_CHECK_RESULTS.value] = self.results_received
+        mesh.handlers[MessageKind.SERVERS_DOWN.value] = self.servers_down_received
+        mesh.handlers[MessageKind.HEALTH_CHECK_RESULTS.value] = self.results_received
 
     def tick(self, now: int) -> None:
         """Check and announce as the holder, or request checks of what is down here."""
@@ -63,9 +64,9 @@
     def _request_checks(self, down: ServersDown) -> None:
         """Tell the holder which servers are down here, by a link or through the members."""
         holder = self.holder_name()
-        if holder and not self.mesh.say(holder, MessageKind.SERVERS_DOWN.value, down):
+        if holder and not self.mesh.send(holder, MessageKind.SERVERS_DOWN.value, down):
             for peer in self.mesh.members:
-                self.mesh.say(peer, MessageKind.SERVERS_DOWN.value, down)
+                self.mesh.send(peer, MessageKind.SERVERS_DOWN.value, down)
 
     def servers_down_received(self, sender: str, body: Any) -> None:
         """Note a request for checks as the holder, or relay it to the holder as a member.
@@ -77,7 +78,7 @@
             self.duty.request(names, self.now())
         elif self.is_member and sender not in self.mesh.members:
             down = names[:MAX_SERVERS_PER_MESSAGE]
-            self.mesh.say(self.holder_name(), MessageKind.SERVERS_DOWN.value, down)
+            self.mesh.send(self.holder_name(), MessageKind.SERVERS_DOWN.value, down)
 
     def _announce(self, received_from: str | None, results: HealthCheckResults) -> None:
         """Apply results here and send them on.
@@ -91,7 +92,7 @@
         self.duty.apply_results(results.reached, self.now())
         for peer in [*self.mesh.peers]:
             if peer != received_from and (received_from is None or peer not in self.mesh.members):
-                self.mesh.say(peer, MessageKind.HEALTH_CHECK_RESULTS.value, results)
+                self.mesh.send(peer, MessageKind.HEALTH_CHECK_RESULTS.value, results)
 
     def results_received(self, sender: str, body: Any) -> None:
         """Apply results of the holder, received directly or through a member, under the announced token.
@@ -101,7 +102,7 @@
         results = msgspec.convert(body, HealthCheckResults)
         holder = self.holder_name()
         if sender != holder and sender not in self.mesh.members:
-            return self.mesh.count("not-allowed", sender)
+            return self.mesh.count_drop(DropCode.NOT_ALLOWED, sender)
         if len(results.reached) > MAX_SERVERS_PER_MESSAGE or not self.fencing.accept(DUTY, results.token):
             return None
         if self.is_member and sender == holder and holder not in self.mesh.members:
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -67,7 +67,7 @@
         news = LeaseNews(term, self.member.applied, self.announced)
         self.on_news(news)
         for peer in [*self.mesh.peers]:
-            self.mesh.say(peer, MessageKind.LEASE_NEWS.value, news)
+            self.mesh.send(peer, MessageKind.LEASE_NEWS.value, news)
 
     def is_allowed(self, process: str, part: Any, name: Any, args: Any) -> bool:
         """Return whether `process` may ask for this: each acquires, releases and writes for itself alone.
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -8,6 +8,7 @@
 from loguru import logger
 
 from ..mesh.mesh import Mesh
+from ..mesh.protocol import DropCode
 from .fencing import FencingTokens
 from .health_check_duty import HealthCheckDuty
 from .health_check_exchange import HealthCheckExchange
@@ -41,7 +42,7 @@
         :param drift: the largest relative difference between the rates of two clocks.
         """
         self.mesh, self.now, self.deadlines = mesh, proxy.now, proxy.deadlines
-        self.owner = f"{mesh.name}/{mesh.life}"
+        self.owner = f"{mesh.name}/{mesh.incarnation}"
         self.fencing, self.expiry = FencingTokens(), LeaseExpiry(lease, drift)
         lease_client = LeaseClient(client.do, client.look)
         self.holder = LeaseHolder(self.owner, lease, drift, lease_client, self._on_lost, self._on_acquired)
@@ -58,7 +59,7 @@
         self.announced_index = (-1, -1)  # term and log index of the last announcement
         self.announced_at = -NEWS_LIFETIME
         self.stopped = False
-        mesh.takers[MessageKind.LEASE_NEWS.value] = self.news_received
+        mesh.handlers[MessageKind.LEASE_NEWS.value] = self.news_received
 
     def attach_member(self, member: Member, table: LeaseTable) -> None:
         """Take part in the group through our own process's member."""
@@ -89,7 +90,7 @@
         :raises msgspec.ValidationError: the body has another shape.
         """
         if sender not in self.mesh.members:
-            return self.mesh.count("no-member", sender)
+            return self.mesh.count_drop(DropCode.NOT_A_MEMBER, sender)
         news = msgspec.convert(body, LeaseNews)
         if {*news.leases} <= {*KNOWN_DUTIES}:
             self._apply_news(news)
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -71,8 +71,8 @@
             logger.error("fleet: file not taken: {}", fault)
             return
         self.fleet, self.mesh.keys, self.client.members = fleet, fleet.keys, [*fleet.members]
-        self.mesh.most = fleet.links  # what it takes from clients and nodes counts from the next start on
-        self.mesh.keep_to(fleet.members)
+        self.mesh.max_connections = fleet.links  # its effect on other limits: from the next start on
+        self.mesh.set_members(fleet.members)
         if self.member is not None:
             self.member.wanted = [*fleet.members]
         elif fleet.name in fleet.members:
--- a/ivystack/fleet/settings.py
+++ b/ivystack/fleet/settings.py
@@ -15,8 +15,9 @@
 from loguru import logger
 from msgspec import Meta, Struct
 
-from ..mesh.keys import KeyFileError, Keys, read
-from ..mesh.link import NAME, Name
+from ..mesh.exceptions import KeyFileError
+from ..mesh.keys import KeyRing, read_key_file
+from ..mesh.protocol import NAME_PATTERN, ProxyName
 from ..settings import FaultError, address
 
 VERSION = 1
@@ -27,7 +28,7 @@
 
 
 class MemberSheet(Struct, forbid_unknown_fields=True):
-    name: Name
+    name: ProxyName
     address: str
     zone: str = ""
 
@@ -57,7 +58,7 @@
 class Fleet:
     """The file as the parts need it."""
 
-    def __init__(self, sheet: Sheet, name: str, keys: Keys):
+    def __init__(self, sheet: Sheet, name: str, keys: KeyRing):
         self.sheet, self.name, self.keys = sheet, name, keys
         self.members = {one.name: address(one.address, "address") for one in sheet.group.member}
         self.zones = {one.name: one.zone for one in sheet.group.member}
@@ -80,7 +81,7 @@
         return sockets - self.links
 
 
-def faults(text: str, base: Path) -> tuple[list[str], Sheet | None, Keys | None]:
+def faults(text: str, base: Path) -> tuple[list[str], Sheet | None, KeyRing | None]:
     """All that is wrong with the file, a line each; and what could be read of it."""
     try:
         values: Any = tomllib.loads(text)
@@ -103,7 +104,7 @@
     path = values.get("key_file")
     if isinstance(path, str):
         try:
-            keys = read(base / path)
+            keys = read_key_file(base / path)
         except KeyFileError as fault:
             found.append(f"`key_file`: {fault}")
     return found, sheet, keys
@@ -182,6 +183,6 @@
     if found or sheet is None or keys is None:
         more = f" (and {len(found) - 1} more, see check-config)" if len(found) > 1 else ""
         raise FaultError(f"{path}: {found[0]}{more}")
-    if not re.match(NAME, name):
+    if not re.match(NAME_PATTERN, name):
         raise FaultError(f"`name`: {name!r} can't be told to other proxies; wanted letters, digits and ._:-")
     return Fleet(sheet, name, keys)
--- a/ivystack/mesh/__init__.py
+++ b/ivystack/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Lasting links between proxies: signed, bounded, and needed by no req."""
+"""Long-lived authenticated links between proxies.  No client request ever waits for one."""
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -1,210 +1,227 @@
-"""One connection between two proxies: greeting, signed messages, beats.
+"""One connection between two proxies: handshake, signed messages, heartbeats.
 
-Owns the bytes of that connection.  It must never hand on a message that is not signed for this very
-connection, direction and place in the order, nor hold more than its bounds.
+Only messages that are signed for this very connection, direction and position are handed on, and what is held
+for a slow peer is bounded.
 """
 
 from __future__ import annotations
 
 import secrets
-from collections import deque
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 from loguru import logger
-from msgspec import Meta, Struct
 from twisted.internet import error
+from twisted.internet.protocol import connectionDone
 from twisted.protocols.basic import Int32StringReceiver
-
-from .keys import DIGEST
-
-VERSION = 1  # of the greeting and of what follows it
-MESSAGE = 262_144  # bytes of a message: a snapshot of the agreed state fits, and its digest takes 0.3 ms
-QUEUED = 1 << 20  # bytes that wait for a peer; beyond it the oldest goes
-BEAT = 500_000  # microseconds between beats where nothing else is said
-SILENT = 2_000_000  # without a byte, the connection is given up: four beats
-NAME = r"^[\w.:-]{1,64}$"  # of a proxy: it stands in logs and in ids
-GREET = 2_000_000  # for both greetings
-
-
-Name = Annotated[str, Meta(pattern=NAME)]
-Life = Annotated[str, Meta(pattern="^[0-9a-f]{16}$")]
-
-
-class Hello(Struct, array_like=True):
-    version: int
-    name: Name
-    to: str
-    life: Life  # of the process: two of one name are told apart
-    nonce: bytes
-
-
-encode = msgspec.msgpack.encode
-greeting = msgspec.msgpack.Decoder(Hello)
-message = msgspec.msgpack.Decoder(tuple[str, Any])
+from twisted.python.failure import Failure
+
+from .keys import DIGEST_BYTES
+from .protocol import (
+    FROM_CALLED,
+    FROM_CALLER,
+    HANDSHAKE_TAG,
+    HEARTBEAT_KIND,
+    MAX_MESSAGE_BYTES,
+    MESSAGE_TAG,
+    NONCE_BYTES,
+    UNLOGGED_CODES,
+    VERSION,
+    DropCode,
+    Handshake,
+    encode,
+    handshake_decoder,
+    message_decoder,
+    version_code,
+)
+from .send_queue import SendQueue
+
+if TYPE_CHECKING:
+    from .mesh import Mesh
+
+HEARTBEAT_INTERVAL = 500_000  # microseconds between heartbeats where nothing else is sent
+SILENCE_TIMEOUT = 2_000_000  # microseconds without a byte after which the link is closed: four heartbeats
+HANDSHAKE_TIMEOUT = 2_000_000  # microseconds for both handshakes
+READ_BYTES = 65_536  # read at once: bounds the time until other connections get their turn
+FRAME_OVERHEAD = 256  # bytes: a frame may be so much longer than its message
 
 
 class Link(Int32StringReceiver):
-    MAX_LENGTH = MESSAGE + 256
-
-    def __init__(self, mesh, peer: str | None):
-        """`peer` is whom we called; None where we are called."""
-        self.mesh, self.peer, self.dialed = mesh, peer, peer is not None
-        self.life = ""
-        self.nonces = [secrets.token_bytes(16), b""]  # ours, theirs
-        self.key: str | None = None  # the id of theirs
-        self.up = False
-        self.greeted = False
-        self.sent = self.heard = 0  # numbers of the next messages
-        self.queue: deque[bytes] = deque()
-        self.size = 0
-        self.full = False  # the transport holds as much as we give it
-        self.code: str | None = None
-        self.at = 0  # when bytes came last
+    """The protocol of one connection, on either side.
+
+    A link is `authenticated` once the peer's handshake is verified, and `established` once the peer has
+    proved that it is no replay: for the caller by that handshake, for the called side by a first message.
+    """
+
+    MAX_LENGTH = MAX_MESSAGE_BYTES + FRAME_OVERHEAD
+    transport: Any
+
+    def __init__(self, mesh: Mesh, peer: str | None) -> None:
+        """Create one side of a link; `peer` is the proxy that was called, None on the called side."""
+        self.mesh, self.peer, self.is_caller = mesh, peer or "", peer is not None
+        self.incarnation = ""  # the peer's
+        self.own_nonce, self.peer_nonce = secrets.token_bytes(NONCE_BYTES), b""
+        self.key_id: str | None = None  # of the key that the peer signs with
+        self.authenticated = False
+        self.established = False
+        self.sent = self.received = 0  # messages, and so the number of the next one
+        self.queue = SendQueue()
+        self.paused = False  # the transport takes no more for now
+        self.code: str | None = None  # why the link ended
+        self.last_received_at = 0
         self.timer: list | None = None
 
-    # Start.
-
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:  # noqa: N802, D102
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = 65_536  # bytes read in one go: bounds a turn
+        self.transport.bufferSize = READ_BYTES
         self.transport.registerProducer(self, True)
-        self.at = self.mesh.now()
-        self.timer = self.mesh.deadlines.at(self.at + GREET, self.slow_greeting)
-        self.mesh.came(self)
-        if self.dialed:
-            self.greet()
-
-    def greet(self) -> None:
-        hello = Hello(VERSION, self.mesh.name, self.peer or "", self.mesh.life, self.nonces[0])
-        body = encode(hello)
-        answer = self.nonces[1]  # the called one signs the caller's nonce with it
-        self.sendString(self.mesh.keys.sign(b"hello", answer, body) + body)
-
-    def slow_greeting(self) -> None:
-        if not self.up:
-            self.drop("no-greeting")
-
-    def take_greeting(self, made: bytes, body: bytes) -> None:
-        self.key = self.mesh.keys.signer(made, b"hello", self.nonces[0] if self.dialed else b"", body)
-        if self.key is None:
-            return self.mesh.wrong(self, "bad-key")
+        self.last_received_at = self.mesh.now()
+        deadline = self.last_received_at + HANDSHAKE_TIMEOUT
+        self.timer = self.mesh.deadlines.at(deadline, self.handshake_timeout)
+        self.mesh.connected(self)
+        if self.is_caller:
+            self._send_handshake()
+
+    def _send_handshake(self) -> None:
+        mesh = self.mesh
+        body = encode(Handshake(VERSION, mesh.name, self.peer, mesh.incarnation, self.own_nonce))
+        # The caller does not know the peer's nonce yet; the called side signs it with its answer.
+        self.sendString(mesh.keys.sign(HANDSHAKE_TAG, self.peer_nonce, body) + body)
+
+    def handshake_timeout(self) -> None:
+        """Close the link if it is not established by now."""
+        if not self.established:
+            self.close(DropCode.NO_HANDSHAKE)
+
+    def _handshake_received(self, signature: bytes, body: bytes) -> None:
+        challenge = self.own_nonce if self.is_caller else b""
+        self.key_id = self.mesh.keys.verify(signature, HANDSHAKE_TAG, challenge, body)
+        if self.key_id is None:
+            return self.mesh.reject(self, DropCode.BAD_KEY)
         try:
-            hello = greeting.decode(body)
+            handshake = handshake_decoder.decode(body)
         except msgspec.MsgspecError:
-            return self.drop("unreadable")
-        if hello.version != VERSION:
-            return self.drop(f"version-{hello.version}")
-        if (self.dialed and hello.name != self.peer) or (not self.dialed and hello.to != self.mesh.name):
-            return self.drop("other-name")
-        if not self.dialed and not self.mesh.may_be(hello.name, self.transport.getPeer().host):
-            return self.mesh.wrong(self, "not-its-address")
-        self.peer, self.life, self.nonces[1] = hello.name, hello.life, hello.nonce
-        self.greeted = True
-        if self.dialed:
-            self.is_up()
-            self.write("", None)  # the first signed one proves to the other side that we are no replay
-        else:
-            self.greet()
-
-    def is_up(self) -> None:
-        self.up = True
+            return self.close(DropCode.UNREADABLE)
+        if handshake.version != VERSION:
+            return self.close(version_code(handshake.version))
+        if not self._is_expected(handshake):
+            return self.close(DropCode.WRONG_NAME)
+        if not self.is_caller and not self.mesh.address_matches(handshake.sender, self._peer_host()):
+            return self.mesh.reject(self, DropCode.WRONG_ADDRESS)
+        self.peer, self.incarnation = handshake.sender, handshake.incarnation
+        self.peer_nonce = handshake.nonce
+        self.authenticated = True
+        if not self.is_caller:
+            return self._send_handshake()
+        self._establish()
+        return self.send(HEARTBEAT_KIND, None)  # signed over both nonces: proves that we are no replay
+
+    def _is_expected(self, handshake: Handshake) -> bool:
+        """Return whether the peer is the one that was called, or means us."""
+        if self.is_caller:
+            return handshake.sender == self.peer
+        return handshake.recipient == self.mesh.name
+
+    def _establish(self) -> None:
+        self.established = True
         self.mesh.deadlines.drop(self.timer)
-        self.timer = self.mesh.deadlines.at(self.mesh.now() + BEAT, self.beat)
-        self.mesh.is_up(self)
-
-    # Messages.
-
-    def binding(self, ours: bool, number: int) -> tuple[bytes, ...]:
-        """What a message's digest covers beside it: this connection, its direction, its place."""
-        mine, theirs = self.nonces
-        caller, called = (mine, theirs) if self.dialed else (theirs, mine)
-        from_caller = self.dialed == ours
-        return b"say", caller, called, b">" if from_caller else b"<", number.to_bytes(8, "big")
-
-    def write(self, kind: str, body: Any) -> None:
-        self.put(encode((kind, body)))
-
-    def put(self, text: bytes) -> None:
-        self.queue.append(text)
-        self.size += len(text)
-        while self.size > QUEUED:
-            self.size -= len(self.queue.popleft())
-            self.mesh.dropped(self)
-        self.flush()
-
-    def flush(self) -> None:
-        while self.queue and not self.full:
-            text = self.queue.popleft()
-            self.size -= len(text)
-            made = self.mesh.keys.sign(*self.binding(True, self.sent), text)
+        self.timer = self.mesh.deadlines.at(self.mesh.now() + HEARTBEAT_INTERVAL, self.heartbeat)
+        self.mesh.established(self)
+
+    def heartbeat(self) -> None:
+        """Close a link whose peer has gone silent, else show that we are alive."""
+        now = self.mesh.now()
+        if now - self.last_received_at > SILENCE_TIMEOUT:
+            return self.close(DropCode.SILENT)
+        if not self.queue:
+            self.send(HEARTBEAT_KIND, None)
+        self.timer = self.mesh.deadlines.at(now + HEARTBEAT_INTERVAL, self.heartbeat)
+        return None
+
+    def send(self, kind: str, body: Any) -> None:
+        """Encode and queue a message."""
+        self.send_encoded(encode((kind, body)))
+
+    def send_encoded(self, message: bytes) -> None:
+        """Queue an encoded message and write what the transport takes."""
+        for _ in range(self.queue.append(message)):
+            self.mesh.count_drop(DropCode.QUEUE_FULL, self.peer)
+        self._flush()
+
+    def _flush(self) -> None:
+        while self.queue and not self.paused:
+            message = self.queue.popleft()
+            signature = self.mesh.keys.sign(*self._binding(self.is_caller, self.sent), message)
             self.sent += 1
-            self.sendString(made + text)
+            self.sendString(signature + message)
 
-    # The transport's calls.
+    def _binding(self, from_caller: bool, number: int) -> tuple[bytes, ...]:
+        """Return what a signature covers before the message: this connection, its direction, its number."""
+        nonces = (self.own_nonce, self.peer_nonce) if self.is_caller else (self.peer_nonce, self.own_nonce)
+        direction = FROM_CALLER if from_caller else FROM_CALLED
+        return MESSAGE_TAG, *nonces, direction, number.to_bytes(8, "big")
 
-    def pauseProducing(self) -> None:  # noqa: N802
-        self.full = True
+    def pauseProducing(self) -> None:  # noqa: N802, D102
+        self.paused = True
 
-    def resumeProducing(self) -> None:  # noqa: N802
-        self.full = False
-        self.flush()
+    def resumeProducing(self) -> None:  # noqa: N802, D102
+        self.paused = False
+        self._flush()
 
-    def stopProducing(self) -> None:  # noqa: N802
-        self.full = True
+    def stopProducing(self) -> None:  # noqa: N802, D102
+        self.paused = True
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.at = self.mesh.now()
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
+        self.last_received_at = self.mesh.now()
         super().dataReceived(data)
 
-    def stringReceived(self, text: bytes) -> None:  # noqa: N802
+    def stringReceived(self, frame: bytes) -> None:  # noqa: N802, D102
         if self.code is not None:
             return
-        made, body = text[:DIGEST], text[DIGEST:]
-        if not self.greeted:
-            return self.take_greeting(made, body)
-        if self.mesh.keys.signer(made, *self.binding(False, self.heard), body) is None:
-            return self.mesh.wrong(self, "bad-digest")
-        self.heard += 1
-        if not self.up:
-            self.is_up()
+        signature, body = frame[:DIGEST_BYTES], frame[DIGEST_BYTES:]
+        if self.authenticated:
+            self._message_received(signature, body)
+        else:
+            self._handshake_received(signature, body)
+
+    def _message_received(self, signature: bytes, body: bytes) -> None:
+        binding = self._binding(not self.is_caller, self.received)
+        if self.mesh.keys.verify(signature, *binding, body) is None:
+            return self.mesh.reject(self, DropCode.BAD_DIGEST)
+        self.received += 1
+        if not self.established:
+            self._establish()
         try:
-            kind, what = message.decode(body)
+            kind, content = message_decoder.decode(body)
         except msgspec.MsgspecError:
-            return self.drop("unreadable")
-        if kind:
-            self.mesh.heard(self, kind, what)
+            return self.close(DropCode.UNREADABLE)
+        if kind != HEARTBEAT_KIND:
+            self.mesh.message_received(self, kind, content)
+        return None
 
-    def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        self.drop("too-long")
+    def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802, D102
+        self.close(DropCode.TOO_LONG)
 
-    def end(self) -> None:
-        """Closes once what was written is out."""
-        self.code = self.code or "stopping"
+    def stop(self) -> None:
+        """Close the connection once what was written is out."""
+        self.code = self.code or DropCode.STOPPING
         self.transport.unregisterProducer()  # a paused one would keep the transport from closing
         self.transport.loseConnection()
 
-    def beat(self) -> None:
-        now = self.mesh.now()
-        if now - self.at > SILENT:
-            return self.drop("silent")
-        if not self.queue:
-            self.write("", None)
-        self.timer = self.mesh.deadlines.at(now + BEAT, self.beat)
-
-    # End.
-
-    def drop(self, code: str) -> None:
+    def close(self, code: str) -> None:
+        """Close the connection at once; the first code counts."""
         self.code = self.code or code
         self.transport.abortConnection()
 
-    def connectionLost(self, reason) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.mesh.deadlines.drop(self.timer)
         if self.code is None:
-            self.code = "peer-closed" if reason.check(error.ConnectionDone) else "peer-reset"
-        if self.greeted or self.code not in self.mesh.QUIET:
-            logger.info(
-                "end mesh peer={} carried={} code={}", self.peer or self.transport.getPeer().host,
-                self.sent + self.heard, self.code,
-            )  # fmt: skip
-        self.mesh.went(self)
+            closed = reason.check(error.ConnectionDone)
+            self.code = DropCode.PEER_CLOSED if closed else DropCode.PEER_RESET
+        if self.authenticated or self.code not in UNLOGGED_CODES:
+            words = "mesh: link closed peer={} messages={} code={}"
+            logger.info(words, self.peer or self._peer_host(), self.sent + self.received, self.code)
+        self.mesh.disconnected(self)
+
+    def _peer_host(self) -> str:
+        return self.transport.getPeer().host
--- a/ivystack/rig/agree.py
+++ b/ivystack/rig/agree.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer
 
 from ..consensus.client import Client
-from ..mesh.keys import Keys
+from ..mesh.keys import KeyRing
 from ..mesh.mesh import Mesh
 from ..net.tables import Deadlines
 from .linear import Op
@@ -24,7 +24,7 @@
 
 class Agreeing:
     def __init__(
-        self, reactor, now, rng: Random, keys: Keys, members: dict[str, tuple[str, int]], bind: str,
+        self, reactor, now, rng: Random, keys: KeyRing, members: dict[str, tuple[str, int]], bind: str,
         rate: float, count: int,
     ):  # fmt: skip
         self.reactor, self.now, self.rng, self.rate, self.count = reactor, now, rng, rate, count
@@ -40,7 +40,7 @@
         self.number = 0
         self.done = False
         self.holder = self.trier = ""  # of slot-order and node-trials, as the group's leader tells
-        self.mesh.takers["duty"] = self.hear
+        self.mesh.handlers["duty"] = self.hear
         self.mesh.start()
 
     def hear(self, frm: str, body) -> None:
@@ -50,7 +50,7 @@
         )
 
     def members(self, members: dict[str, tuple[str, int]]) -> None:
-        self.mesh.keep_to(members)
+        self.mesh.set_members(members)
         self.client.members = [*members]
 
     def led(self) -> defer.Deferred:
@@ -98,7 +98,7 @@
         self.reactor.callLater(0.01, self.lie)
         rng, ahead = self.rng, 1 << 40
         new = rng.randrange(1 << 20, ahead)
-        victim, me = self.holder or "p0", f"{LIAR}/{self.liar.life}"
+        victim, me = self.holder or "p0", f"{LIAR}/{self.liar.incarnation}"
         asks = [
             ("do", [me, new, "duty", "take", ["slot-order", f"{victim}/false"]]),
             ("do", [me, new, "duty", "free", ["slot-order", rng.randrange(5)]]),
@@ -111,12 +111,12 @@
             ("do", [me, new, "nothing", "set", []]),
             ("do", [me, "one", None, 5, {}]),
         ]
-        say = self.liar.say
+        send = self.liar.send
         for peer in [*self.liar.peers]:
-            say(peer, "duty", (ahead, ahead, {"slot-order": [me, ahead, ahead]}))
-            say(peer, "knock", (f"{peer}/ffffffff", True))
-            say(peer, "raft", (f"{victim}/0", f"{peer}/0", ["v", ahead, ahead, ahead, False, True]))
-            say(peer, "ask", (rng.randrange(1 << 40), *rng.choice(asks)))
+            send(peer, "duty", (ahead, ahead, {"slot-order": [me, ahead, ahead]}))
+            send(peer, "knock", (f"{peer}/ffffffff", True))
+            send(peer, "raft", (f"{victim}/0", f"{peer}/0", ["v", ahead, ahead, ahead, False, True]))
+            send(peer, "ask", (rng.randrange(1 << 40), *rng.choice(asks)))
 
     def rest(self) -> None:
         """Asks nothing more."""
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -18,7 +18,7 @@
 
 from ..load.arrivals import drawn
 from ..load.clients import Clients, in_time
-from ..mesh.keys import read, write
+from ..mesh.keys import read_key_file, write_key_file
 from ..net.resp import Resp, command
 from ..standin.discovery import Discovery
 from ..standin.ledger import SERVING
@@ -212,7 +212,7 @@
                 # A relay's listener has its process's own address, by which a member is known.
                 self.mesh_doors[one] = self.hub.door(None, one, self.meshes[one], host)
         if not (self.folder / "fleet.key").exists():
-            write(self.folder / "fleet.key", "k1")
+            write_key_file(self.folder / "fleet.key", "k1")
         self.members = members
         for name in self.listens:
             lines = ["version = 1", 'key_file = "fleet.key"', f'directory = "{self.folder}/{{name}}/state"']
@@ -290,8 +290,9 @@
         """The consensus group is there, before the load begins."""
         rng = Random(self.rng.getrandbits(64))
         doors = {one: self.mesh_doors[one] for one in self.members}
+        keys = read_key_file(self.folder / "fleet.key")
         self.agreeing = Agreeing(
-            self.reactor, self.now, rng, read(self.folder / "fleet.key"), doors, self.hub.hosts["clients"],
+            self.reactor, self.now, rng, keys, doors, self.hub.hosts["clients"],
             self.scenario.agree.rate, self.scenario.agree.keys,
         )  # fmt: skip
         began = self.now()
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -375,19 +375,19 @@
 class Heard:
     """A mesh as far as a member needs one, with a link of one asker; keeps what is said."""
 
-    life = "0" * 16
+    incarnation = "0" * 16
 
     def __init__(self):
-        self.takers, self.counted, self.replies = {}, [], []
-        self.link = type("Link", (), {"life": "f" * 16})
+        self.handlers, self.counted, self.replies = {}, [], []
+        self.current_link = type("Link", (), {"incarnation": "f" * 16})
 
-    def count(self, code, who):
+    def count_drop(self, code, peer):
         self.counted.append(code)
 
     def reply(self, link, kind, body):
         self.replies.append(body)
 
-    def say(self, *_):
+    def send(self, *_):
         return True
 
 
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -10,7 +10,7 @@
 from ivystack.duties.protocol import KNOWN_DUTIES
 from ivystack.duties.slot_order_duty import MARK_BYTES, OrderFault, SlotOrder
 from ivystack.fleet.settings import Fleet
-from ivystack.mesh.link import MESSAGE
+from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
 from ivystack.model import Errors, Node
 from ivystack.net.handover import MOST, State
 from ivystack.words import mark, order, read_order
@@ -107,7 +107,7 @@
             ask = [who, 1000 + turn, "table", "set", row]
             machine.apply(msgspec.msgpack.encode(ask))
     assert len(machine.answers) == CLIENTS and len(machine.parts["table"].rows) == Table.KEYS
-    assert len(machine.dump()) + len(KNOWN_DUTIES) * MAX_VALUE_BYTES < MESSAGE
+    assert len(machine.dump()) + len(KNOWN_DUTIES) * MAX_VALUE_BYTES < MAX_MESSAGE_BYTES
 
 
 def test_links_of_a_member_go_by_the_number_of_proxies_and_what_descriptors_bear():
