--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -26,10 +26,10 @@
         run = load(os.environ)
         path, fleet = os.environ.get("LB_FLEET"), None
         if path:  # else nothing of it is loaded
-            from .fleet.settings import load as load_fleet
+            from .fleet.config import load_config as load_fleet
 
             fleet = load_fleet(path, run.name)
-            run.sockets = fleet.spare(run.sockets, run.settings.sheet.n_instances or 1)
+            run.sockets = fleet.reserve_links(run.sockets, run.settings.sheet.n_instances or 1)
     except FaultError as fault:
         print(fault, file=sys.stderr)
         return 2
@@ -45,26 +45,26 @@
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", diagnose=False)
     startLoggingWithObserver(tell, setStdout=False)
     proxy = Proxy(run, reactor)
-    together = None
+    fleet_services = None
     if fleet is not None:
-        from .fleet.run import Together
+        from .fleet.services import FleetServices
 
-        together = Together(proxy, path, fleet)
+        fleet_services = FleetServices(proxy, path, fleet)
     for name in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(name, lambda *_: reactor.callFromThread(end, proxy, together))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, together))
-    reactor.callWhenRunning(start, proxy, reactor, together)
+        signal.signal(name, lambda *_: reactor.callFromThread(end, proxy, fleet_services))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, fleet_services))
+    reactor.callWhenRunning(start, proxy, reactor, fleet_services)
     if early.noted:  # it may have come after the reading: a word of a new configuration is not to be lost
-        reactor.callWhenRunning(reload, proxy, together)
+        reactor.callWhenRunning(reload, proxy, fleet_services)
     reactor.run(installSignalHandlers=False)
     return 0 if proxy.started else 1
 
 
-def start(proxy, reactor, together=None) -> None:
+def start(proxy, reactor, fleet_services=None) -> None:
     try:
         proxy.start()
-        if together is not None:
-            together.start()
+        if fleet_services is not None:
+            fleet_services.start()
     except Exception as fault:
         logger.error("could not start: {}", fault)
         reactor.stop()
@@ -73,15 +73,15 @@
     gc.set_threshold(10_000, 20, 20)  # reqs leave few rings; each 700 objects is many rounds a second
 
 
-def end(proxy, together=None) -> None:
+def end(proxy, fleet_services=None) -> None:
     """SIGTERM.  First the proxy's own end, which nothing of the fleet's may keep from beginning; in the same
     turn what it holds for the fleet is handed on."""
     proxy.terminate()
-    if together is not None:
-        together.hand_on()
+    if fleet_services is not None:
+        fleet_services.prepare_shutdown()
 
 
-def reload(proxy, together=None) -> None:
+def reload(proxy, fleet_services=None) -> None:
     """SIGHUP: the configuration is read again; one with a fault is told and the old one stays."""
     try:
         run = load(os.environ, proxy.run)
@@ -89,8 +89,8 @@
         logger.error("configuration not taken: {}", fault)
     else:
         proxy.reload(run)
-    if together is not None:
-        together.reload()
+    if fleet_services is not None:
+        fleet_services.reload()
 
 
 def tell(event: dict) -> None:
--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -59,17 +59,18 @@
     """Whether the operators' file can be used; all its faults are told, a line each."""
     from pathlib import Path
 
-    from .fleet.settings import faults
+    from .fleet.config import check_file
 
     try:
-        found, sheet, _ = faults(Path(path).read_text(), Path(path).parent)
+        check = check_file(Path(path).read_text(), Path(path).parent)
     except (OSError, UnicodeDecodeError) as fault:
-        found, sheet = [getattr(fault, "strerror", None) or "no plain text"], None
-    for line in found:
+        click.echo(f"{path}: {getattr(fault, 'strerror', None) or 'no plain text'}", err=True)
+        return False
+    for line in check.faults:
         click.echo(f"{path}: {line}", err=True)
-    if not found:
-        click.echo(f"good: a group of {len(sheet.group.member)}")
-    return not found
+    if not check.faults:
+        click.echo(f"good: a group of {len(check.file.group.members)}")
+    return not check.faults
 
 
 @main.group()
--- a/ivystack/fleet/__init__.py
+++ b/ivystack/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the proxies of a fleet do together: the operators' file, and the parts that it switches on."""
+"""What the proxies of a fleet do together: its configuration file, and the services that it switches on."""
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -12,8 +12,8 @@
 from twisted.python.failure import Failure
 
 from ivystack.__main__ import end
-from ivystack.fleet.run import Together
-from ivystack.fleet.settings import faults, load
+from ivystack.fleet.config import check_file, load_config
+from ivystack.fleet.services import FleetServices
 from ivystack.mesh import drop_log, send_queue
 from ivystack.mesh import link as links
 from ivystack.mesh import mesh as meshes
@@ -311,49 +311,53 @@
 """
 
 
-def test_all_faults_of_the_operators_file_are_listed(tmp_path):
+def test_all_faults_of_the_configuration_file_are_listed(tmp_path):
     write_key_file(tmp_path / "key", "k1")
-    assert faults(GOOD, tmp_path)[0] == []
+    assert check_file(GOOD, tmp_path).faults == []
     bad = GOOD.replace("version = 1", "version = 1\ncolour = 3").replace('"127.0.0.1:2"', '"127.0.0.1:1"')
     bad = bad.replace('"127.0.0.1:3"', '"far:away"') + "[times]\nbeat = 0\nelection = 'x'\n"
     bad = bad.replace('key_file = "key"', 'key_file = "none"')
-    found = faults(bad, tmp_path)[0]
+    found = check_file(bad, tmp_path).faults
     for words in ("colour", "group.member[1].address", "group.member[2].address", "times.beat",
                   "times.election", "none: No such file"):  # fmt: skip
         assert sum(words in line for line in found) == 1, (words, found)
-    assert faults("x = [", tmp_path)[0][0].startswith("not TOML")
-    assert any("directory" in line for line in faults('version = 1\nkey_file = "key"', tmp_path)[0])
+    assert check_file("x = [", tmp_path).faults[0].startswith("not TOML")
+    assert any("directory" in line for line in check_file('version = 1\nkey_file = "key"', tmp_path).faults)
+    newer = check_file(GOOD.replace("version = 1", "version = 2"), tmp_path).faults
+    assert newer == ["`version`: 2, this program reads 1"]
     short = GOOD + "[times]\nelection = 200\nlease = 300\n"
-    assert ["times.election" in faults(short, tmp_path)[0][0], "lease" in faults(short, tmp_path)[0][1]]
+    found_short = check_file(short, tmp_path).faults
+    assert "times.election" in found_short[0] and "lease" in found_short[1]
     (tmp_path / "fleet.toml").write_text("links = 256\n" + GOOD)
-    assert load(tmp_path / "fleet.toml", "a").spare(1024) == 768 > load(tmp_path / "fleet.toml", "z").links
+    assert load_config(tmp_path / "fleet.toml", "a").reserve_links(1024) == 768
+    assert 768 > load_config(tmp_path / "fleet.toml", "z").max_links
     with pytest.raises(FaultError, match="links"):
-        load(tmp_path / "fleet.toml", "a").spare(500)
+        load_config(tmp_path / "fleet.toml", "a").reserve_links(500)
     with pytest.raises(FaultError, match="name"):
-        load(tmp_path / "fleet.toml", "a b")
+        load_config(tmp_path / "fleet.toml", "a b")
     (tmp_path / "fleet.toml").write_text(bad)
     with pytest.raises(FaultError, match="more, see check-config"):
-        load(tmp_path / "fleet.toml", "a")
+        load_config(tmp_path / "fleet.toml", "a")
     code, _, told = ivy("check-config", "--fleet", str(tmp_path / "fleet.toml"))
     assert code == 2 and told.count("\n") == len(found)
 
 
-def test_a_fault_of_the_fleets_parts_does_not_keep_the_proxy_from_serving(tmp_path, said):
+def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_serving(tmp_path, said):
     write_key_file(tmp_path / "key", "k1")
     (tmp_path / "fleet.toml").write_text(GOOD)
     made = proxy()
-    together = Together(made, str(tmp_path / "fleet.toml"), load(tmp_path / "fleet.toml", "z"))
-    together.mesh.start = lambda: 1 / 0
-    together.start()
+    services = FleetServices(made, str(tmp_path / "fleet.toml"), load_config(tmp_path / "fleet.toml", "z"))
+    services.mesh.start = lambda: 1 / 0
+    services.start()
     assert sum("fleet: could not start" in line for line in said) == 1
 
 
-def test_a_fault_of_the_fleets_parts_does_not_keep_the_proxy_from_ending():
-    # Guards SIGTERM: the proxy would have served on until it was killed with reqs in hand.
+def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_ending():
+    # Else the proxy would ignore SIGTERM and serve until it was killed with requests in flight.
     made = proxy()
     made.port = None
     with pytest.raises(ZeroDivisionError):
-        end(made, type("Together", (), {"hand_on": lambda self: 1 / 0})())
+        end(made, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
     assert made.ending
 
 
@@ -390,7 +394,10 @@
 def test_the_example_that_operators_copy_is_good(tmp_path):
     text = open("deploy/fleet.example.toml").read()
     write_key_file(tmp_path / "fleet.key", "k1")
-    assert faults(text.replace("/etc/ivystack/fleet.key", str(tmp_path / "fleet.key")), tmp_path)[0] == []
+    assert (
+        check_file(text.replace("/etc/ivystack/fleet.key", str(tmp_path / "fleet.key")), tmp_path).faults
+        == []
+    )
 
 
 def test_links_between_real_processes_come_back_after_each_kind_of_fault():
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -9,7 +9,7 @@
 from ivystack.duties.lease_table import MAX_VALUE_BYTES, LeaseTable
 from ivystack.duties.protocol import KNOWN_DUTIES
 from ivystack.duties.slot_order_duty import MARK_BYTES, OrderFault, SlotOrder
-from ivystack.fleet.settings import Fleet
+from ivystack.fleet.config import FleetConfig
 from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
 from ivystack.model import Errors, Node
 from ivystack.net.handover import MOST, State
@@ -111,16 +111,16 @@
 
 
 def test_links_of_a_member_go_by_the_number_of_proxies_and_what_descriptors_bear():
-    class Sheet:
+    class File:
         links, key_file, directory, times = None, "k", "d", None
 
         class group:  # noqa: N801
-            member = [type("M", (), {"name": "a", "address": "127.0.0.1:9", "zone": ""})]
+            members = [type("M", (), {"name": "a", "address": "127.0.0.1:9", "zone": ""})]
 
     def links(sockets, proxies):
-        fleet = Fleet(Sheet, "a", None)
-        assert fleet.spare(sockets, proxies) == sockets - fleet.links
-        return fleet.links
+        config = FleetConfig(File, "a", None)
+        assert config.reserve_links(sockets, proxies) == sockets - config.max_links
+        return config.max_links
 
     lines = []
     handler = logger.add(lines.append, level="WARNING")
