--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -15,8 +15,9 @@
 from ivystack.duties.health_check_duty import MAX_POSTPONEMENT, HealthCheckDuty
 from ivystack.duties.lease_client import LeaseClient
 from ivystack.duties.lease_table import LeaseTable
-from ivystack.duties.protocol import LeaseSummary
+from ivystack.duties.protocol import HealthCheckResults, LeaseNews, LeaseSummary, MessageKind
 from ivystack.duties.slot_order_duty import OrderFault, SlotOrder
+from ivystack.mesh.protocol import encode
 from ivystack.rig.check import overlapping
 from ivystack.rig.logs import logged
 from ivystack.words import mark
@@ -30,27 +31,27 @@
     """Proxies with clocks of their own, a leader that changes, messages that are late or lost.  True time is
     in `now`; at most one proxy may believe that it holds the lease."""
 
-    def __init__(self, seed, holders=lease_holder, expiries=lease_expiry, cut=False):
+    def __init__(self, seed, holders=lease_holder, expiries=lease_expiry):
         self.rng = Random(seed)
         self.now, self.calls, self.count = 0, [], 0
         self.leases = LeaseTable(LEASE)
         self.expiries, self.term = expiries, 0
         self.loss = 0.0
-        self.slow = self.rng.choice([2, 40, 400])  # milliseconds that a message takes at most
-        self.says_only = None
+        self.max_latency = self.rng.choice([2, 40, 400])  # milliseconds that a message takes at most
+        self.cannot_receive = None
         self.holders = []
         self.rates = []
-        self.held_by: list[tuple[int, int]] = []  # when, by whom, as it changes
+        self.holders_seen: list[tuple[int, int]] = []  # when, by whom, as it changes
         for number in range(3):
             self.rates.append(1 + self.rng.choice([-1, 1]) * DRIFT / 2)
-            client = LeaseClient(self.asks(number, "do"), self.asks(number, "look"))
+            client = LeaseClient(self.request(number, "do"), self.request(number, "look"))
             made = holders.LeaseHolder(f"p{number}/x", LEASE, DRIFT, client, lambda *_: None, lambda *_: None)
             made.add_duty(DUTY, lambda: True)
             self.holders.append(made)
         self.asleep = [0, 0, 0]
-        self.lead()
+        self.change_leader()
 
-    def lead(self):
+    def change_leader(self):
         self.term += 1
         self.rate = 1 + self.rng.choice([-1, 1]) * DRIFT / 2
         self.leader = self.expiries.LeaseExpiry(LEASE, DRIFT)
@@ -58,39 +59,49 @@
     def clock(self, number):
         return int(self.now * self.rates[number]) + number * 77 * S
 
-    def own(self):
+    def leader_clock(self):
         return int(self.now * self.rate) + 500 * S
 
-    def later(self, rest, call, *values):
+    def later(self, delay, call, *values):
         self.count += 1
-        self.calls.append((self.now + rest, self.count, call, values))
+        self.calls.append((self.now + delay, self.count, call, values))
 
-    def asks(self, number, how):
-        def ask(part, name, args, done, within):
+    def request(self, number, how):
+        def send(part, name, args, done, within):
             if self.rng.random() >= self.loss:
-                self.later(self.rng.randrange(1, self.slow) * MS, self.arrives, number, how, name, args, done)
-            self.later(within, self.given_up, done)
+                self.later(
+                    self.rng.randrange(1, self.max_latency) * MS,
+                    self.request_arrives,
+                    number,
+                    how,
+                    name,
+                    args,
+                    done,
+                )
+            self.later(within, self.time_out, done)
             return True
 
-        return ask
+        return send
 
-    def given_up(self, done):
+    def time_out(self, done):
         if done not in self.answered:
             self.answered.add(done)
             done(False, None)
 
     answered: set = set()
 
-    def arrives(self, number, how, name, args, done):
+    def request_arrives(self, number, how, name, args, done):
         answer = getattr(self.leases, how)(name, args)
         if name == "renew" and answer is True:
-            self.leader.renewed(args[0], args[1], self.own())
-        if self.rng.random() >= self.loss and number != self.says_only:
-            self.later(self.rng.randrange(1, self.slow) * MS, self.answers, number, done, answer)
+            self.leader.renewed(args[0], args[1], self.leader_clock())
+        if self.rng.random() >= self.loss and number != self.cannot_receive:
+            self.later(
+                self.rng.randrange(1, self.max_latency) * MS, self.answer_arrives, number, done, answer
+            )
 
-    def answers(self, number, done, answer):
+    def answer_arrives(self, number, done, answer):
         if self.asleep[number] > self.now:  # it is stopped: it hears when it goes on
-            return self.later(self.asleep[number] - self.now, self.answers, number, done, answer)
+            return self.later(self.asleep[number] - self.now, self.answer_arrives, number, done, answer)
         if done not in self.answered:
             self.answered.add(done)
             done(True, answer)
@@ -104,7 +115,7 @@
                 call[2](*call[3])
             if faults and self.rng.random() < 0.01:
                 self.fault()
-            for duty, token in self.leader.expired(self.leases.records, self.term, self.own()):
+            for duty, token in self.leader.expired(self.leases.records, self.term, self.leader_clock()):
                 self.leases.do("free", [duty, token])
             if step % 5 == 0:
                 announced = self.leases.summaries()
@@ -117,14 +128,14 @@
             ]  # fmt: skip
             if len(holding) > 1:
                 return f"at {self.now / S:.2f} s {holding} both hold"
-            if holding and (not self.held_by or self.held_by[-1][1] != holding[0]):
-                self.held_by.append((self.now, holding[0]))
+            if holding and (not self.holders_seen or self.holders_seen[-1][1] != holding[0]):
+                self.holders_seen.append((self.now, holding[0]))
         return None
 
     def fault(self):
-        kind = self.rng.choice(["lead", "loss", "well", "sleep", "sleep"])
-        if kind == "lead":
-            self.lead()
+        kind = self.rng.choice(["leader", "loss", "no loss", "sleep", "sleep"])
+        if kind == "leader":
+            self.change_leader()
         elif kind == "sleep":
             self.asleep[self.rng.randrange(3)] = self.now + self.rng.randrange(1, 8) * S
         else:
@@ -169,36 +180,36 @@
     # Else its renewals would be granted forever, and the duty would stand still.
     simulated = SimulatedLeases(1)
     simulated.run(5, False)
-    first = simulated.held_by[-1][1]
-    simulated.says_only = first
+    first = simulated.holders_seen[-1][1]
+    simulated.cannot_receive = first
     assert simulated.run(2 * LEASE / S + 2, False) is None
-    assert simulated.held_by[-1][1] != first
+    assert simulated.holders_seen[-1][1] != first
 
 
 def test_a_holder_that_cannot_serve_releases_and_backs_off_and_a_flapping_link_moves_no_lease():
     simulated = SimulatedLeases(2)
     simulated.run(5, False)
-    first = simulated.held_by[-1][1]
+    first = simulated.holders_seen[-1][1]
     can_serve = [True]
     simulated.holders[first].leases[DUTY].can_serve = lambda: can_serve[0]
     for _ in range(20):  # off and on each 300 ms: never off for a second
         can_serve[0] = not can_serve[0]
         simulated.run(0.3, False)
-    assert [n for _, n in simulated.held_by] == [first]
+    assert [n for _, n in simulated.holders_seen] == [first]
     can_serve[0] = False
     simulated.run(4, False)
     can_serve[0] = True
     simulated.run(5, False)
-    assert len(simulated.held_by) == 2 and simulated.held_by[-1][1] != first
+    assert len(simulated.holders_seen) == 2 and simulated.holders_seen[-1][1] != first
 
 
 def test_a_graceful_shutdown_releases_the_lease_at_once():
     simulated = SimulatedLeases(3)
     simulated.run(5, False)
-    at, first = simulated.now, simulated.held_by[-1][1]
+    at, first = simulated.now, simulated.holders_seen[-1][1]
     simulated.holders[first].release_all(simulated.clock(first))
     simulated.run(3, False)
-    assert simulated.held_by[-1][1] != first and simulated.held_by[-1][0] - at < LEASE // 2
+    assert simulated.holders_seen[-1][1] != first and simulated.holders_seen[-1][0] - at < LEASE // 2
 
 
 def test_duties_spread_over_proxies_and_the_first_candidates_differ():
@@ -235,6 +246,32 @@
     assert other.summaries() == leases.summaries() == {DUTY: LeaseSummary("a/1", 1, 0)}
 
 
+def test_requests_and_messages_keep_their_form_on_the_wire():
+    sent = []
+
+    def send(*request):
+        sent.append(request[:3])
+        return True
+
+    client = LeaseClient(send, send)
+    client.acquire(DUTY, "a/1", lambda _: None)
+    client.renew(DUTY, 1, "a/1", None, lambda _: None)
+    client.put_value(DUTY, 1, b"x", lambda _: None)
+    client.get_value(DUTY, lambda _: None)
+    client.release(DUTY, 1)
+    assert sent == [
+        ("duty", "take", ["slot-order", "a/1"]),
+        ("duty", "renew", ["slot-order", 1, "a/1", None]),
+        ("duty", "put", ["slot-order", 1, b"x"]),
+        ("duty", "value", ["slot-order"]),
+        ("duty", "free", ["slot-order", 1]),
+    ]
+    news = LeaseNews(5, 9, {"slot-order": LeaseSummary("a/1", 1, 0)})
+    assert encode((MessageKind.LEASE_NEWS, news)) == encode(["duty", [5, 9, {"slot-order": ["a/1", 1, 0]}]])
+    results = HealthCheckResults(1, {"n0": False})
+    assert encode((MessageKind.HEALTH_CHECK_RESULTS, results)) == encode(["looked", [1, {"n0": False}]])
+
+
 def test_an_agreed_order_is_adopted_and_one_that_names_no_real_server_is_not():
     made = proxy(4)
     order = SlotOrder(made)
@@ -283,9 +320,9 @@
 def test_real_holders_die_stop_and_are_cut_off_and_the_fleet_keeps_one_order():
     scenes = ["holder-killed", "holder-stopped", "holder-cut", "herd-order", "liar", "two-of-one"]
     scenes.append("node-trials")
-    told = {scene: process.communicate(timeout=120)[0] for scene, process in
+    output = {scene: process.communicate(timeout=120)[0] for scene, process in
             [(scene, playing(scene)) for scene in scenes]}  # fmt: skip
-    assert [text for text in told.values() if not text.startswith("HOLDS")] == []
+    assert [text for text in output.values() if not text.startswith("HOLDS")] == []
 
 
 STOPS = """        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write
@@ -308,8 +345,8 @@
     write = "        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write\n"
     program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOPS)
     words = "rig", "play", str(scene), "--program", program, "--quiet"
-    code, told, _ = ivy(*words, "--keep", str(tmp_path / "k"))
-    assert code == 0, told
+    code, output, _ = ivy(*words, "--keep", str(tmp_path / "k"))
+    assert code == 0, output
     rejected = [
         path for path in (tmp_path / "k").glob("p*/log") if "duty: value rejected" in path.read_text()
     ]
@@ -330,8 +367,8 @@
         file = tmp_path / "a" / "ivystack" / path
         assert file.read_text().count(before) == 1
         file.write_text(file.read_text().replace(before, after))
-    code, told, _ = ivy(*words)
-    assert code == 1 and "BREACH of `fencing`" in told, told
+    code, output, _ = ivy(*words)
+    assert code == 1 and "BREACH of `fencing`" in output, output
 
 
 # Health checks of servers that are down.
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -3,6 +3,7 @@
 import json
 from random import Random
 
+import orjson
 import pytest
 from helpers import S, Transport, proxy
 from loguru import logger
@@ -20,7 +21,7 @@
 from ivystack.mesh.exceptions import KeyFileError
 from ivystack.mesh.keys import KeyRing, read_key_file, write_key_file
 from ivystack.mesh.mesh import Mesh
-from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
+from ivystack.mesh.protocol import MAX_MESSAGE_BYTES, Handshake, encode
 from ivystack.net.tables import Deadlines
 from ivystack.settings import FaultError
 
@@ -44,25 +45,25 @@
 
 
 @pytest.fixture
-def said():
+def log_lines():
     lines = []
     number = logger.add(lambda line: lines.append(str(line)), format="{message}")
     yield lines
     logger.remove(number)
 
 
-class Both:
+class MeshPair:
     """Two meshes on one clock, and one connection from a to b."""
 
     def __init__(self, keys=(ONE, ONE), names=("a", "b")):
         self.clock = MemoryReactorClock()
         self.clock.advance(1000)
-        self.got = []
+        self.received = []
         self.meshes = []
         for name, own in zip(names, keys, strict=True):
             deadlines = Deadlines(self.clock, self.now)
             made = Mesh(self.clock, deadlines, self.now, Random(1), name, KeyRing(own), 512, MEMBERS, None)
-            made.handlers["x"] = lambda peer, body, name=name: self.got.append((name, peer, body))
+            made.handlers["x"] = lambda peer, body, name=name: self.received.append((name, peer, body))
             self.meshes.append(made)
         self.a, self.b = self.meshes
 
@@ -70,9 +71,9 @@
         return round(self.clock.seconds() * S)
 
     def connect(self, host="127.0.0.1"):
-        self.near = meshes.DialFactory(self.a, "b").buildProtocol(None)
-        self.far = meshes.AcceptFactory(self.b).buildProtocol(type("Address", (), {"host": host}))
-        for one, at in ((self.far, host), (self.near, "127.0.0.2")):
+        self.caller = meshes.DialFactory(self.a, "b").buildProtocol(None)
+        self.called = meshes.AcceptFactory(self.b).buildProtocol(type("Address", (), {"host": host}))
+        for one, at in ((self.called, host), (self.caller, "127.0.0.2")):
             wire = Wire()
             wire.host = at
             one.makeConnection(wire)
@@ -81,200 +82,215 @@
 
     def pump(self):
         while True:
-            there, back = self.near.transport.took(), self.far.transport.took()
+            there, back = self.caller.transport.took(), self.called.transport.took()
             if not there and not back:
                 return
-            self.far.dataReceived(there)
-            self.near.dataReceived(back)
+            self.called.dataReceived(there)
+            self.caller.dataReceived(back)
 
     def end(self, one):
         one.connectionLost(Failure(ConnectionDone()))
 
 
 def test_two_proxies_that_share_a_key_exchange_messages_on_one_connection():
-    both = Both().connect()
-    assert both.a.send("b", "x", {"n": 1}) and both.b.send("a", "x", [2])
-    both.pump()
-    assert both.got == [("b", "a", {"n": 1}), ("a", "b", [2])]
-    both.end(both.far)
-    assert not both.b.send("a", "x", 3) and not both.a.send("nobody", "x", 3)
+    pair = MeshPair().connect()
+    assert pair.a.send("b", "x", {"n": 1}) and pair.b.send("a", "x", [2])
+    pair.pump()
+    assert pair.received == [("b", "a", {"n": 1}), ("a", "b", [2])]
+    pair.end(pair.called)
+    assert not pair.b.send("a", "x", 3) and not pair.a.send("nobody", "x", 3)
 
 
 def test_two_processes_of_one_name_both_get_messages_and_a_reply_goes_to_the_one_that_asked():
     # In a hot restart the old process, too, has to get what is sent to the name, else its lease expires.
-    both = Both().connect()
-    old_near, old_far = both.near, both.far
-    both.a.incarnation = "0123456789abcdef"
-    both.connect()
-    assert [link.incarnation for link in both.b.peers["a"]] == [old_far.incarnation, both.a.incarnation]
-    both.b.handlers["ask"] = lambda peer, body: both.b.reply(both.b.current_link, "x", body)
-    old_near.send("ask", 7)
-    old_far.dataReceived(old_near.transport.took())
-    assert old_far.transport.value() and not both.far.transport.value()
-    old_far.transport.clear()
-    both.b.send("a", "x", 1)
-    assert old_far.transport.value() and both.far.transport.value()
+    pair = MeshPair().connect()
+    old_caller, old_called = pair.caller, pair.called
+    pair.a.incarnation = "0123456789abcdef"
+    pair.connect()
+    assert [link.incarnation for link in pair.b.peers["a"]] == [old_called.incarnation, pair.a.incarnation]
+    pair.b.handlers["ask"] = lambda peer, body: pair.b.reply(pair.b.current_link, "x", body)
+    old_caller.send("ask", 7)
+    old_called.dataReceived(old_caller.transport.took())
+    assert old_called.transport.value() and not pair.called.transport.value()
+    old_called.transport.clear()
+    pair.b.send("a", "x", 1)
+    assert old_called.transport.value() and pair.called.transport.value()
+
+
+def test_handshake_digests_and_status_keep_their_form():
+    handshake = encode(Handshake(1, "a", "b", "0" * 16, b"n"))
+    assert handshake == encode([1, "a", "b", "0" * 16, b"n"])
+    assert KeyRing(ONE).sign(b"hello", b"", b"x").hex() == "06d14602c03b471efcd7c47383f01e67"
+    pair = MeshPair().connect()
+    pair.a.send("b", "unknown", 1)
+    pair.pump()
+    assert orjson.loads(orjson.dumps(pair.b.state())) == {
+        "life": pair.b.incarnation,
+        "connections": 1,
+        "dropped": {"unknown-kind": 1},
+        "peers": {"a": {"key": "k1", "queued": 0}},
+    }
 
 
 def test_a_key_is_changed_with_both_valid_meanwhile():
     # Old and new in turn: the second learns to accept it, the first signs with it, then the old one goes.
     steps = [(ONE, ONE), (ONE, ONE | TWO), (ONE | TWO, TWO | ONE), (TWO | ONE, TWO), (TWO, TWO)]
     for keys, good in [*((step, True) for step in steps), ((TWO, ONE | TWO), False), ((ONE, TWO), False)]:
-        both = Both(keys).connect()
-        both.a.send("b", "x", 1), both.b.send("a", "x", 2)
-        both.pump()
-        assert sorted(both.got) == ([("a", "b", 2), ("b", "a", 1)] if good else [])
+        pair = MeshPair(keys).connect()
+        pair.a.send("b", "x", 1), pair.b.send("a", "x", 2)
+        pair.pump()
+        assert sorted(pair.received) == ([("a", "b", 2), ("b", "a", 1)] if good else [])
 
 
-def test_nothing_signed_with_another_key_is_accepted_and_the_log_has_one_line_a_period(said):
-    both = Both((ONE, TWO))
+def test_nothing_signed_with_another_key_is_accepted_and_the_log_has_one_line_a_period(log_lines):
+    pair = MeshPair((ONE, TWO))
     for _ in range(50):
-        both.connect()
-        assert both.far.transport.disconnected
-        both.end(both.far), both.end(both.near)
-    assert both.b.drops.total["bad-key"] == 50 and not both.b.peers and not both.b.connections
-    assert sum("bad-key" in line for line in said) == 1
-    both.clock.advance(drop_log.LOG_PERIOD / S)
-    assert sum("bad-key" in line for line in said) == 2 and "bad-key=49" in said[-1]
+        pair.connect()
+        assert pair.called.transport.disconnected
+        pair.end(pair.called), pair.end(pair.caller)
+    assert pair.b.drops.total["bad-key"] == 50 and not pair.b.peers and not pair.b.connections
+    assert sum("bad-key" in line for line in log_lines) == 1
+    pair.clock.advance(drop_log.LOG_PERIOD / S)
+    assert sum("bad-key" in line for line in log_lines) == 2 and "bad-key=49" in log_lines[-1]
 
 
 def test_a_replayed_connection_is_rejected():
     # The same bytes as then, to a listener that sends a new nonce.
-    both2 = Both()
-    near = meshes.DialFactory(both2.a, "b").buildProtocol(None)
-    near.makeConnection(Wire())
-    handshake = near.transport.took()
-    far = meshes.AcceptFactory(both2.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
-    far.makeConnection(Wire())
-    far.dataReceived(handshake)
-    near.dataReceived(far.transport.took())
-    both2.a.send("b", "x", "pay")
-    record = handshake + near.transport.took()
-    again = meshes.AcceptFactory(both2.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
+    recorded = MeshPair()
+    caller = meshes.DialFactory(recorded.a, "b").buildProtocol(None)
+    caller.makeConnection(Wire())
+    handshake = caller.transport.took()
+    called = meshes.AcceptFactory(recorded.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
+    called.makeConnection(Wire())
+    called.dataReceived(handshake)
+    caller.dataReceived(called.transport.took())
+    recorded.a.send("b", "x", "pay")
+    record = handshake + caller.transport.took()
+    again = meshes.AcceptFactory(recorded.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
     again.makeConnection(Wire())
     again.dataReceived(record)
-    assert not both2.got and again.code == "bad-digest"
-    far.dataReceived(record[len(handshake) :])  # where it belongs it is heard, once
-    assert both2.got == [("b", "a", "pay")]
-    far.dataReceived(record[len(handshake) :][-40:])
-    assert len(both2.got) == 1
+    assert not recorded.received and again.code == "bad-digest"
+    called.dataReceived(record[len(handshake) :])  # where it belongs it is heard, once
+    assert recorded.received == [("b", "a", "pay")]
+    called.dataReceived(record[len(handshake) :][-40:])
+    assert len(recorded.received) == 1
 
 
 def test_no_message_with_a_byte_flipped_is_accepted_and_none_out_of_order():
-    both = Both().connect()
-    both.a.send("b", "x", "first")
-    first = both.near.transport.took()
-    both.a.send("b", "x", "second")
-    second = both.near.transport.took()
+    pair = MeshPair().connect()
+    pair.a.send("b", "x", "first")
+    first = pair.caller.transport.took()
+    pair.a.send("b", "x", "second")
+    second = pair.caller.transport.took()
     for at in range(len(first)):
-        other = Both().connect()
+        other = MeshPair().connect()
         other.a.send("b", "x", "first")
-        text = bytearray(other.near.transport.took())
+        text = bytearray(other.caller.transport.took())
         text[at] ^= 1 << at % 8
-        other.far.dataReceived(bytes(text))
-        assert not other.got
-    both.far.dataReceived(second)
-    assert not both.got and both.far.code == "bad-digest"
+        other.called.dataReceived(bytes(text))
+        assert not other.received
+    pair.called.dataReceived(second)
+    assert not pair.received and pair.called.code == "bad-digest"
 
 
 def test_malformed_handshakes_close_the_connection_and_a_members_name_counts_from_its_own_address_alone():
-    assert Both().connect("127.0.0.9").far.code == "not-its-address"
-    stranger = Both(names=("c", "b")).connect("127.0.0.9")  # no member: any address will do
+    assert MeshPair().connect("127.0.0.9").called.code == "not-its-address"
+    stranger = MeshPair(names=("c", "b")).connect("127.0.0.9")  # no member: any address will do
     stranger.a.send("b", "x", 1)
     stranger.pump()
-    assert stranger.got == [("b", "c", 1)]
+    assert stranger.received == [("b", "c", 1)]
     for text in (b"\xff\xff\xff\xff", b"\x00\x00\x00\x05hello", b"GET / HTTP/1.1\r\n\r\n"):
-        both = Both()
-        far = meshes.AcceptFactory(both.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
-        far.makeConnection(Wire())
-        far.dataReceived(text)
-        assert far.transport.disconnected and not both.b.peers
-    both = Both()
-    silent = meshes.AcceptFactory(both.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
+        pair = MeshPair()
+        called = meshes.AcceptFactory(pair.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
+        called.makeConnection(Wire())
+        called.dataReceived(text)
+        assert called.transport.disconnected and not pair.b.peers
+    pair = MeshPair()
+    silent = meshes.AcceptFactory(pair.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
     silent.makeConnection(Wire())
-    both.clock.advance(links.HANDSHAKE_TIMEOUT / S)
+    pair.clock.advance(links.HANDSHAKE_TIMEOUT / S)
     assert silent.transport.disconnected and silent.code == "no-greeting"
 
 
-def test_a_peer_that_reads_nothing_holds_no_more_than_the_bound_and_gets_the_newest(said):
-    both = Both().connect()
-    both.near.pauseProducing()
+def test_a_peer_that_reads_nothing_holds_no_more_than_the_bound_and_gets_the_newest(log_lines):
+    pair = MeshPair().connect()
+    pair.caller.pauseProducing()
     for number in range(300):
-        both.a.send("b", "x", [number, bytes(10_000)])
-    assert both.near.queue.size <= send_queue.MAX_QUEUED_BYTES and both.a.drops.total["queue-full"] > 100
-    assert sum("queue-full" in line for line in said) == 1
-    both.near.resumeProducing()
-    both.pump()
-    numbers = [body[0] for _, _, body in both.got]
+        pair.a.send("b", "x", [number, bytes(10_000)])
+    assert pair.caller.queue.size <= send_queue.MAX_QUEUED_BYTES and pair.a.drops.total["queue-full"] > 100
+    assert sum("queue-full" in line for line in log_lines) == 1
+    pair.caller.resumeProducing()
+    pair.pump()
+    numbers = [body[0] for _, _, body in pair.received]
     assert numbers == [*range(numbers[0], 300)] and 80 < len(numbers) < 110
-    assert not both.a.send("b", "x", bytes(MAX_MESSAGE_BYTES + 1))
+    assert not pair.a.send("b", "x", bytes(MAX_MESSAGE_BYTES + 1))
 
 
 def test_a_silent_peers_link_is_closed_and_dialed_again_with_randomized_backoff():
-    both = Both().connect()
-    both.a.dial_failures.clear()
+    pair = MeshPair().connect()
+    pair.a.dial_failures.clear()
     heartbeats = 0
     for _ in range(30):  # heartbeats keep it up
-        both.clock.advance(0.2)
-        heartbeats += bool(both.near.transport.value())
-        both.pump()
-    assert both.near.code is None and heartbeats > 5
+        pair.clock.advance(0.2)
+        heartbeats += bool(pair.caller.transport.value())
+        pair.pump()
+    assert pair.caller.code is None and heartbeats > 5
     for _ in range(30):
-        both.clock.advance(0.2)
-        both.near.transport.took(), both.far.transport.took()
-    assert both.near.code == both.far.code == "silent"
-    both.end(both.near)
+        pair.clock.advance(0.2)
+        pair.caller.transport.took(), pair.called.transport.took()
+    assert pair.caller.code == pair.called.code == "silent"
+    pair.end(pair.caller)
     times = []
     for _ in range(600):
-        before = len(both.clock.tcpClients)
-        both.clock.advance(0.1)
-        if len(both.clock.tcpClients) > before:
-            times.append(both.clock.seconds())
-            both.clock.tcpClients[-1][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+        before = len(pair.clock.tcpClients)
+        pair.clock.advance(0.1)
+        if len(pair.clock.tcpClients) > before:
+            times.append(pair.clock.seconds())
+            pair.clock.tcpClients[-1][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     assert 20 <= len(times) <= 45  # a minute, at up to 3 s
-    rests = [b - a for a, b in zip(times, times[1:], strict=False)][8:]
-    assert max(rests) <= 3.2 and len({round(rest, 1) for rest in rests}) > 4
+    pauses = [b - a for a, b in zip(times, times[1:], strict=False)][8:]
+    assert max(pauses) <= 3.2 and len({round(pause, 1) for pause in pauses}) > 4
 
 
 def test_strangers_who_only_connect_keep_nobody_out():
-    both = Both()
-    both.b.max_connections = 64
-    held = []
+    pair = MeshPair()
+    pair.b.max_connections = 64
+    strangers = []
     for _ in range(500):
-        held.append(meshes.AcceptFactory(both.b).buildProtocol(type("A", (), {"host": "127.0.0.1"})))
-        held[-1].makeConnection(Wire())
-        if len(held) > meshes.MIN_UNAUTHENTICATED:
-            both.end(held[-1 - meshes.MIN_UNAUTHENTICATED])
-    assert sum(not one.transport.disconnected for one in held) == meshes.MIN_UNAUTHENTICATED
-    both.connect()
-    both.a.send("b", "x", 1)
-    both.pump()
-    assert both.got == [("b", "a", 1)]
+        strangers.append(meshes.AcceptFactory(pair.b).buildProtocol(type("A", (), {"host": "127.0.0.1"})))
+        strangers[-1].makeConnection(Wire())
+        if len(strangers) > meshes.MIN_UNAUTHENTICATED:
+            pair.end(strangers[-1 - meshes.MIN_UNAUTHENTICATED])
+    assert sum(not one.transport.disconnected for one in strangers) == meshes.MIN_UNAUTHENTICATED
+    pair.connect()
+    pair.a.send("b", "x", 1)
+    pair.pump()
+    assert pair.received == [("b", "a", 1)]
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a/b", "a\nb", "x" * 65])
 def test_a_name_that_cannot_stand_in_logs_and_ids_is_rejected(name):
-    assert Both(names=(name, "b")).connect("127.0.0.9").far.code == "unreadable"
+    assert MeshPair(names=(name, "b")).connect("127.0.0.9").called.code == "unreadable"
 
 
 def test_connections_are_bounded_and_a_handler_that_fails_costs_that_link_alone():
-    both = Both()
-    both.b.max_connections = 3
+    pair = MeshPair()
+    pair.b.max_connections = 3
     made = []
     for _ in range(5):
-        made.append(meshes.AcceptFactory(both.b).buildProtocol(type("A", (), {"host": "127.0.0.1"})))
+        made.append(meshes.AcceptFactory(pair.b).buildProtocol(type("A", (), {"host": "127.0.0.1"})))
         if made[-1]:
             made[-1].makeConnection(Wire())
     assert [bool(one) for one in made] == [True] * 3 + [False] * 2
-    both = Both().connect()
-    both.b.handlers["x"] = lambda peer, body: 1 / 0
-    both.a.send("b", "x", 1)
-    both.pump()
-    assert both.far.code == "unusable"
-    both = Both().connect()
-    both.a.send("b", "unheard-of", 1), both.a.send("b", "x", 2)
-    both.pump()
-    assert both.b.drops.total == {"unknown-kind": 1} and both.got == [("b", "a", 2)]
+    pair = MeshPair().connect()
+    pair.b.handlers["x"] = lambda peer, body: 1 / 0
+    pair.a.send("b", "x", 1)
+    pair.pump()
+    assert pair.called.code == "unusable"
+    pair = MeshPair().connect()
+    pair.a.send("b", "unheard-of", 1), pair.a.send("b", "x", 2)
+    pair.pump()
+    assert pair.b.drops.total == {"unknown-kind": 1} and pair.received == [("b", "a", 2)]
 
 
 def test_key_files_are_new_private_and_checked(tmp_path):
@@ -338,18 +354,18 @@
     (tmp_path / "fleet.toml").write_text(bad)
     with pytest.raises(FaultError, match="more, see check-config"):
         load_config(tmp_path / "fleet.toml", "a")
-    code, _, told = ivy("check-config", "--fleet", str(tmp_path / "fleet.toml"))
-    assert code == 2 and told.count("\n") == len(found)
+    code, _, output = ivy("check-config", "--fleet", str(tmp_path / "fleet.toml"))
+    assert code == 2 and output.count("\n") == len(found)
 
 
-def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_serving(tmp_path, said):
+def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_serving(tmp_path, log_lines):
     write_key_file(tmp_path / "key", "k1")
     (tmp_path / "fleet.toml").write_text(GOOD)
     made = proxy()
     services = FleetServices(made, str(tmp_path / "fleet.toml"), load_config(tmp_path / "fleet.toml", "z"))
     services.mesh.start = lambda: 1 / 0
     services.start()
-    assert sum("fleet: could not start" in line for line in said) == 1
+    assert sum("fleet: could not start" in line for line in log_lines) == 1
 
 
 def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_ending():
@@ -361,23 +377,23 @@
     assert made.ending
 
 
-def test_an_address_that_is_taken_is_logged_once_and_retried(said):
-    both = Both()
-    both.a.listen_address = "127.0.0.1", 1
-    listens = both.clock.listenTCP
+def test_an_address_that_is_taken_is_logged_once_and_retried(log_lines):
+    pair = MeshPair()
+    pair.a.listen_address = "127.0.0.1", 1
+    listens = pair.clock.listenTCP
     attempts = []
 
     def taken(*where):
         attempts.append(where)
         raise CannotListenError("127.0.0.1", 1, OSError(98, "in use"))
 
-    both.clock.listenTCP = taken
-    both.a.listen()
-    both.clock.pump([0.1] * 20)
-    assert len(attempts) > 5 and sum("retrying until" in line for line in said) == 1
-    both.clock.listenTCP = listens
-    both.clock.advance(1)
-    assert both.a.port is not None
+    pair.clock.listenTCP = taken
+    pair.a.listen()
+    pair.clock.pump([0.1] * 20)
+    assert len(attempts) > 5 and sum("retrying until" in line for line in log_lines) == 1
+    pair.clock.listenTCP = listens
+    pair.clock.advance(1)
+    assert pair.a.port is not None
 
 
 def test_links_are_taken_from_the_descriptors_of_clients_and_nodes_and_too_many_end_the_start(tmp_path):
@@ -387,8 +403,8 @@
     limits = {"name": "a", "limits": {"sockets": 400}}
     places = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {}}
     config.write_text(json.dumps(places | limits))
-    code, _, told = ivy("serve", "--config", str(config), "--fleet", str(fleet))
-    assert code == 2 and "`links`: 256 of 400" in told and told.count("\n") == 1
+    code, _, output = ivy("serve", "--config", str(config), "--fleet", str(fleet))
+    assert code == 2 and "`links`: 256 of 400" in output and output.count("\n") == 1
 
 
 def test_the_example_that_operators_copy_is_good(tmp_path):
@@ -401,5 +417,5 @@
 
 
 def test_links_between_real_processes_come_back_after_each_kind_of_fault():
-    code, told, _ = ivy("rig", "play", "mesh", "--quiet")
-    assert code == 0, told
+    code, output, _ = ivy("rig", "play", "mesh", "--quiet")
+    assert code == 0, output
