--- a/ivystack/duties/health_check_duty.py
+++ b/ivystack/duties/health_check_duty.py
@@ -56,6 +56,21 @@
         node, place = self.proxy.choice.nodes.get(name), self.proxy.nodes.places.get(name)
         return None if node is None or place is None or node.state != READY else place.address
 
+    def planned_check(self, server: Any) -> PlannedCheck:
+        """Return our own next check of a server that is down."""
+        return PlannedCheck(server.trials, server.trial_at)
+
+    def reschedule_check(self, server: Any, due_at: int) -> None:
+        """Move our own next check of a server that is down."""
+        server.trial_at = due_at
+
+
+class PlannedCheck(NamedTuple):
+    """This proxy's own next check of a server: its number for that server, and when it is due."""
+
+    number: int
+    due_at: int
+
 
 class CheckSchedule(NamedTuple):
     """How often the holder has checked a server, and when it may do so next, in microseconds."""
@@ -64,13 +79,6 @@
     next_at: int
 
 
-class PostponedCheck(NamedTuple):
-    """Our own check that results postpone: its number for that server, and when it was due."""
-
-    check_number: int
-    due_at: int
-
-
 class HealthCheckDuty:
     """Checks servers while this process holds the duty, and applies the results of whoever holds it."""
 
@@ -80,7 +88,7 @@
         self.schedule: dict[str, CheckSchedule] = {}
         self.in_progress: set[str] = set()
         self.results: dict[str, bool] = {}  # whether each was reached; not announced yet
-        self.postponed: dict[str, PostponedCheck] = {}
+        self.postponed: dict[str, PlannedCheck] = {}  # our own checks that results postpone, as first planned
         self.checks_started = self.checks_postponed = 0  # for operators
 
     def request(self, names: list[str], now: int) -> None:
@@ -132,20 +140,22 @@
         not_up = self.servers.names_not_up()
         self.postponed = {name: one for name, one in self.postponed.items() if name in not_up}
         for name, was_reached in reached.items():
-            node = self.servers.not_up(name)
-            if node is None:
+            server = self.servers.not_up(name)
+            if server is None:
                 continue
+            planned = self.servers.planned_check(server)
             if not was_reached:
-                self._postpone(node, now)
+                self._postpone(server, planned, now)
             elif self.postponed.pop(name, None) is not None:
-                node.trial_at = min(node.trial_at, now)
-
-    def _postpone(self, node: Any, now: int) -> None:
-        if node.name not in self.postponed or self.postponed[node.name].check_number != node.trials:
-            self.postponed[node.name] = PostponedCheck(node.trials, node.trial_at)
-        until = min(now + POSTPONEMENT, self.postponed[node.name].due_at + MAX_POSTPONEMENT)
-        if until > node.trial_at:
-            node.trial_at = until
+                self.servers.reschedule_check(server, min(planned.due_at, now))
+
+    def _postpone(self, server: Any, planned: PlannedCheck, now: int) -> None:
+        first = self.postponed.get(server.name)
+        if first is None or first.number != planned.number:
+            first = self.postponed[server.name] = planned
+        until = min(now + POSTPONEMENT, first.due_at + MAX_POSTPONEMENT)
+        if until > planned.due_at:
+            self.servers.reschedule_check(server, until)
             self.checks_postponed += 1
 
     def state(self) -> dict[str, Any]:
--- a/ivystack/duties/health_check_exchange.py
+++ b/ivystack/duties/health_check_exchange.py
@@ -87,8 +87,8 @@
         the group: the members have them from the holder or from another member.
         """
         unreachable = sum(not reached for reached in results.reached.values())
-        words = "duty: health checks done duty={} token={} reached={} unreachable={}"
-        logger.debug(words, DUTY, results.token, len(results.reached) - unreachable, unreachable)
+        message = "duty: health checks done duty={} token={} reached={} unreachable={}"
+        logger.debug(message, DUTY, results.token, len(results.reached) - unreachable, unreachable)
         self.duty.apply_results(results.reached, self.now())
         for peer in [*self.mesh.peers]:
             if peer != received_from and (received_from is None or peer not in self.mesh.members):
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -49,7 +49,7 @@
         self.slots = SlotOrder(proxy)
         self.holder.add_duty(ORDER, self.slots.can_serve)
         self.holder.add_duty(CHECKS, self.slots.can_serve)
-        self.order = SlotOrderDuty(self.slots, lease_client, self.holder, self.fencing)
+        self.order = SlotOrderDuty(self.slots, lease_client, self.holder, self.fencing, self.now)
         self.checks = HealthCheckDuty(proxy)
         self.exchange = HealthCheckExchange(
             self.checks, mesh, self.holder, self.fencing, self.now, self._check_holder
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Callable
 from enum import StrEnum
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
@@ -87,9 +88,14 @@
     """Keeps our slots in the agreed order, and writes that order while this process holds the duty."""
 
     def __init__(
-        self, slots: SlotOrder, client: LeaseClient, holder: LeaseHolder, fencing: FencingTokens
+        self,
+        slots: SlotOrder,
+        client: LeaseClient,
+        holder: LeaseHolder,
+        fencing: FencingTokens,
+        now: Callable[[], int],
     ) -> None:
-        self.slots, self.client, self.holder, self.fencing = slots, client, holder, fencing
+        self.slots, self.client, self.holder, self.fencing, self.now = slots, client, holder, fencing, now
         self.version = 0  # of the newest order seen
         self.agreed: bytes | None = None  # the order that the group has, as far as we know
         self.read_pending = False
@@ -108,7 +114,7 @@
         order = self.slots.encode()
         if order == self.agreed:
             return
-        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write
+        token = self.holder.held_token(DUTY, self.now())  # right before the write
 
         def written(result: PutResult | None) -> None:
             self.write_pending = False
@@ -128,9 +134,9 @@
             return
         fault = self.slots.adopt(value.value)
         if fault is None:
-            words = "duty: value adopted duty={} token={} version={}"
-            logger.info(words, DUTY, value.token, value.version)
+            message = "duty: value adopted duty={} token={} version={}"
+            logger.info(message, DUTY, value.token, value.version)
         else:
-            words = "duty: value not adopted, own order kept duty={} token={} version={} code={}"
-            logger.error(words, DUTY, value.token, value.version, fault.value)
+            message = "duty: value not adopted, own order kept duty={} token={} version={} code={}"
+            logger.error(message, DUTY, value.token, value.version, fault.value)
         self.version, self.agreed = value.version, value.value
--- a/ivystack/fleet/config.py
+++ b/ivystack/fleet/config.py
@@ -103,8 +103,8 @@
             wanted = max(DEFAULT_LINKS, proxies + max(GROUP_SIZES) + proxies // SPARE_LINKS_PART)
             self.max_links = min(wanted, descriptors // 2)
             if self.max_links < wanted:
-                words = "fleet: links for {} of {} proxies, half of {} descriptors; raise `limits.sockets`"
-                logger.warning(words, self.max_links, proxies, descriptors)
+                message = "fleet: links for {} of {} proxies, half of {} descriptors; raise `limits.sockets`"
+                logger.warning(message, self.max_links, proxies, descriptors)
         if 2 * self.max_links > descriptors:
             raise FaultError(
                 f"`links`: {self.max_links} of {descriptors} descriptors, at most half may be for links"
--- a/ivystack/mesh/keys.py
+++ b/ivystack/mesh/keys.py
@@ -57,11 +57,11 @@
     text = _read_private(path)
     keys: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if not words:
+        fields = line.partition("#")[0].split()
+        if not fields:
             continue
         try:
-            key_id, key = words
+            key_id, key = fields
             keys[key_id] = bytes.fromhex(key)
         except ValueError:
             raise KeyFileError(f"{path}: line {number}: wanted an id and a key in hexadecimal") from None
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -219,8 +219,8 @@
             closed = reason.check(error.ConnectionDone)
             self.code = DropCode.PEER_CLOSED if closed else DropCode.PEER_RESET
         if self.authenticated or self.code not in UNLOGGED_CODES:
-            words = "mesh: link closed peer={} messages={} code={}"
-            logger.info(words, self.peer or self._peer_host(), self.sent + self.received, self.code)
+            message = "mesh: link closed peer={} messages={} code={}"
+            logger.info(message, self.peer or self._peer_host(), self.sent + self.received, self.code)
         self.mesh.disconnected(self)
 
     def _peer_host(self) -> str:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -325,7 +325,7 @@
     assert [text for text in output.values() if not text.startswith("HOLDS")] == []
 
 
-STOPS = """        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write
+STOPS = """        token = self.holder.held_token(DUTY, self.now())  # right before the write
         import os, signal
         if self.agreed is not None:
             try:
@@ -342,7 +342,7 @@
     text = (PACKAGE / "rig" / "scenarios" / "holder-stopped.toml").read_text()
     text = text.replace("at = 2\nfor = 10", "at = 3.6\nfor = 8")
     scene.write_text(text.replace("orders = true", "orders = false"))
-    write = "        token = self.holder.held_token(DUTY, self.slots.proxy.now())  # right before the write\n"
+    write = "        token = self.holder.held_token(DUTY, self.now())  # right before the write\n"
     program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOPS)
     words = "rig", "play", str(scene), "--program", program, "--quiet"
     code, output, _ = ivy(*words, "--keep", str(tmp_path / "k"))
