--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -59,17 +59,18 @@
     """Whether the operators' file can be used; all its faults are told, a line each."""
     from pathlib import Path
 
-    from .fleet.settings import faults
+    from .fleet.config import check_file
 
     try:
-        found, sheet, _ = faults(Path(path).read_text(), Path(path).parent)
+        check = check_file(Path(path).read_text(), Path(path).parent)
     except (OSError, UnicodeDecodeError) as fault:
-        found, sheet = [getattr(fault, "strerror", None) or "no plain text"], None
-    for line in found:
+        click.echo(f"{path}: {getattr(fault, 'strerror', None) or 'no plain text'}", err=True)
+        return False
+    for line in check.faults:
         click.echo(f"{path}: {line}", err=True)
-    if not found:
-        click.echo(f"good: a group of {len(sheet.group.member)}")
-    return not found
+    if not check.faults:
+        click.echo(f"good: a group of {len(check.file.group.members)}")
+    return not check.faults
 
 
 @main.group()
@@ -82,10 +83,10 @@
 @click.option("--id", "ident", default="k1", show_default=True, help="Its name in logs.")
 def key(path, ident) -> None:
     """Write a new key file; never over one that is there."""
-    from .mesh.keys import write
+    from .mesh.keys import write_key_file
 
     try:
-        write(path, ident)
+        write_key_file(path, ident)
     except OSError as fault:
         click.echo(f"{path}: {fault.strerror}", err=True)
         sys.exit(2)
--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -56,7 +56,7 @@
         self.leader = ""
         self.request_count = self.command_count = 0
         self.pending: dict[int, PendingRequest] = {}  # by number
-        mesh.takers[MessageKind.REPLY] = self._receive_reply
+        mesh.handlers[MessageKind.REPLY] = self._receive_reply
 
     def use_local_replica(self, replica: Replica) -> None:
         """Ask this process's own replica without a link."""
@@ -84,7 +84,7 @@
         if kind == RequestKind.COMMAND:
             self.command_count += 1
             request.command_number = self.command_count
-            client_id = f"{self.mesh.name}/{self.mesh.life}"
+            client_id = f"{self.mesh.name}/{self.mesh.incarnation}"
             request.fields = [client_id, self.command_count, *fields]
         self._attempt(request)
         return True
@@ -120,7 +120,7 @@
             # In a turn of its own: the reply may come within the call.
             self.deadlines.at(self.now(), self.local.receive_request, request.member, body, True)
             return True
-        return self.mesh.say(request.member, MessageKind.REQUEST, body)
+        return self.mesh.send(request.member, MessageKind.REQUEST, body)
 
     def _timed_out(self, request: PendingRequest) -> None:
         if request.member == self.leader:
--- a/ivystack/consensus/membership_manager.py
+++ b/ivystack/consensus/membership_manager.py
@@ -68,7 +68,7 @@
     def is_member_name(self, name: str) -> bool:
         """Whether a proxy may speak as a member: others may hold a valid key as well."""
         if name not in self.replica.wanted:
-            self.env.mesh.count("no-member", name)
+            self.env.mesh.count_drop("no-member", name)
         return name in self.replica.wanted
 
     def _announce(self, core: Core) -> None:
@@ -78,7 +78,7 @@
         body = Announcement(replica.id, bool(core.configuration.voters))
         for name in replica.wanted:
             if name != replica.name:
-                self.env.mesh.say(name, MessageKind.ANNOUNCEMENT, body)
+                self.env.mesh.send(name, MessageKind.ANNOUNCEMENT, body)
 
     def _bootstrap(self, recent: dict[str, ReceivedAnnouncement]) -> None:
         """Begin the group, as the first of the configured members, once all others have announced no state.
@@ -98,7 +98,7 @@
         replica.process_ready()
         for name in others:
             envelope = Envelope(replica.id, recent[name].replica_id, first)
-            self.env.mesh.say(name, MessageKind.RAFT, envelope)
+            self.env.mesh.send(name, MessageKind.RAFT, envelope)
 
     def _change_membership(self, announced: dict[str, str], now: int) -> None:
         replica = self.replica
--- a/ivystack/consensus/replica.py
+++ b/ivystack/consensus/replica.py
@@ -85,9 +85,9 @@
         self.authorize: Callable[[str, Any, Any, Any], bool] = lambda client, part, name, args: True
         # Called with part, name, args and answer of each query that was answered.
         self.query_answered: Callable[[str, str, list, Any], None] = lambda part, name, args, answer: None
-        self.mesh.takers[MessageKind.RAFT] = self.receive_raft
-        self.mesh.takers[MessageKind.ANNOUNCEMENT] = self.membership.receive
-        self.mesh.takers[MessageKind.REQUEST] = self.receive_request
+        self.mesh.handlers[MessageKind.RAFT] = self.receive_raft
+        self.mesh.handlers[MessageKind.ANNOUNCEMENT] = self.membership.receive
+        self.mesh.handlers[MessageKind.REQUEST] = self.receive_request
 
     # --- Start and end ---
 
@@ -229,7 +229,7 @@
             self.storage.save(ready.batch, self._written)
         for receiver, message in ready.messages:
             envelope = Envelope(self.id, receiver, message)
-            self.mesh.say(proxy_name(receiver), MessageKind.RAFT, envelope)
+            self.mesh.send(proxy_name(receiver), MessageKind.RAFT, envelope)
         self.backlog += [CommittedEntry(index, entry) for index, entry in ready.committed]
         for token in ready.failed_reads:
             query = self.pending.pop_query(token)
@@ -317,11 +317,11 @@
     def receive_request(self, sender: str, body: Any, own: bool = False) -> None:
         """Take a request where this replica leads; ``own``: it comes from this very process."""
         request = msgspec.convert(body, Request)
-        requester = Requester(sender, None if own else self.mesh.link)
+        requester = Requester(sender, None if own else self.mesh.current_link)
         if self.core is None or self.core.role != Role.LEADER:
             return self._reject(requester, request.number)
         if not self._allowed(request, requester):
-            self.mesh.count("not-allowed", sender)
+            self.mesh.count_drop("not-allowed", sender)
             return self.deliver_reply(requester, Reply(request.number, True, None))
         if self.pending.count_of(sender) >= MAX_PENDING_PER_PROXY:
             return self._reject(requester, request.number)
@@ -340,7 +340,7 @@
 
     def _allowed(self, request: Request, requester: Requester) -> bool:
         """Whether a request is well-formed and in the name of the process that sent it."""
-        incarnation = self.mesh.life if requester.link is None else requester.link.life
+        incarnation = self.mesh.incarnation if requester.link is None else requester.link.incarnation
         client = f"{requester.name}/{incarnation}"
         if request.kind == RequestKind.COMMAND:
             fields = request.fields
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -203,19 +203,19 @@
 class FakeMesh:
     """The part of a mesh that a replica uses, with one requester's link; keeps the replies."""
 
-    life = "0" * 16
+    incarnation = "0" * 16
 
     def __init__(self):
-        self.takers, self.counted, self.replies = {}, [], []
-        self.link = type("Link", (), {"life": "f" * 16})
+        self.handlers, self.counted, self.replies = {}, [], []
+        self.current_link = type("Link", (), {"incarnation": "f" * 16})
 
-    def count(self, code, who):
+    def count_drop(self, code, peer):
         self.counted.append(code)
 
     def reply(self, link, kind, body):
         self.replies.append(body)
 
-    def say(self, *_):
+    def send(self, *_):
         return True
 
 
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -13,10 +13,11 @@
 )
 from ivystack.balancing.placement import Placement
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
-from ivystack.duties.leases import KNOWN, VALUE, Leases
-from ivystack.duties.order import MARK, SlotOrder
-from ivystack.fleet.settings import Fleet
-from ivystack.mesh.link import MESSAGE
+from ivystack.duties.lease_table import MAX_VALUE_BYTES, LeaseTable
+from ivystack.duties.protocol import KNOWN_DUTIES
+from ivystack.duties.slot_order_duty import MARK_BYTES, OrderFault, SlotOrder
+from ivystack.fleet.config import FleetConfig
+from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
 from ivystack.model import FailureState, Server
 from ivystack.net.handover import MOST, State
 
@@ -55,9 +56,9 @@
     taker = proxy(0)
     named = zip(entries(32), [*rest, *pair], strict=True)
     taker.listed([{**one, "instanceId": node.name} for one, node in named], True)
-    assert SlotOrder(taker).take(agreed) == ""
-    assert SlotOrder(taker).take(agreed + 2 * server_hash(pair[0])) == "malformed"
-    assert len(agreed) == 32 * MARK
+    assert SlotOrder(taker).adopt(agreed) is None
+    assert SlotOrder(taker).adopt(agreed + 2 * server_hash(pair[0])) == OrderFault.MALFORMED
+    assert len(agreed) == 32 * MARK_BYTES
 
 
 def test_a_thousand_nodes_listed_are_all_homes_and_a_hand_over_tells_of_all():
@@ -104,7 +105,7 @@
 
 
 def test_the_agreed_state_of_a_thousand_proxies_fits_one_message():
-    leases = Leases(3_000_000)
+    leases = LeaseTable(3_000_000)
     machine = StateMachine(duty=leases)
     for number in range(MAX_SESSIONS):
         for turn in range(ANSWERS_PER_SESSION):
@@ -112,20 +113,20 @@
             ask = [who, 1000 + turn, "table", "set", row]
             machine.apply(msgspec.msgpack.encode(ask))
     assert len(machine.answers) == MAX_SESSIONS and len(machine.parts["table"].rows) == KeyValueTable.MAX_KEYS
-    assert len(machine.dump()) + len(KNOWN) * VALUE < MESSAGE
+    assert len(machine.dump()) + len(KNOWN_DUTIES) * MAX_VALUE_BYTES < MAX_MESSAGE_BYTES
 
 
 def test_links_of_a_member_go_by_the_number_of_proxies_and_what_descriptors_bear():
-    class Sheet:
+    class File:
         links, key_file, directory, times = None, "k", "d", None
 
         class group:  # noqa: N801
-            member = [type("M", (), {"name": "a", "address": "127.0.0.1:9", "zone": ""})]
+            members = [type("M", (), {"name": "a", "address": "127.0.0.1:9", "zone": ""})]
 
     def links(sockets, proxies):
-        fleet = Fleet(Sheet, "a", None)
-        assert fleet.spare(sockets, proxies) == sockets - fleet.links
-        return fleet.links
+        config = FleetConfig(File, "a", None)
+        assert config.reserve_links(sockets, proxies) == sockets - config.max_links
+        return config.max_links
 
     lines = []
     handler = logger.add(lines.append, level="WARNING")
