--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from ..net.deadlines import Deadline
+
 MOST = 64  # that wait at once
 AT_ONCE = 4  # commands from the oldest that waits on: the group keeps so many answers of each of us
 ANSWER = 1_000_000  # microseconds for one member to answer before another is asked
@@ -25,7 +27,7 @@
 
     def __init__(self, number: int, how: str, what: list, done: Callable, until: int):
         self.number, self.how, self.what, self.done, self.until = number, how, what, done, until
-        self.timer: list | None = None
+        self.timer: Deadline | None = None
         self.to = ""
         self.command = 0  # its number among our commands; 0: it is none
 
@@ -82,13 +84,13 @@
             if not self.send(asked):
                 self.leader = ""
                 wait = REST
-        asked.timer = self.deadlines.at(min(asked.until, now + wait), self.late, asked)
+        asked.timer = self.deadlines.call_at(min(asked.until, now + wait), self.late, asked)
 
     def send(self, asked: Asked) -> bool:
         body = (asked.number, asked.how, asked.what)
         if self.local is not None and asked.to == self.mesh.name:
             # In a turn of its own: the answer may come within the call.
-            self.deadlines.at(self.now(), self.local.asked, asked.to, body, True)
+            self.deadlines.call_at(self.now(), self.local.asked, asked.to, body, True)
             return True
         return self.mesh.say(asked.to, "ask", body)
 
@@ -115,11 +117,13 @@
             self.leader = frm
             return self.end(asked, True, what)
         self.leader = what if isinstance(what, str) and what in self.members and what != frm else ""
-        self.deadlines.drop(asked.timer)
+        if asked.timer is not None:
+            asked.timer.cancel()
         rest = REST // 10 if self.leader else int(REST * (1 + self.rng.random()))
-        asked.timer = self.deadlines.at(self.now() + rest, self.next, asked)
+        asked.timer = self.deadlines.call_at(self.now() + rest, self.next, asked)
 
     def end(self, asked: Asked, done: bool, what: Any) -> None:
-        self.deadlines.drop(asked.timer)
+        if asked.timer is not None:
+            asked.timer.cancel()
         self.open.pop(asked.number, None)
         asked.done(done, what)
--- a/ivystack/consensus/member.py
+++ b/ivystack/consensus/member.py
@@ -14,6 +14,7 @@
 from loguru import logger
 from msgspec import Meta
 
+from ..net.deadlines import Deadline
 from .core import LEADER, Core
 from .council import ident, name_of, next_config
 from .forms import DATA, Config, Entry, Install, Message, Snapshot, packed
@@ -51,7 +52,7 @@
         self.reading: dict[int, tuple[Asker, int, list]] = {}
         self.count = 0
         self.since = 0  # entries since the last snapshot
-        self.timer: list | None = None
+        self.timer: Deadline | None = None
         self.led = ""
         self.applied = 0
         self.backlog: list[tuple[int, Entry]] = []  # committed, to be applied in later turns
@@ -99,7 +100,7 @@
             logger.error("group: not a member code={} {}", fault.code, fault)
         self.off = fault.code
         if fault.code != "newer" and not self.stopped:
-            self.deadlines.at(self.now() + AGAIN, self.start)
+            self.deadlines.call_at(self.now() + AGAIN, self.start)
 
     def opened(self, store: Store, loaded: Loaded) -> None:
         if self.stopped:
@@ -129,7 +130,8 @@
         self.off = code
         self.release()
         self.core = None
-        self.deadlines.drop(self.timer)
+        if self.timer is not None:
+            self.timer.cancel()
 
     def hand_on(self) -> None:
         """A planned end has begun."""
@@ -139,7 +141,8 @@
 
     def stop(self) -> None:
         self.stopped = True
-        self.deadlines.drop(self.timer)
+        if self.timer is not None:
+            self.timer.cancel()
         self.core = None
         if self.store is not None:
             self.store.stop()
@@ -160,8 +163,9 @@
         if self.core is not None:
             self.guarded(self.carry_out)
         if self.core is not None:
-            self.deadlines.drop(self.timer)
-            self.timer = self.deadlines.at(self.core.wakes(), self.tick)
+            if self.timer is not None:
+                self.timer.cancel()
+            self.timer = self.deadlines.call_at(self.core.wakes(), self.tick)
 
     def tick(self) -> None:
         if self.core is not None:
@@ -269,7 +273,7 @@
         """Who is no member, or knows no leader, says so to all; the leader sees to it."""
         if self.stopped:
             return
-        self.deadlines.at(self.now() + KNOCK, self.knock)
+        self.deadlines.call_at(self.now() + KNOCK, self.knock)
         if self.core is None:
             return
         config, now = self.core.config, self.now()
--- a/ivystack/duties/run.py
+++ b/ivystack/duties/run.py
@@ -72,7 +72,7 @@
     def tick(self) -> None:
         if self.stopped:
             return
-        self.deadlines.at(self.now() + TICK, self.tick)
+        self.deadlines.call_at(self.now() + TICK, self.tick)
         now = self.now()
         self.lead(now)
         fresh = now - self.heard < STALE
--- a/ivystack/duties/trials.py
+++ b/ivystack/duties/trials.py
@@ -126,7 +126,7 @@
             done(False)
             connector.disconnect()
 
-        self.proxy.deadlines.at(self.proxy.now() + WAIT, late)
+        self.proxy.deadlines.call_at(self.proxy.now() + WAIT, late)
         connector = self.proxy.reactor.connectTCP(*address, Looking(done), timeout=WAIT / 1e6)
 
     def tell(self) -> dict[str, bool]:
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -16,6 +16,7 @@
 from twisted.internet import error
 from twisted.protocols.basic import Int32StringReceiver
 
+from ..net.deadlines import Deadline
 from .keys import DIGEST
 
 VERSION = 1  # of the greeting and of what follows it
@@ -61,7 +62,7 @@
         self.full = False  # the transport holds as much as we give it
         self.code: str | None = None
         self.at = 0  # when bytes came last
-        self.timer: list | None = None
+        self.timer: Deadline | None = None
 
     # Start.
 
@@ -70,7 +71,7 @@
         self.transport.bufferSize = 65_536  # bytes read in one go: bounds a turn
         self.transport.registerProducer(self, True)
         self.at = self.mesh.now()
-        self.timer = self.mesh.deadlines.at(self.at + GREET, self.slow_greeting)
+        self.timer = self.mesh.deadlines.call_at(self.at + GREET, self.slow_greeting)
         self.mesh.came(self)
         if self.dialed:
             self.greet()
@@ -109,8 +110,9 @@
 
     def is_up(self) -> None:
         self.up = True
-        self.mesh.deadlines.drop(self.timer)
-        self.timer = self.mesh.deadlines.at(self.mesh.now() + BEAT, self.beat)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.mesh.deadlines.call_at(self.mesh.now() + BEAT, self.beat)
         self.mesh.is_up(self)
 
     # Messages.
@@ -190,7 +192,7 @@
             return self.drop("silent")
         if not self.queue:
             self.write("", None)
-        self.timer = self.mesh.deadlines.at(now + BEAT, self.beat)
+        self.timer = self.mesh.deadlines.call_at(now + BEAT, self.beat)
 
     # End.
 
@@ -199,7 +201,8 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason) -> None:  # noqa: N802
-        self.mesh.deadlines.drop(self.timer)
+        if self.timer is not None:
+            self.timer.cancel()
         if self.code is None:
             self.code = "peer-closed" if reason.check(error.ConnectionDone) else "peer-reset"
         if self.greeted or self.code not in self.mesh.QUIET:
--- a/ivystack/mesh/mesh.py
+++ b/ivystack/mesh/mesh.py
@@ -16,6 +16,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import ClientFactory, ServerFactory
 
+from ..net.deadlines import Deadline
 from .keys import Keys
 from .link import MESSAGE, Link
 
@@ -76,7 +77,7 @@
         self.takers: dict[str, Callable[[str, Any], None]] = {}  # by a message's kind
         self.counts: dict[str, int] = {}  # what was dropped, since the last line about it
         self.total: dict[str, int] = {}
-        self.next_line: list | None = None
+        self.next_line: Deadline | None = None
         self.port = None
         self.refused = False  # our listening address could not be had
         self.link: Link | None = None  # whose message is being taken
@@ -100,7 +101,7 @@
             if not self.refused:
                 logger.warning("mesh: {}; tried again until it can", fault)
             self.refused = True
-            self.deadlines.at(self.now() + LET_GO, self.answer)
+            self.deadlines.call_at(self.now() + LET_GO, self.answer)
 
     def stop(self) -> None:
         self.stopped = True
@@ -132,7 +133,7 @@
         self.calling.discard(peer)
         failures = self.failures[peer] = self.failures.get(peer, 0) + 1
         rest = min(AGAIN[1], AGAIN[0] << min(failures - 1, 10))
-        self.deadlines.at(self.now() + int(rest * (0.5 + self.rng.random() / 2)), self.call, peer)
+        self.deadlines.call_at(self.now() + int(rest * (0.5 + self.rng.random() / 2)), self.call, peer)
 
     # Links.
 
@@ -220,7 +221,7 @@
         if self.next_line is None:
             logger.warning("mesh: dropped code={} from={}", code, who)
             self.counts.clear()
-            self.next_line = self.deadlines.at(self.now() + PERIOD, self.line)
+            self.next_line = self.deadlines.call_at(self.now() + PERIOD, self.line)
 
     def line(self) -> None:
         self.next_line = None
@@ -228,7 +229,7 @@
             words = " ".join(f"{code}={count}" for code, count in sorted(self.counts.items()))
             logger.warning("mesh: dropped since the last line: {}", words)
             self.counts.clear()
-            self.next_line = self.deadlines.at(self.now() + PERIOD, self.line)
+            self.next_line = self.deadlines.call_at(self.now() + PERIOD, self.line)
 
     def state(self) -> dict:
         """For operators."""
--- a/ivystack/net/admin.py
+++ b/ivystack/net/admin.py
@@ -12,6 +12,8 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.web.http import HTTPChannel, Request
 
+from .deadlines import Deadline
+
 BODY = 4_096  # bytes of a call's body that are read past; no call needs one
 
 
@@ -56,11 +58,13 @@
         super().__init__()
         self.admin = admin
         self.code: str | None = None
-        self.late: list | None = None
+        self.late: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.late = self.admin.deadlines.at(self.admin.now() + self.admin.WHOLE, self.drop, "half-a-call")
+        self.late = self.admin.deadlines.call_at(
+            self.admin.now() + self.admin.WHOLE, self.drop, "half-a-call"
+        )
         self.admin.came(self)
 
     def checkPersistence(self, request, version) -> bool:  # noqa: N802
@@ -72,7 +76,8 @@
 
     def connectionLost(self, reason) -> None:  # noqa: N802
         super().connectionLost(reason)
-        self.admin.deadlines.drop(self.late)
+        if self.late is not None:
+            self.late.cancel()
         self.admin.open.pop(self, None)
         logger.info("end admin code={}", self.code or "caller-closed")
 
--- a/ivystack/net/discovery.py
+++ b/ivystack/net/discovery.py
@@ -13,6 +13,7 @@
 from twisted.web.client import Agent
 
 from ..choice import Asking
+from .deadlines import Deadline
 
 PATH = b"http://%b:%d/v1/endpoints?stream=1&index=%d"
 
@@ -53,8 +54,8 @@
         self.body: Lines | None = None
         self.call = None
         self.since = now()  # when something was heard last, or a call begun
-        self.silence: list | None = None
-        self.next: list | None = None  # the deadline of the next call
+        self.silence: Deadline | None = None
+        self.next: Deadline | None = None  # the deadline of the next call
         self.stopped = False
 
     def known(self, listing: dict) -> None:
@@ -64,7 +65,8 @@
     def watch(self) -> None:
         if self.stopped or self.call is not None or self.body is not None:
             return
-        self.deadlines.drop(self.next)
+        if self.next is not None:
+            self.next.cancel()
         since = 0 if self.lacking else self.generation
         url = PATH % (self.address[0].encode(), self.address[1], since)
         self.heard()
@@ -86,9 +88,10 @@
             self.broke("refused" if reason.check(ConnectError) else reason.type.__name__)
 
     def heard(self) -> None:
-        self.deadlines.drop(self.silence)
+        if self.silence is not None:
+            self.silence.cancel()
         self.since = self.now()
-        self.silence = self.deadlines.at(self.since + self.SILENT, self.silent)
+        self.silence = self.deadlines.call_at(self.since + self.SILENT, self.silent)
 
     def silent(self) -> None:
         """Guards against a machine that vanished: its connection stays open and says nothing."""
@@ -116,7 +119,8 @@
         return new
 
     def broke(self, code: str) -> None:
-        self.deadlines.drop(self.silence)
+        if self.silence is not None:
+            self.silence.cancel()
         call, self.call = self.call, None
         if call is not None:
             call.cancel()
@@ -125,7 +129,9 @@
             body.transport.loseConnection()
         logger.info("end discovery generation={} code={}", self.generation, code)
         if not self.stopped:
-            self.next = self.deadlines.at(self.asking.failed(self.now(), self.since + self.TOLD), self.watch)
+            self.next = self.deadlines.call_at(
+                self.asking.failed(self.now(), self.since + self.TOLD), self.watch
+            )
 
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere from now on.  Its versions go on, so what is known stays known."""
--- a/ivystack/net/front.py
+++ b/ivystack/net/front.py
@@ -13,6 +13,7 @@
 from loguru import logger
 from twisted.internet.protocol import ServerFactory
 
+from .deadlines import Deadline
 from .ends import Ends
 from .relay import Relay, Upload
 from .reply import Failed, Rejected, Reply, Value
@@ -90,8 +91,8 @@
         self.asked = 0
         self.since = 0  # when it came, or was answered last
         self.heard = 0  # when bytes came last
-        self.half: list | None = None  # the deadline for a whole command
-        self.stuck: list | None = None  # the deadline for reading what we have written
+        self.half: Deadline | None = None  # the deadline for a whole command
+        self.stuck: Deadline | None = None  # the deadline for reading what we have written
         self.blocked = False  # the transport holds more than it could pass on
         self.reading = False  # more commands may lie behind the one just read
         self.upload: Upload | None = None  # the long write that is coming
@@ -101,7 +102,7 @@
         self.slot = self.front.clients.put(self)
         self.transport.registerProducer(self, True)
         self.since = self.heard = self.front.now()
-        self.half = self.front.deadlines.at(self.since + self.WHOLE, self.half_said)
+        self.half = self.front.deadlines.call_at(self.since + self.WHOLE, self.half_said)
         self.front.fresh[self] = None
         self.front.make_room()
 
@@ -112,7 +113,8 @@
         if self.front.draining and self.done():
             return self.retire(self.front.draining)
         if self.deaf or self.paused or self.between():
-            self.front.deadlines.drop(self.half)
+            if self.half is not None:
+                self.half.cancel()
             self.half = None
             return
         self.heard = self.front.now()
@@ -120,8 +122,9 @@
         if self in self.front.fresh:
             self.front.fresh.move_to_end(self)
         if self.half is None or self.upload is not None:  # of a long write each piece has that time
-            self.front.deadlines.drop(self.half)
-            self.half = self.front.deadlines.at(self.heard + self.WHOLE, self.half_said)
+            if self.half is not None:
+                self.half.cancel()
+            self.half = self.front.deadlines.call_at(self.heard + self.WHOLE, self.half_said)
 
     def half_said(self) -> None:
         """Guards the descriptors against clients that say nothing, or half a command and no more.  What they
@@ -137,7 +140,8 @@
 
     def received(self, args) -> None:
         self.front.idle.pop(self, None)
-        self.front.deadlines.drop(self.half)
+        if self.half is not None:
+            self.half.cancel()
         self.half = None
         if args and isinstance(args[-1], Given):
             upload, self.upload = self.upload, None
@@ -257,7 +261,8 @@
     def stop_reading(self) -> None:
         """The node of a long write takes no more for now."""
         self.read_no_more()
-        self.front.deadlines.drop(self.half)
+        if self.half is not None:
+            self.half.cancel()
         self.half = None
 
     def retire(self, code: str, halves: bool = False) -> None:
@@ -290,7 +295,8 @@
         del self.front.retiring[self]
         self.code = None
         self.blocked = False
-        self.front.deadlines.drop(self.stuck)
+        if self.stuck is not None:
+            self.stuck.cancel()
         self.stuck = None
         self.transport.registerProducer(self, True)
         if not self.asked:
@@ -322,7 +328,9 @@
 
     def watch_reading(self) -> None:
         if self.stuck is None:
-            self.stuck = self.front.deadlines.at(self.front.now() + self.PATIENCE, self.drop, "slow-reader")
+            self.stuck = self.front.deadlines.call_at(
+                self.front.now() + self.PATIENCE, self.drop, "slow-reader"
+            )
 
     # The transport's calls: more is written than it could pass on, or all of it has gone out.
 
@@ -335,7 +343,8 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         self.blocked = False
-        self.front.deadlines.drop(self.stuck)
+        if self.stuck is not None:
+            self.stuck.cancel()
         self.stuck = None
         if self.owed and isinstance(self.owed[0][0], Relay):
             self.owed[0][0].resume()
@@ -344,8 +353,10 @@
     def connectionLost(self, reason) -> None:  # noqa: N802
         self.deafen()  # what is read already and waits must not be taken any more
         self.front.ends.forget(self)
-        self.front.deadlines.drop(self.stuck)
-        self.front.deadlines.drop(self.half)
+        if self.stuck is not None:
+            self.stuck.cancel()
+        if self.half is not None:
+            self.half.cancel()
         self.front.lost(self, self.ended(reason, "client"))
 
 
@@ -376,7 +387,7 @@
         self.admit, self.begin, self.gone, self.cut, self.ready = admit, begin, gone, cut, ready
         self.knows(methods, tenants)
         self.most, self.held = most, memory // self.HELD
-        self.fitting: list | None = None
+        self.fitting: Deadline | None = None
         self.clients = Slots()
         self.fresh: OrderedDict[Client, None] = OrderedDict()  # nothing whole said yet; longest silent first
         self.idle: OrderedDict[Client, None] = OrderedDict()  # of the others; longest idle first
@@ -386,13 +397,14 @@
         self.refuses = False  # PING is answered no
         self.until = 0  # by when idle ones are to be closed
         self.halves = 0  # when commands that are not whole are given up
-        self.next: list | None = None  # the next slice's deadline
+        self.next: Deadline | None = None  # the next slice's deadline
         self.bytes = 0  # of values in hand
 
     def bound(self, most: int, memory: int) -> None:
         """Other bounds from now on: idle connections beyond them are closed in slices."""
         self.most, self.held = most, memory // self.HELD
-        self.deadlines.drop(self.fitting)
+        if self.fitting is not None:
+            self.fitting.cancel()
         self.fit()
 
     def fit(self) -> None:
@@ -400,8 +412,8 @@
         beyond = len(self.clients) - ending - len(self.retiring) - self.most
         going = [client for client in self.idle if client.between()][: min(self.EACH, max(0, beyond))]
         if going:
-            self.deadlines.at(self.now() + 1, self.part, going, False, "no-room")
-            self.fitting = self.deadlines.at(self.now() + self.SLICE, self.fit)
+            self.deadlines.call_at(self.now() + 1, self.part, going, False, "no-room")
+            self.fitting = self.deadlines.call_at(self.now() + self.SLICE, self.fit)
 
     def knows(self, methods: dict, tenants: dict) -> None:
         """The classes and tenants that commands may name from now on; requests that are held keep theirs."""
@@ -561,13 +573,15 @@
         self.draining, self.refuses = code, refuses
         self.until = self.now() + within
         self.halves = self.until + halves
-        self.deadlines.drop(self.next)
+        if self.next is not None:
+            self.next.cancel()
         self.slice()
 
     def keep(self) -> None:
         """The drain is over: nothing more is closed."""
         self.draining, self.refuses = "", False
-        self.deadlines.drop(self.next)
+        if self.next is not None:
+            self.next.cancel()
 
     def slice(self) -> None:
         now = self.now()
@@ -579,8 +593,8 @@
         if halves:
             going = [client for client in self.clients.values() if not client.owed]
         if going:  # a turn later, so that what has come to them by now is read first
-            self.deadlines.at(now + 1, self.part, going, halves)
-        self.next = self.deadlines.at(now + self.SLICE, self.slice)
+            self.deadlines.call_at(now + 1, self.part, going, halves)
+        self.next = self.deadlines.call_at(now + self.SLICE, self.slice)
 
     def part(self, going: list[Client], halves: bool, code: str = "") -> None:
         """Guards a request that crosses the end: one that has come meanwhile is served first."""
--- a/ivystack/net/handover.py
+++ b/ivystack/net/handover.py
@@ -22,6 +22,7 @@
 from ..choice import Balancer, Room
 from ..model import FailureState, Server, ServerState
 from . import listener
+from .deadlines import Deadline
 
 VERSION = 1  # of what is told; another one's is not understood
 MOST = 1 << 20  # bytes told: some hundred nodes are a tenth of it
@@ -232,7 +233,7 @@
         self.open: dict[LineReceiver, None] = {}
         self.left: list[Path] = []  # sockets that are still to be asked at
         self.then = None  # told the state, once
-        self.late: list | None = None
+        self.late: Deadline | None = None
 
     def ask(self, then) -> None:
         """Looks for an old process and tells `then` what it knows, or None; at the latest after `WAIT`."""
@@ -242,7 +243,7 @@
             self.left = sorted(found, key=lambda path: path.stat().st_mtime)[-self.FEW :]  # newest last
         except OSError as fault:
             logger.warning("handover: {}: {}", fault.strerror, self.folder)
-        self.late = self.deadlines.at(self.now() + self.WAIT, self.heard, None)
+        self.late = self.deadlines.call_at(self.now() + self.WAIT, self.heard, None)
         self.ask_next()
 
     def ask_next(self) -> None:
@@ -253,7 +254,8 @@
 
     def heard(self, state: State | None) -> None:
         then, self.then = self.then, None
-        self.deadlines.drop(self.late)
+        if self.late is not None:
+            self.late.cancel()
         if then is not None:
             then(state)
 
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -206,7 +206,7 @@
     def rest(self) -> None:
         """No accepts for a moment: what keeps them from being made would keep the reactor busy."""
         self.stopReading()
-        self.factory.deadlines.at(self.factory.now() + REST, self.go_on)
+        self.factory.deadlines.call_at(self.factory.now() + REST, self.go_on)
 
     def go_on(self) -> None:
         if not self.connected or self.disconnecting:
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -14,6 +14,7 @@
 
 from ..model import Attempt, Idempotency, Outcome
 from . import tables
+from .deadlines import Deadline
 from .relay import Relay, Upload
 from .resp import LONGEST, VALUE, Given, Resp, no_delay
 from .trace import trace
@@ -28,7 +29,7 @@
         self.attempt, self.frame, self.upload = attempt, frame, upload
         self.link: Link | None = None
         self.place: Place | None = None
-        self.until: list[list] = []  # its deadlines
+        self.until: list[Deadline] = []  # its deadlines
         self.last_byte = 0  # its place among all bytes written to its link
         self.over = False
         self.report: bytes | None = None  # the node's load, as it came with the answer
@@ -66,7 +67,7 @@
         super().__init__()
         self.nodes, self.place = nodes, place
         self.out: deque[Sending] = deque()  # in order; over already where nobody waits for its answer
-        self.deadline: list | None = None
+        self.deadline: Deadline | None = None
         self.carried = self.answers = 0
         self.up = False
         self.reading = False  # more may lie behind the answer just read
@@ -260,7 +261,7 @@
 
     def send(self, sending: Sending, name: str, until: int) -> None:
         place = sending.place = self.places[name]
-        sending.until.append(self.deadlines.at(until, self.out_of_time, sending))
+        sending.until.append(self.deadlines.call_at(until, self.out_of_time, sending))
         while place.idle:
             link = place.idle[0]
             self.no_longer_idle(link)
@@ -276,7 +277,7 @@
                 return self.write(min(fit, key=lambda link: len(link.out)), sending)
         place.waiting.append(sending)
         no_link = min(until, self.now() + self.connect_timeout, latest)
-        sending.until.append(self.deadlines.at(no_link, self.no_link_came, sending))
+        sending.until.append(self.deadlines.call_at(no_link, self.no_link_came, sending))
         self.open(place)
 
     def fits(self, link: Link) -> bool:
@@ -296,7 +297,7 @@
         link = Link(self, place)
         place.links[link] = None
         place.opening[link] = None
-        link.deadline = self.deadlines.at(self.now() + self.connect_timeout, self.give_up_opening, link)
+        link.deadline = self.deadlines.call_at(self.now() + self.connect_timeout, self.give_up_opening, link)
         connector = self.reactor.connectTCP(*place.address, Opening(link), timeout=None)
         if link in place.opening:  # it may have failed within the call
             place.opening[link] = connector
@@ -353,7 +354,7 @@
             link.drop(code)
         elif not any(other.over for other in others):  # else it is seen to already
             # Also where a connection takes one at a time by now: guards those that are on it from before.
-            link.deadline = self.deadlines.at(self.now() + self.LINGER, self.lingered, link, code)
+            link.deadline = self.deadlines.call_at(self.now() + self.LINGER, self.lingered, link, code)
         self.end(sending, outcome)
 
     def lingered(self, link: Link, code: str) -> None:
@@ -361,7 +362,7 @@
             # Guards the next request there: where one connection says nothing more, idle ones are no better.
             self.leave(link.place, "suspect")
             return link.drop(code)
-        link.deadline = self.deadlines.at(self.now() + self.LINGER, self.lingered, link, code)
+        link.deadline = self.deadlines.call_at(self.now() + self.LINGER, self.lingered, link, code)
 
     def end(self, sending: Sending, outcome: str, value: bytes | None = None) -> None:
         if sending.over:
@@ -371,7 +372,7 @@
             link = sending.link.slot if sending.link else "none"
             trace.step(sending.frame.ident, "ended", node=sending.place.name, link=link, outcome=outcome)
         for deadline in sending.until:
-            self.deadlines.drop(deadline)
+            deadline.cancel()
         if sending.link is None:
             sending.place.waiting.remove(sending)
         if sending.upload is not None and sending.partial():
@@ -381,14 +382,15 @@
     def through(self, sending: Sending, until: int) -> None:
         """A long write has gone out whole: its time counts from now."""
         for deadline in sending.until:
-            self.deadlines.drop(deadline)
-        sending.until = [self.deadlines.at(until, self.out_of_time, sending)]
+            deadline.cancel()
+        sending.until = [self.deadlines.call_at(until, self.out_of_time, sending)]
 
     # What happens on links.
 
     def came_up(self, link: Link) -> None:
         link.place.opening.pop(link, None)
-        self.deadlines.drop(link.deadline)
+        if link.deadline is not None:
+            link.deadline.cancel()
         self.free(link)
 
     def free(self, link: Link) -> None:
@@ -409,12 +411,13 @@
             return link.close("unlisted")
         place.idle.append(link)
         self.resting[link] = None
-        link.deadline = self.deadlines.at(self.now() + self.idle, self.idle_too_long, link)
+        link.deadline = self.deadlines.call_at(self.now() + self.idle, self.idle_too_long, link)
 
     def no_longer_idle(self, link: Link) -> None:
         if self.resting.pop(link, self) is None:
             link.place.idle.remove(link)
-        self.deadlines.drop(link.deadline)
+        if link.deadline is not None:
+            link.deadline.cancel()
 
     def idle_too_long(self, link: Link) -> None:
         self.no_longer_idle(link)
@@ -459,7 +462,8 @@
         link.place.broke = 0
         early = sending.partial()
         if not any(other.over for other in link.out):
-            self.deadlines.drop(link.deadline)
+            if link.deadline is not None:
+                link.deadline.cancel()
         if outcome in (Outcome.SUCCEEDED, Outcome.CACHE_MISS):
             sending.report, sending.hit = value[2], value[1] in ("hit", b"hit")
         if not sending.over:
@@ -495,7 +499,7 @@
             return
         if passed == relay.passed and not link.paused:
             return link.drop("stalled")
-        self.deadlines.at(self.now() + self.STALLS, self.stalled, link, relay, relay.passed)
+        self.deadlines.call_at(self.now() + self.STALLS, self.stalled, link, relay, relay.passed)
 
     def unwanted(self, link: Link) -> None:
         """The client has gone in the middle of a long answer."""
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -34,6 +34,7 @@
 )
 from ..settings import Run, address, doubtful
 from .admin import Admin
+from .deadlines import Deadline, DeadlineQueue
 from .discovery import Discovery
 from .front import Frame, Front
 from .handover import Handover, State, adopt, take, told
@@ -43,7 +44,7 @@
 from .relay import Upload
 from .reply import Failed, Rejected, Reply, Value
 from .resp import SHORT
-from .tables import Clock, Deadlines, Slots
+from .tables import Clock, Slots
 from .trace import trace
 
 STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
@@ -69,8 +70,8 @@
         self.still_there = still_there
         self.request, self.frame, self.reply, self.slot = request, frame, reply, -1
         self.upload, self.wait = upload, wait
-        self.last_call: list | None = None
-        self.place_by: list | None = None  # a long write's deadline for going anywhere
+        self.last_call: Deadline | None = None
+        self.place_by: Deadline | None = None  # a long write's deadline for going anywhere
 
 
 class Proxy:
@@ -91,13 +92,13 @@
     def __init__(self, run: Run, reactor, now=None):
         self.run, self.reactor, self.now = run, reactor, now or Clock()
         self.settings, self.balancer = run.settings, run.settings.balancer
-        self.deadlines = Deadlines(reactor, self.now)
+        self.deadlines = DeadlineQueue(reactor, self.now)
         self.requests = Slots()
         self.held: dict[Request, Held] = {}
         self.sendings: dict[Attempt, Sending] = {}
         self.ends: deque[tuple[Attempt, Outcome, dict, bool]] = deque()  # outcomes still to be told
         self.settling = False
-        self.alarm: list | None = None
+        self.alarm: Deadline | None = None
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
         self.nodes = Nodes(
             reactor, self.deadlines, self.now, self.ended, run.sockets, run.idle, run.connect_timeout,
@@ -214,7 +215,7 @@
         except CannotListenError:
             if self.run.fd is None:
                 raise
-            self.deadlines.at(self.now() + self.LET_GO, self.talk, host, port)
+            self.deadlines.call_at(self.now() + self.LET_GO, self.talk, host, port)
 
     def reload(self, run: Run) -> None:
         """A new configuration: all of its settings, discovery and the peers count at once, the rest with a
@@ -233,7 +234,7 @@
         if former:
             last = max((held.request.deadline for held in self.held.values()), default=0)
             over = max(last, self.now()) + 2 * self.LAST  # by then none of their requests is left
-            self.deadlines.at(over, self.settings.forget, former)
+            self.deadlines.call_at(over, self.settings.forget, former)
         self.peers.at(run.peers)
         self.discovery.move(run.discovery)
         self.settle()
@@ -256,7 +257,7 @@
         self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
         if inherited:
             self.peers.leave()
-        self.deadlines.at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
+        self.deadlines.call_at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
 
     def stop_taking(self) -> None:
         if self.port is not None:
@@ -273,7 +274,7 @@
 
     def finish(self) -> None:
         if self.requests or self.front.clients:
-            self.deadlines.at(self.now() + 10_000, self.finish)
+            self.deadlines.call_at(self.now() + 10_000, self.finish)
         else:
             logger.info("stop")
             self.discovery.stop()
@@ -322,7 +323,7 @@
         held.slot = self.requests.put(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
-        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
+        held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
         return held.slot
 
     def begin_on(self, slot: int) -> None:
@@ -345,8 +346,9 @@
         attempt = request.attempts[-1]
         attempt.sent_at, attempt.timeout_at = now, self.balancer.end(request)
         self.nodes.through(self.sendings[attempt], attempt.timeout_at)
-        self.deadlines.drop(held.last_call)
-        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
+        if held.last_call is not None:
+            held.last_call.cancel()
+        held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
 
     def cut(self, upload: Upload) -> None:
         """A long write will never come whole."""
@@ -370,8 +372,10 @@
 
     def close(self, held: Held) -> None:
         held.request.concluded = True
-        self.deadlines.drop(held.last_call)
-        self.deadlines.drop(held.place_by)
+        if held.last_call is not None:
+            held.last_call.cancel()
+        if held.place_by is not None:
+            held.place_by.cancel()
         del self.held[held.request]
         self.requests.drop(held.slot)
 
@@ -442,7 +446,8 @@
 
     def send(self, request: Request, server: Server, timeout_at: int) -> None:
         attempt, held = request.attempts[-1], self.held[request]
-        self.deadlines.drop(held.place_by)
+        if held.place_by is not None:
+            held.place_by.cancel()
         sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
         if trace.enabled:
             number, left = len(request.attempts), (timeout_at - self.now()) // 1000
@@ -461,8 +466,8 @@
         """A long write's time has not begun: what the decisions give one to find a place is given here."""
         if held is None or held.upload is None or held.upload.whole or held.request.partly_sent:
             return
-        if held.place_by is None or held.place_by[2] is None:
-            held.place_by = self.deadlines.at(self.now() + held.wait // 8, self.no_place, held)
+        if held.place_by is None or not held.place_by.is_pending:
+            held.place_by = self.deadlines.call_at(self.now() + held.wait // 8, self.no_place, held)
 
     def no_place(self, held: Held) -> None:
         if all(attempt.outcome for attempt in held.request.attempts):
@@ -524,9 +529,10 @@
             self.settling = False
         if wakeup.delay is not None:
             at = now + max(wakeup.delay, 1)
-            if self.alarm is None or self.alarm[2] is None or at < self.alarm[0]:
-                self.deadlines.drop(self.alarm)
-                self.alarm = self.deadlines.at(at, self.wake)
+            if self.alarm is None or not self.alarm.is_pending or at < self.alarm.due_at:
+                if self.alarm is not None:
+                    self.alarm.cancel()
+                self.alarm = self.deadlines.call_at(at, self.wake)
 
     def wake(self) -> None:
         self.alarm = None
--- a/ivystack/net/relay.py
+++ b/ivystack/net/relay.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from .deadlines import Deadline
 from .resp import VALUE
 
 
@@ -91,7 +92,7 @@
         self.whole = False  # and has gone to the node
         self.over = False  # the rest is thrown away
         self.kept: list[bytes] = []  # pieces that came before there was a connection
-        self.stuck: list | None = None
+        self.stuck: Deadline | None = None
 
     # From the client's side.
 
@@ -151,7 +152,8 @@
         if link is not None:
             link.transport.bufferSize = VALUE
             link.transport.unregisterProducer()
-            link.nodes.deadlines.drop(self.stuck)
+            if self.stuck is not None:
+                self.stuck.cancel()
             self.stuck = None
 
     def broke(self) -> None:
@@ -162,12 +164,13 @@
 
     def pauseProducing(self) -> None:  # noqa: N802
         nodes = self.link.nodes
-        self.stuck = nodes.deadlines.at(nodes.now() + nodes.STALLS, self.link.drop, "stalled")
+        self.stuck = nodes.deadlines.call_at(nodes.now() + nodes.STALLS, self.link.drop, "stalled")
         self.hold()
 
     def resumeProducing(self) -> None:  # noqa: N802
         if self.link is not None:
-            self.link.nodes.deadlines.drop(self.stuck)
+            if self.stuck is not None:
+                self.stuck.cancel()
             self.stuck = None
             self.read_on()
 
--- a/ivystack/rig/agree.py
+++ b/ivystack/rig/agree.py
@@ -13,7 +13,7 @@
 from ..consensus.client import Client
 from ..mesh.keys import Keys
 from ..mesh.mesh import Mesh
-from ..net.tables import Deadlines
+from ..net.deadlines import DeadlineQueue
 from .linear import Op
 
 NAME, LIAR = "rig", "liar"  # the second one has links while it lies alone
@@ -28,7 +28,7 @@
         rate: float, count: int,
     ):  # fmt: skip
         self.reactor, self.now, self.rng, self.rate, self.count = reactor, now, rng, rate, count
-        deadlines = Deadlines(reactor, now)
+        deadlines = DeadlineQueue(reactor, now)
         self.mesh, self.liar = (
             Mesh(reactor, deadlines, now, rng, name, keys, LINKS, members, None, bind)
             for name in (NAME, LIAR)
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -135,7 +135,7 @@
     def pass_by(self, microseconds: int) -> None:
         def moved():
             self.at += microseconds
-            self.proxy.deadlines.fire()
+            self.proxy.deadlines.run_due()
 
         self.turn(moved)
 
@@ -158,7 +158,7 @@
                 self.proxy.port.stopListening()
             self.proxy.discovery.stop()
             self.proxy.deadlines.heap.clear()
-            self.proxy.deadlines.at = lambda *_: None
+            self.proxy.deadlines.call_at = lambda *_: None
 
         self.turn(end)
 
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -61,7 +61,7 @@
     def passes(self, microseconds: int) -> None:
         """What the clock calls for once so much time has passed, in the turn that this is called in."""
         self.moment.at += microseconds
-        self.proxy.deadlines.fire()
+        self.proxy.deadlines.run_due()
 
     def served(self) -> str:
         """Whether the request gets the value made for it; what became of it otherwise."""
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -129,7 +129,7 @@
     """Both ends of a connection, not yet begun, caller first; `heard(end, kind, body)` is told messages."""
     from ivystack.mesh.keys import Keys
     from ivystack.mesh.mesh import Called, Calling, Mesh
-    from ivystack.net.tables import Deadlines
+    from ivystack.net.deadlines import DeadlineQueue
 
     clock = MemoryReactorClock()
     clock.advance(1000)
@@ -141,7 +141,7 @@
             return round(clock.seconds() * 1_000_000)
 
         mesh = Mesh(
-            clock, Deadlines(clock, now), now, Random(1), name, Keys({"k1": MESH_KEY}), 512, members, None
+            clock, DeadlineQueue(clock, now), now, Random(1), name, Keys({"k1": MESH_KEY}), 512, members, None
         )
         mesh.life = life
         for kind in mesh_bodies():
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -18,7 +18,7 @@
 from ivystack.mesh import mesh as meshes
 from ivystack.mesh.keys import KeyFileError, Keys, read, write
 from ivystack.mesh.mesh import Mesh
-from ivystack.net.tables import Deadlines
+from ivystack.net.deadlines import DeadlineQueue
 from ivystack.settings import FaultError
 
 MEMBERS = {"a": ("127.0.0.1", 1), "b": ("127.0.0.2", 2)}
@@ -57,7 +57,7 @@
         self.got = []
         self.meshes = []
         for name, own in zip(names, keys, strict=True):
-            deadlines = Deadlines(self.clock, self.now)
+            deadlines = DeadlineQueue(self.clock, self.now)
             made = Mesh(self.clock, deadlines, self.now, Random(1), name, Keys(own), 512, MEMBERS, None)
             made.takers["x"] = lambda peer, body, name=name: self.got.append((name, peer, body))
             self.meshes.append(made)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -393,9 +393,9 @@
     made.turn(made.proxy.nodes.tune, 10_000_000, 250_000, 1)
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
     made.until(lambda: len(made.proxy.sendings) == len(asking))
-    before = made.turn(lambda: made.proxy.deadlines.count)
+    before = made.turn(lambda: made.proxy.deadlines.scheduled)
     made.pass_by(made.proxy.nodes.LINGER)
-    assert made.turn(lambda: made.proxy.deadlines.count) - before < 20  # no round after round of nothing
+    assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(hit(b"late") + hit(b"receipt"))
     assert paying.take() == b"receipt"
 
@@ -482,7 +482,7 @@
     def turn():  # the answer is in the kernel when the deadline is due
         to_node.send(hit(b"late"))
         made.at += 1_000_000
-        made.proxy.deadlines.fire()
+        made.proxy.deadlines.run_due()
 
     made.turn(turn)
     assert asking.take() == "-BUSY"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,7 +7,8 @@
 from ivystack.model import Outcome, Request, ServerState
 from ivystack.net.front import Frame
 from ivystack.net.resp import VALUE, Resp, bulk, command
-from ivystack.net.tables import Deadlines, Slots
+from ivystack.net.deadlines import DeadlineQueue
+from ivystack.net.tables import Slots
 from ivystack.settings import Settings
 
 
@@ -438,11 +439,11 @@
 def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
     made = proxy()
     reactor, seen = made.reactor, []
-    deadlines = Deadlines(reactor, made.now)
+    deadlines = DeadlineQueue(reactor, made.now)
     for after in (3, 1, 2):
-        deadlines.at(made.now() + after * S, seen.append, after)
-    deadlines.drop(deadlines.at(made.now() + S, seen.append, "dropped"))
-    deadlines.at(made.now() + S, lambda: 1 / 0)
+        deadlines.call_at(made.now() + after * S, seen.append, after)
+    deadlines.call_at(made.now() + S, seen.append, "dropped").cancel()
+    deadlines.call_at(made.now() + S, lambda: 1 / 0)
     reactor.pump([0.5] * 7)
     assert seen == [1, 2, 3]
 
@@ -450,16 +451,16 @@
 def test_dropped_deadlines_do_not_pile_up():
     made = proxy()
     seen = []
-    deadlines = Deadlines(made.reactor, made.now)
-    kept = deadlines.at(made.now() + 2 * S, seen.append, 1)
-    for _ in range(5 * deadlines.MANY):
-        deadlines.drop(deadlines.at(made.now() + 60 * S, seen.append, 2))
-    assert len(deadlines.heap) < 2 * deadlines.MANY + 2
+    deadlines = DeadlineQueue(made.reactor, made.now)
+    kept = deadlines.call_at(made.now() + 2 * S, seen.append, 1)
+    for _ in range(5 * deadlines.MAX_CANCELLED):
+        deadlines.call_at(made.now() + 60 * S, seen.append, 2).cancel()
+    assert len(deadlines.heap) < 2 * deadlines.MAX_CANCELLED + 2
     made.reactor.pump([1.5, 1])
     assert seen == [1]
-    deadlines.drop(kept)  # one that is over counts no more
+    kept.cancel()  # one that is over counts no more
     made.reactor.advance(60)
-    assert deadlines.dropped == len(deadlines.heap) == 0
+    assert deadlines.cancelled == len(deadlines.heap) == 0
 
 
 def test_a_silent_watch_is_begun_anew():
@@ -741,7 +742,7 @@
     # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
     made = proxy()
     waits = []
-    made.discovery.deadlines.at = lambda at, *_: waits.append(at - made.now())
+    made.discovery.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
     for mode in ("push", "ask"):
         settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
         made.settings.take(settings)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from ivystack.net.discovery import Discovery
-from ivystack.net.tables import Deadlines
+from ivystack.net.deadlines import DeadlineQueue
 from ivystack.settings import Settings
 
 TOLD = 6 * S
@@ -81,7 +81,7 @@
     start = round(reactor.seconds() * S)
     rules = {"ask_within": 10**10, "stop_sending_within": grace * 10**6}
     settings = Settings(seed, {"discovery": mode, "rules": rules})
-    deadlines, news = Deadlines(reactor, lambda: round(reactor.seconds() * S)), []
+    deadlines, news = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S)), []
     agent = Agent(reactor, kinds, start + back_at)
     made = Discovery(
         reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1),
@@ -132,7 +132,7 @@
     reactor, calls = Reactor(), []
     reactor.advance(1000)
     settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
-    deadlines = Deadlines(reactor, lambda: round(reactor.seconds() * S))
+    deadlines = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S))
     made = Discovery(reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1), None)
     made.watch = lambda: calls.append(deadlines.now())
     silent = deadlines.now()
