--- a/ivystack/net/front.py
+++ b/ivystack/net/front.py
@@ -18,7 +18,7 @@
 from .relay import Relay, Upload
 from .reply import Failed, Rejected, Reply, Value
 from .resp import LONGEST, PARTS, VALUE, Given, Resp, bulk, no_delay
-from .tables import Slots
+from .slot_table import SlotTable
 from .trace import trace
 
 PONG, OK, BUSY, FAILED = b"+PONG\r\n", b"+OK\r\n", b"-BUSY\r\n", b"-ERR failed\r\n"
@@ -99,7 +99,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         no_delay(self.transport)
-        self.slot = self.front.clients.put(self)
+        self.slot = self.front.clients.add(self)
         self.transport.registerProducer(self, True)
         self.since = self.heard = self.front.now()
         self.half = self.front.deadlines.call_at(self.since + self.WHOLE, self.half_said)
@@ -388,7 +388,7 @@
         self.knows(methods, tenants)
         self.most, self.held = most, memory // self.HELD
         self.fitting: Deadline | None = None
-        self.clients = Slots()
+        self.clients: SlotTable[Client] = SlotTable()
         self.fresh: OrderedDict[Client, None] = OrderedDict()  # nothing whole said yet; longest silent first
         self.idle: OrderedDict[Client, None] = OrderedDict()  # of the others; longest idle first
         self.retiring: dict[Client, bool] = {}  # to be closed unless more comes; also with half a command
@@ -542,7 +542,7 @@
         self.idle.pop(client, None)
         self.fresh.pop(client, None)
         self.retiring.pop(client, None)
-        self.clients.drop(client.slot)
+        self.clients.remove(client.slot)
         still = [place[3] for place in client.owed if place[0] is None]
         logger.info(
             "end client={} asked={} open={} code={}{}", client.slot, client.asked, len(still), code,
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -13,10 +13,11 @@
 from twisted.internet.protocol import ClientFactory
 
 from ..model import Attempt, Idempotency, Outcome
-from . import tables
+
 from .deadlines import Deadline
 from .relay import Relay, Upload
 from .resp import LONGEST, VALUE, Given, Resp, no_delay
+from .slot_table import SlotTable
 from .trace import trace
 
 
@@ -75,7 +76,7 @@
         self.busy_at = -Nodes.DOUBT  # when it last turned an attempt away
         self.relay: Relay | None = None  # the long answer that is being passed on
         self.written = 0  # bytes that were given to the transport for attempts
-        self.slot = nodes.links.put(self)
+        self.slot = nodes.links.add(self)
 
     def send(self, parts: list[bytes]) -> None:
         """Writes now, not in the reactor's next turn: what is decided there may end the attempt."""
@@ -194,7 +195,7 @@
         self.ended = ended  # told of each attempt's outcome, once, never from within `send`
         self.relaying: dict[Link, Relay] = {}
         self.tune(idle, connect_timeout, deep, aside)
-        self.links = tables.Slots()
+        self.links: SlotTable[Link] = SlotTable()
         self.places: dict[str, Place] = {}
         self.resting: OrderedDict[Link, None] = OrderedDict()  # idle ones, longest first
         self.bound(sockets, memory)
@@ -536,7 +537,7 @@
         place.links.pop(link, None)
         failed = link in place.opening
         place.opening.pop(link, None)
-        self.links.drop(link.slot)
+        self.links.remove(link.slot)
         logger.info("end node={} link={} carried={} code={}", place.name, link.slot, link.carried, code)
         if any(not sending.over for sending in link.out):
             # Guards against taking a kept connection's end for the node's: the first tells nothing of it, but
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -34,6 +34,7 @@
 )
 from ..settings import Run, address, doubtful
 from .admin import Admin
+from .clock import WallAnchoredClock
 from .deadlines import Deadline, DeadlineQueue
 from .discovery import Discovery
 from .front import Frame, Front
@@ -44,7 +45,7 @@
 from .relay import Upload
 from .reply import Failed, Rejected, Reply, Value
 from .resp import SHORT
-from .tables import Clock, Slots
+from .slot_table import SlotTable
 from .trace import trace
 
 STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
@@ -90,10 +91,10 @@
     LONGEST, UNTIL_KILL, HELD_UP = 3_000_000, 700_000, 150_000
 
     def __init__(self, run: Run, reactor, now=None):
-        self.run, self.reactor, self.now = run, reactor, now or Clock()
+        self.run, self.reactor, self.now = run, reactor, now or WallAnchoredClock()
         self.settings, self.balancer = run.settings, run.settings.balancer
         self.deadlines = DeadlineQueue(reactor, self.now)
-        self.requests = Slots()
+        self.requests: SlotTable[Held] = SlotTable()
         self.held: dict[Request, Held] = {}
         self.sendings: dict[Attempt, Sending] = {}
         self.ends: deque[tuple[Attempt, Outcome, dict, bool]] = deque()  # outcomes still to be told
@@ -320,7 +321,7 @@
         if upload is not None:
             upload.request, upload.through = request, self.through
             upload.rest = max(1, (self.balancer.end(request) - arrives) // 1000)
-        held.slot = self.requests.put(held)
+        held.slot = self.requests.add(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
         held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
@@ -377,7 +378,7 @@
         if held.place_by is not None:
             held.place_by.cancel()
         del self.held[held.request]
-        self.requests.drop(held.slot)
+        self.requests.remove(held.slot)
 
     def answer(self, request: Request, reply: Reply) -> None:
         """The request's one final answer."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,7 +8,7 @@
 from ivystack.net.front import Frame
 from ivystack.net.resp import VALUE, Resp, bulk, command
 from ivystack.net.deadlines import DeadlineQueue
-from ivystack.net.tables import Slots
+from ivystack.net.slot_table import SlotTable
 from ivystack.settings import Settings
 
 
@@ -429,11 +429,11 @@
 
 
 def test_slots_are_used_again_lowest_first():
-    slots = Slots()
-    assert [slots.put(what) for what in "abc"] == [0, 1, 2]
-    slots.drop(2)
-    slots.drop(0)
-    assert [slots.put(what) for what in "de"] == [0, 2] and slots[0] == "d"
+    slots = SlotTable()
+    assert [slots.add(what) for what in "abc"] == [0, 1, 2]
+    slots.remove(2)
+    slots.remove(0)
+    assert [slots.add(what) for what in "de"] == [0, 2] and slots[0] == "d"
 
 
 def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
