--- a/ivystack/duties/trials.py
+++ b/ivystack/duties/trials.py
@@ -92,15 +92,15 @@
 
     def look(self, now: int, held: Callable[[], bool]) -> None:
         """The holder's round; `held` is asked right before each look."""
-        balancer, places = self.proxy.balancer, self.proxy.nodes.places
+        balancer, pools = self.proxy.balancer, self.proxy.server_pools.pools
         self.wanted = {name: until for name, until in self.wanted.items() if until > now}
         self.looked = {name: one for name, one in self.looked.items() if now - one[1] < WANTED}
         for name in dict.fromkeys([*self.down(), *self.wanted]):
-            node, place = balancer.servers.get(name), places.get(name)
+            node, pool = balancer.servers.get(name), pools.get(name)
             # Nothing goes to a node that drains or has left, not even a look.
             if (
                 node is None
-                or place is None
+                or pool is None
                 or node.state != ServerState.READY
                 or len(self.looking) >= AT_ONCE
             ):
@@ -110,7 +110,7 @@
                 continue
             self.looked[name] = count + 1, now + (EVERY << min(count, 2))
             self.looks += 1
-            self.one(name, place.address)
+            self.one(name, pool.address)
 
     def one(self, name: str, address: tuple[str, int]) -> None:
         self.looking.add(name)
--- a/ivystack/net/deadlines.py
+++ b/ivystack/net/deadlines.py
@@ -35,7 +35,7 @@
     __slots__ = ("due_at", "_call", "_arguments", "_queue")
 
     def __init__(
-        self, queue: DeadlineQueue, due_at: int, call: Callable[..., object], arguments: tuple[Any, ...]
+        self, queue: DeadlineQueue, due_at: float, call: Callable[..., object], arguments: tuple[Any, ...]
     ) -> None:
         self.due_at = due_at
         self._queue = queue
@@ -73,14 +73,14 @@
 
     def __init__(self, reactor: TimerReactor, now: Callable[[], int]) -> None:
         self.reactor, self.now = reactor, now
-        self.heap: list[tuple[int, int, Deadline]] = []  # due time, scheduling number, deadline
+        self.heap: list[tuple[float, int, Deadline]] = []  # due time, scheduling number, deadline
         self.scheduled = 0  # calls, since the start
         self.cancelled = 0  # entries still on the heap
         self._timer: Timer | None = None
-        self._timer_at = 0
+        self._timer_at: float = 0
         self._sockets_read = False  # since the present stall was noticed
 
-    def call_at(self, due_at: int, call: Callable[..., object], *arguments: Any) -> Deadline:
+    def call_at(self, due_at: float, call: Callable[..., object], *arguments: Any) -> Deadline:
         """Schedule `call(*arguments)` for `due_at`; a time that has passed means the reactor's next turn."""
         self.scheduled += 1
         deadline = Deadline(self, due_at, call, arguments)
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -39,12 +39,14 @@
 from .discovery import Discovery
 from .front import Frame, Front
 from .handover import Handover, State, adopt, take, told
+from .in_flight_attempt import InFlightAttempt
 from .listener import ClientListener, listen
-from .nodes import Nodes, Sending
 from .peers import Peers
-from .relay import Upload
+from .relay import Relay, Upload
 from .reply import Failed, Rejected, Reply, Value
 from .resp import SHORT
+from .server_pool import PoolSettings
+from .server_pools import ServerPools
 from .slot_table import SlotTable
 from .trace import trace
 
@@ -96,16 +98,16 @@
         self.deadlines = DeadlineQueue(reactor, self.now)
         self.requests: SlotTable[Held] = SlotTable()
         self.held: dict[Request, Held] = {}
-        self.sendings: dict[Attempt, Sending] = {}
+        self.in_flight: dict[Attempt, InFlightAttempt] = {}
         self.ends: deque[tuple[Attempt, Outcome, dict, bool]] = deque()  # outcomes still to be told
         self.settling = False
         self.alarm: Deadline | None = None
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
-        self.nodes = Nodes(
-            reactor, self.deadlines, self.now, self.ended, run.sockets, run.idle, run.connect_timeout,
-            self.deep(), self.aside(), run.memory // Front.HELD, self.wanted,
+        self.server_pools = ServerPools(
+            reactor, self.deadlines, self.now, self.pool_settings(run), run.sockets,
+            run.memory // Front.HELD, self.ended, self.wanted,
         )  # fmt: skip
-        most = run.sockets - self.nodes.most - Front.SPARE
+        most = run.sockets - self.server_pools.max_connections - Front.SPARE
         self.front = Front(
             reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
             self.settings.request_classes, self.settings.tenants, most, run.memory,
@@ -186,16 +188,17 @@
         """What the next process is told."""
         kinds = {place: name for name, place in self.settings.kinds.items()}
         listed = {ServerState.READY: "SERVING", ServerState.DRAINING: "DRAINING"}
+        pools = self.server_pools.pools
         instances = [
             {
-                "instanceId": node.name, "hostPort": "{}:{}".format(*self.nodes.places[node.name].address),
+                "instanceId": node.name, "hostPort": "{}:{}".format(*pools[node.name].address),
                 "zone": node.zone, "machineType": kinds.get(node.kind), "cell": node.cell,
                 "lifecycle": listed[node.state], "startedAtMs": node.started_at // 1000,
                 # Live ones are no sizes: the list tells them anew each second.
                 "weight": None if self.balancer.live else node.weight,
             }
             for node in self.balancer.servers.values()
-            if node.state in listed and node.name in self.nodes.places
+            if node.state in listed and node.name in pools
         ]  # fmt: skip
         return told(self.balancer, self.settings.request_classes, self.discovery.generation, instances)
 
@@ -203,8 +206,8 @@
         """Another process is there, or has gone: together they keep within the bounds of one."""
         logger.info("handover two={}", two)
         sockets, memory = (of // 2 if two else of for of in self.limits)
-        self.nodes.bound(sockets, memory // Front.HELD)
-        self.front.bound(max(Front.EACH, sockets - self.nodes.most - Front.SPARE), memory)
+        self.server_pools.set_limits(sockets, memory // Front.HELD)
+        self.front.bound(max(Front.EACH, sockets - self.server_pools.max_connections - Front.SPARE), memory)
 
     def talk(self, host: str, port: int) -> None:
         """Takes the address for datagrams.  In an upgrade the old process has it until it is told to end: no
@@ -227,7 +230,7 @@
         former = self.settings.take(run.settings)
         run.settings, self.run = self.settings, run
         self.front.knows(self.settings.request_classes, self.settings.tenants)
-        self.nodes.tune(run.idle, run.connect_timeout, self.deep(), self.aside())
+        self.server_pools.configure(self.pool_settings(run))
         logger.info(
             "configuration taken discovery={}:{} classes={} changed={}", *run.discovery,
             len(self.settings.request_classes), len(former),
@@ -240,11 +243,10 @@
         self.discovery.move(run.discovery)
         self.settle()
 
-    def deep(self) -> int:
-        return self.settings.streams if self.settings.may_duplicate else 1
-
-    def aside(self) -> bool:
-        return self.balancer.origin_kind >= 0
+    def pool_settings(self, run: Run) -> PoolSettings:
+        max_in_flight = self.settings.streams if self.settings.may_duplicate else 1
+        cache_aside = self.balancer.origin_kind >= 0
+        return PoolSettings(run.idle, run.connect_timeout, max_in_flight, cache_aside)
 
     def terminate(self) -> None:
         """A planned end: serve a little longer, then finish what is held."""
@@ -279,7 +281,7 @@
         else:
             logger.info("stop")
             self.discovery.stop()
-            self.nodes.stop()
+            self.server_pools.mark_stopping()
             self.reactor.stop()
 
     # The operators' calls.
@@ -346,7 +348,7 @@
         request.arrived_at, request.deadline = now, now + held.wait
         attempt = request.attempts[-1]
         attempt.sent_at, attempt.timeout_at = now, self.balancer.end(request)
-        self.nodes.through(self.sendings[attempt], attempt.timeout_at)
+        self.server_pools.restart_timeout(self.in_flight[attempt], attempt.timeout_at)
         if held.last_call is not None:
             held.last_call.cancel()
         held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
@@ -392,7 +394,7 @@
     def last_answer(self, request: Request) -> None:
         """Its time is over and it has no answer: nor may it be sent on, where decisions failed."""
         self.answer(request, Failed())
-        self.call_off([attempt for attempt in request.attempts if attempt in self.sendings])
+        self.call_off([attempt for attempt in request.attempts if attempt in self.in_flight])
 
     def trace_answer(self, held: Held, reply: Reply) -> None:
         """Logs a request's final answer, and for a refusal or failure what had become of its attempts."""
@@ -415,7 +417,7 @@
             case SendGossip(peer, datagram):
                 self.peers.say(peer, datagram)
             case CloseIdleConnections(server):
-                self.nodes.release(server.name)
+                self.server_pools.release(server.name)
             case request:
                 self.ask(request, now)
 
@@ -449,11 +451,11 @@
         attempt, held = request.attempts[-1], self.held[request]
         if held.place_by is not None:
             held.place_by.cancel()
-        sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
+        in_flight = self.in_flight[attempt] = InFlightAttempt(attempt, held.frame, held.upload)
         if trace.enabled:
             number, left = len(request.attempts), (timeout_at - self.now()) // 1000
-            trace.step(held.frame.ident, "attempt", number=number, node=server.name, left_ms=left)
-        self.nodes.send(sending, server.name, timeout_at)
+            trace.step(held.frame.ident, "attempt", number=number, server=server.name, left_ms=left)
+        self.server_pools.send(in_flight, server.name, timeout_at)
 
     def wanted(self, request: Request) -> bool:
         """Whether the request's client is still there.  Asked before what goes out later than in the turn
@@ -474,12 +476,13 @@
         if all(attempt.outcome for attempt in held.request.attempts):
             self.answer(held.request, Rejected(-(-self.balancer.come_back // 1000)))
 
-    def ended(self, sending: Sending, outcome: Outcome, value: bytes | None) -> None:
+    def ended(self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | Relay | None) -> None:
         """An attempt has ended; the client of a satisfied one gets its answer before all else."""
-        del self.sendings[sending.attempt]
+        del self.in_flight[in_flight.attempt]
         if outcome == Outcome.SUCCEEDED:
-            self.answer(sending.attempt.request, Value(value))
-        self.ends.append((sending.attempt, outcome, self.load(sending.report), sending.hit))
+            self.answer(in_flight.attempt.request, Value(value))
+        load = self.load(in_flight.load_report)
+        self.ends.append((in_flight.attempt, outcome, load, in_flight.cache_hit))
         self.settle()
 
     def load(self, report) -> dict[str, float]:
@@ -497,15 +500,15 @@
             follow_up = self.balancer.record_outcome(attempt, outcome, self.now(), load, hit)
         except Exception:
             logger.exception("decisions failed: record_outcome")
-            follow_up = OutcomeDecision(Fail(), [w for w in request.attempts if w in self.sendings])
+            follow_up = OutcomeDecision(Fail(), [w for w in request.attempts if w in self.in_flight])
         self.call_off(follow_up.cancel)
         if not request.concluded and follow_up.decision != Done():
             self.carry(request, follow_up.decision)
 
     def call_off(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            if attempt in self.sendings:
-                self.nodes.call_off(self.sendings[attempt])
+            if attempt in self.in_flight:
+                self.server_pools.cancel(self.in_flight[attempt])
 
     def settle(self) -> None:
         """Tells the decisions what has ended and asks them for all that is due, until there is nothing."""
@@ -557,10 +560,10 @@
                         logger.error("list: an entry that can't be used: {}: {}", type(fault).__name__, fault)
             self.balancer.update_endpoints(nodes, whole, self.now())
             for node in self.balancer.servers.values():
-                self.nodes.listed(node.name, node.state == ServerState.READY)
+                self.server_pools.set_ready(node.name, node.state == ServerState.READY)
         finally:
             self.settling = settling
-        self.nodes.keep(self.balancer.servers)
+        self.server_pools.forget_unlisted(self.balancer.servers)
         self.settle()
         return not useless, new
 
@@ -584,7 +587,7 @@
         ):  # one that leaves needs no address: guards its drain against a spoilt one
             known = self.balancer.servers.get(name)
             restarted = known is not None and node.started_at > known.started_at
-            self.nodes.known(name, address(where, "hostPort"), restarted)
+            self.server_pools.update_address(name, address(where, "hostPort"), restarted)
         return node
 
     def told(self, words: bytes) -> None:
--- a/ivystack/net/relay.py
+++ b/ivystack/net/relay.py
@@ -73,7 +73,7 @@
         self.client = None
         self.kept.clear()
         if not self.over:
-            self.link.nodes.unwanted(self.link)
+            self.link.relay_abandoned()
             self.resume()
 
 
@@ -163,8 +163,8 @@
             self.discard()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        nodes = self.link.nodes
-        self.stuck = nodes.deadlines.call_at(nodes.now() + nodes.STALLS, self.link.drop, "stalled")
+        pools, timeout = self.link.pools, self.link.STALL_TIMEOUT
+        self.stuck = pools.deadlines.call_at(pools.now() + timeout, self.link.drop, "stalled")
         self.hold()
 
     def resumeProducing(self) -> None:  # noqa: N802
--- /dev/null
+++ b/ivystack/net/response_outcome.py
@@ -0,0 +1,42 @@
+"""What a cache server's answer proves about the attempt it answers (docs/PROTOCOL, the servers' table)."""
+
+from __future__ import annotations
+
+from ..model import Outcome
+from .resp import Given
+
+ANSWER_PARTS = 3  # the value, how it was found, the load report
+EXPECTED_ERROR = "-ERR failed"  # any other error line is worth a line in the log
+
+
+def outcome_of_response(response: object, cache_aside: bool = False) -> Outcome | None:
+    """Return the outcome that a response proves; None for one that the protocol does not know.
+
+    :param response: a value as `resp.Resp` reads it.
+    :param cache_aside: servers tell that they lack a value, and fetch none themselves.  Where they read
+        through, "no value found" is no answer: it proves nothing.
+
+    >>> answers = [b"value", b"hit", None], "-BUSY", "-ERR failed"
+    >>> [str(outcome_of_response(answer)) for answer in answers]
+    ['succeeded', 'overloaded', 'error']
+    >>> [str(outcome_of_response(answer)) for answer in ("-ERR bad request", [b"value"], ":5", None)]
+    ['invalid-request', 'None', 'None', 'None']
+    >>> [str(outcome_of_response([None, b"miss", None], aside)) for aside in (False, True)]
+    ['None', 'cache-miss']
+    """
+    if isinstance(response, list):
+        return _outcome_of_array(response, cache_aside)
+    if not isinstance(response, str) or not response.startswith("-"):
+        return None
+    if response.startswith(("-ERR bad", "-SYNTAX")):
+        return Outcome.INVALID_REQUEST
+    return Outcome.OVERLOADED if response.split(" ")[0] == "-BUSY" else Outcome.ERROR
+
+
+def _outcome_of_array(parts: list[object], cache_aside: bool) -> Outcome | None:
+    if len(parts) != ANSWER_PARTS or not isinstance(parts[1], bytes | None):
+        return None
+    value, found = parts[:2]
+    if isinstance(value, bytes | Given):
+        return Outcome.SUCCEEDED
+    return Outcome.CACHE_MISS if cache_aside and value is None and found == b"miss" else None
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -152,7 +152,7 @@
 
     def stop(self) -> None:
         def end():
-            for one in [*self.proxy.front.clients.values(), *self.proxy.nodes.links.values()]:
+            for one in [*self.proxy.front.clients.values(), *self.proxy.server_pools.connections.values()]:
                 one.transport.abortConnection()
             if self.proxy.port is not None and self.proxy.port.connected:
                 self.proxy.port.stopListening()
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -143,7 +143,7 @@
     case.moment.turn(case.proxy.drain)
 
     def answered() -> None:
-        (link,) = case.proxy.nodes.links.values()
+        (link,) = case.proxy.server_pools.connections.values()
         link.dataReceived(hit(b"first"))
 
     case.arrives(answered)
@@ -275,7 +275,7 @@
         to_node.take()
         to_node.send(hit(b"first"))
         assert asking.take() == b"first"
-        (link,) = made.turn(lambda: [*made.proxy.nodes.links.values()])
+        (link,) = made.turn(lambda: [*made.proxy.server_pools.connections.values()])
         made.turn(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         asking.send(command(b"OBJ.SET", b"7f", b"big", b"c=pay,t=t,d=500", b"v" * 60_000))
         made.until(lambda: link.transport.dataBuffer)
@@ -397,8 +397,8 @@
 def test_what_a_client_asked_that_has_gone_before_it_is_read_is_sent_nowhere(how):
     """It was accepted late, or the process was held up: its request and its end lie there together."""
     made = Moment().start(Node("n0"))
-    true_send, sent = made.proxy.nodes.send, []
-    made.proxy.nodes.send = lambda sending, *values: (sent.append(sending), true_send(sending, *values))
+    true_send, sent = made.proxy.server_pools.send, []
+    made.proxy.server_pools.send = lambda one, *values: (sent.append(one), true_send(one, *values))
     try:
 
         def asks_and_goes() -> None:
@@ -433,7 +433,7 @@
     first = link(made)
     assert len(made.reactor.tcpClients) == 1
     first.dataReceived(b"-ERR failed\r\n")
-    assert len(made.reactor.tcpClients) == 1 and not made.requests and not made.sendings
+    assert len(made.reactor.tcpClients) == 1 and not made.requests and not made.in_flight
     assert all(node.in_flight == 0 for node in made.balancer.servers.values())
 
 
@@ -443,4 +443,4 @@
     asking.dataReceived(get(b"1"))
     made.reactor.advance(0.1)
     assert link(made).transport.took() == b""
-    assert not made.requests and not made.sendings and made.balancer.in_flight == 0
+    assert not made.requests and not made.in_flight and made.balancer.in_flight == 0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -81,7 +81,7 @@
     mine = new.settings.request_classes["read"]
     assert [*mine.attempt_times] == [5, 6, 7] and got["n3"].class_failures[mine].consecutive_failures == 2
     assert new.balancer.room.common == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
-    assert new.nodes.places["n1"].address == old.nodes.places["n1"].address
+    assert new.server_pools.pools["n1"].address == old.server_pools.pools["n1"].address
 
 
 def test_a_list_newer_than_the_old_processs_stays(tmp_path):
@@ -122,7 +122,8 @@
     new.reactor.advance(0.49)
     assert not new.begun
     new.reactor.advance(0.02)
-    assert len(new.begun) == 1 and new.nodes.most == new.limits[0] // 6  # it is there all the same
+    # It is there all the same.
+    assert len(new.begun) == 1 and new.server_pools.max_connections == new.limits[0] // 6
 
 
 def test_a_killed_processs_socket_is_taken_away_and_without_one_there_is_no_wait(tmp_path):
@@ -143,7 +144,8 @@
 
 def test_two_processes_together_keep_within_the_bounds_of_one():
     made = proxy()
-    whole = made.nodes.most, made.front.most, made.front.held, made.nodes.pieces
+    pools = made.server_pools
+    whole = pools.max_connections, made.front.most, made.front.held, pools.relay_memory
     made.front.most = 100
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
@@ -153,7 +155,7 @@
         one.dataReceived(hit())
     made.limits = 64, made.limits[1]
     end = asked(made)
-    assert (made.nodes.most, made.front.most, made.front.held) == (10, 8, whole[2] // 2)
+    assert (pools.max_connections, made.front.most, made.front.held) == (10, 8, whole[2] // 2)
     counts = []
     for _ in range(30):
         made.reactor.advance(0.02)
@@ -164,7 +166,7 @@
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
     made.limits = made.run.sockets, made.run.memory
     end.connectionLost(Failure(ConnectionDone()))
-    assert (made.nodes.most, made.front.most, made.front.held, made.nodes.pieces) == whole
+    assert (pools.max_connections, made.front.most, made.front.held, pools.relay_memory) == whole
 
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
@@ -175,5 +177,5 @@
     links = [link(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(hit())
-    made.nodes.bound(6, 1 << 20)
+    made.server_pools.set_limits(6, 1 << 20)
     assert [one.code for one in links].count("no-room") == 2
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -19,6 +19,7 @@
 from ivystack.model import ServerState
 from ivystack.net.front import Client
 from ivystack.net.listener import ClientListener
+from ivystack.net.server_pool import PoolSettings
 from ivystack.net.resp import command
 from ivystack.settings import Settings
 
@@ -50,7 +51,8 @@
     of.until(lambda: not of.proxy.requests and not of.proxy.front.clients)
     of.turn(of.proxy.listed, [Node("late").entry()], True)
     of.pass_by(20_000)
-    assert of.turn(lambda: not of.proxy.nodes.links and not of.proxy.sendings and not of.proxy.front.ids)
+    proxy = of.proxy
+    assert of.turn(lambda: not proxy.server_pools.connections and not proxy.in_flight and not proxy.front.ids)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -127,7 +129,7 @@
     made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
     made.balancer.further.append(second)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert first.concluded and second.concluded and not made.requests and not made.sendings
+    assert first.concluded and second.concluded and not made.requests and not made.in_flight
     assert all(over for _, over in seen)
 
 
@@ -136,7 +138,7 @@
     node = Node("n0")
     node.door.listen(0)
     made = moment(begun=False)
-    made.run.connect_timeout = made.proxy.nodes.connect_timeout = 1 << 40
+    made.run.connect_timeout = made.proxy.server_pools.connect_timeout = 1 << 40
     full = []
     for _ in range(4):  # its table of connections that nobody took yet is full: further ones do not come up
         one = socket.socket()
@@ -146,10 +148,10 @@
     made.start(node)
     asking = made.client()
     asking.send(gets(1))
-    made.until(lambda: len(made.proxy.nodes.links) == 1)
-    assert made.turn(lambda: not made.proxy.nodes.links[0].up)
+    made.until(lambda: len(made.proxy.server_pools.connections) == 1)
+    assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
-    made.until(lambda: not made.proxy.requests and not made.proxy.sendings)
+    made.until(lambda: not made.proxy.requests and not made.proxy.in_flight)
     for one in full:
         one.close()
     node.door.listen(64)
@@ -159,8 +161,9 @@
             node.accept()
         except TimeoutError:
             break
-    made.until(lambda: made.proxy.nodes.links and made.proxy.nodes.links[0].up)
-    assert made.turn(lambda: made.proxy.nodes.links[0].carried) == 0
+    pools = made.proxy.server_pools
+    made.until(lambda: pools.connections and pools.connections[0].is_connected)
+    assert made.turn(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
 
 
 def test_one_id_is_used_again_right_after_its_client_has_left(moment):
@@ -376,7 +379,7 @@
     node = Node("n0")
     patient = [one | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for one in METHODS]
     made = moment(node, run=told(methods=patient, streams_per_conn=10, may_duplicate=True))
-    asking = [made.client() for _ in range(made.proxy.nodes.FEW)]
+    asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
         one.send(gets(1, b"%d." % number))
         made.until(lambda number=number: len(made.proxy.requests) == number + 1)
@@ -385,16 +388,17 @@
         wire.take()
     paying = made.client()
     paying.send(command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
-    made.until(lambda: any(len(link.out) == 2 for link in made.proxy.nodes.links.values()))
-    shared = made.turn(lambda: next(link for link in made.proxy.nodes.links.values() if len(link.out) == 2))
-    reading, port = shared.out[0].frame.before, shared.transport.getHost().port
+    links = made.proxy.server_pools.connections
+    made.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
+    shared = made.turn(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
+    reading, port = shared.in_flight[0].frame.before, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
     assert wire.take()[0] == b"OBJ.SET"
-    made.turn(made.proxy.nodes.tune, 10_000_000, 250_000, 1)
+    made.turn(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
-    made.until(lambda: len(made.proxy.sendings) == len(asking))
+    made.until(lambda: len(made.proxy.in_flight) == len(asking))
     before = made.turn(lambda: made.proxy.deadlines.scheduled)
-    made.pass_by(made.proxy.nodes.LINGER)
+    made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(hit(b"late") + hit(b"receipt"))
     assert paying.take() == b"receipt"
@@ -412,7 +416,7 @@
     kept.take()
     kept.send(hit())
     assert asking.take() == b"v"
-    made.until(lambda: made.proxy.nodes.resting)
+    made.until(lambda: made.proxy.server_pools.idle_connections)
 
     def turn():
         getattr(kept, how)()
@@ -424,7 +428,7 @@
         assert again.take()[2] == b"2"
         again.send(hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(lambda: not made.proxy.sendings and not made.proxy.requests)
+    assert made.turn(lambda: not made.proxy.in_flight and not made.proxy.requests)
 
 
 def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
@@ -436,7 +440,7 @@
     def turn():  # both within one turn: the connection is not up yet
         made.client_side = clients(made)[0]
         made.client_side.dataReceived(gets(1))
-        first = next(iter(made.proxy.sendings.values())).place
+        first = next(iter(made.proxy.in_flight.values())).pool
         left = next(one for one in (node, other) if one.name == first.name)
         made.proxy.listed([left.entry("DRAINING")], False)
         return left
@@ -448,7 +452,8 @@
     to_node.take()
     to_node.send(hit())
     assert asking.take() == b"v"
-    made.until(lambda: all(link.place.name == stays.name for link in made.proxy.nodes.links.values()))
+    links = made.proxy.server_pools.connections
+    made.until(lambda: all(link.pool.name == stays.name for link in links.values()))
     wire = left.accept()
     assert wire.take() is None  # ended by us with nothing on it
 
@@ -467,7 +472,7 @@
 
     made.turn(turn)
     assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
-    assert made.turn(lambda: not made.proxy.sendings)
+    assert made.turn(lambda: not made.proxy.in_flight)
 
 
 @pytest.mark.parametrize("streams", [1, 10])
@@ -487,8 +492,9 @@
     made.turn(turn)
     assert asking.take() == "-BUSY"
     asking.send(gets(1, b"next"))
-    made.until(lambda: any(link.out and link.out[-1].frame for link in made.proxy.nodes.links.values()))
-    if made.turn(lambda: len(made.proxy.nodes.links)) > 1 or to_node.take() is None:
+    links = made.proxy.server_pools.connections
+    made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
+    if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
         to_node = node.accept()
         to_node.take()
     to_node.send(hit(b"own"))
@@ -510,10 +516,10 @@
 
         made.turn(turn)
         made.until(
-            lambda: not made.proxy.front.clients and not made.proxy.sendings and not made.proxy.requests
+            lambda: not made.proxy.front.clients and not made.proxy.in_flight and not made.proxy.requests
         )
         assert not made.turn(lambda: made.proxy.front.ids)
-        made.turn(made.proxy.nodes.leave, made.proxy.nodes.places["n0"], "done")
+        made.turn(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
 
 
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -56,7 +56,7 @@
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
     node.dataReceived(hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
-    assert not made.requests and not made.sendings and not made.held
+    assert not made.requests and not made.in_flight and not made.held
     asking.dataReceived(get(b"2"))  # the connection is used again
     assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
 
@@ -138,7 +138,7 @@
 def test_without_a_descriptor_no_node_is_blamed():
     made = proxy()
     outcomes = []
-    made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     client(made).dataReceived(get())
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
     assert outcomes == [Outcome.OVERLOADED]
@@ -169,7 +169,7 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert not made.requests and not made.sendings and node.transport.disconnected
+    assert not made.requests and not made.in_flight and node.transport.disconnected
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
@@ -270,7 +270,8 @@
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and node.transport.disconnected
     node.connectionLost(Failure(ConnectionDone()))
-    assert not made.nodes.links and node.ended(Failure(ConnectionDone()), "node") == "out-of-time"
+    assert not made.server_pools.connections
+    assert node.ended(Failure(ConnectionDone()), "node") == "out-of-time"
 
 
 def test_a_connection_that_breaks_means_it_may_have_run():
@@ -292,7 +293,7 @@
 def test_a_connection_that_does_not_come_up_in_time_is_refused():
     made = proxy()
     ended = []
-    made.nodes.ended = lambda sending, outcome, value: ended.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
     client(made).dataReceived(get())
     made.reactor.advance(0.3)
     assert ended == [Outcome.CONNECTION_REFUSED]
@@ -303,10 +304,10 @@
     ended = []
     client(made).dataReceived(get())
     node = link(made)
-    sending = node.out[0]
-    made.nodes.ended = lambda sending, outcome, value: ended.append(outcome)
-    made.nodes.call_off(sending)
-    made.nodes.call_off(sending)
+    attempt = node.in_flight[0]
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
+    made.server_pools.cancel(attempt)
+    made.server_pools.cancel(attempt)
     node.connectionLost(Failure(ConnectionDone()))
     assert ended == [Outcome.CANCELLED]
 
@@ -319,11 +320,11 @@
     slow = link(made)
     made.reactor.advance(0.6)
     quick = link(made)
-    assert quick is not slow and quick.out
+    assert quick is not slow and quick.in_flight
     quick.dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.sendings
+    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.in_flight
     slow.dataReceived(hit(b"late"))  # nobody waits for it, and its connection is good again
-    assert asking.transport.took() == b"" and slow in made.nodes.resting
+    assert asking.transport.took() == b"" and slow in made.server_pools.idle_connections
 
 
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
@@ -336,7 +337,7 @@
     assert asking.transport.took() == b"-BUSY\r\n" and not node.transport.disconnected
     asking.dataReceived(get(b"2"))
     assert b"$1\r\n2\r\n" not in node.transport.took()
-    made.reactor.advance(made.nodes.LINGER / S)
+    made.reactor.advance(made.server_pools.ABANDONED_TIMEOUT / S)
     assert node.transport.disconnected and node.code == "out-of-time"
 
 
@@ -368,21 +369,22 @@
     node = link(made)
     node.dataReceived(hit())
     made.reactor.advance(8.1)
-    assert node.transport.disconnecting and node.code == "idle" and not made.nodes.places["n0"].idle
+    assert node.transport.disconnecting and node.code == "idle" and not made.server_pools.pools["n0"].idle
 
 
 def test_with_all_connections_taken_the_one_idle_longest_makes_way():
     made = proxy(2)
-    made.nodes.most = 1
+    pools = made.server_pools
+    pools.max_connections = 1
     asking = client(made)
     for key in range(40):  # until both nodes have been met
         asking.dataReceived(get(key=b"%x" % key))
-        if made.nodes.resting and any(place.waiting for place in made.nodes.places.values()):
+        if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
-        if made.reactor.tcpClients and not made.nodes.resting:
-            node = link(made) if not made.nodes.links[0].up else made.nodes.links[0]
+        if made.reactor.tcpClients and not pools.idle_connections:
+            node = link(made) if not pools.connections[0].is_connected else pools.connections[0]
             node.dataReceived(hit())
-    made.nodes.links[0].connectionLost(Failure(ConnectionDone()))
+    made.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
     assert len(made.reactor.tcpClients) == 2
 
 
@@ -518,13 +520,13 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     silent, quick = link(made, 0), link(made, 1)
     quick.dataReceived(hit())
-    made.reactor.pump([0.6, made.nodes.LINGER / S])
+    made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
     assert silent.transport.disconnected and quick.code == "suspect"
 
 
 def crowd(made):
     """Five reqs of one key, on two connections to the one node, and the client."""
-    made.nodes.FEW = 2
+    made.server_pools.PIPELINE_FROM = 2
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     links = [link(made, 0), link(made, 1)]
@@ -536,7 +538,7 @@
 def test_with_a_few_connections_up_attempts_go_behind_others():
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
-    assert len(made.reactor.tcpClients) == 2 and sorted(len(one.out) for one in links) == [2, 3]
+    assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
     for one in links:
         for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
             one.dataReceived(hit(ident))
@@ -547,7 +549,7 @@
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     outcomes = []
-    made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     links[0].connectionLost(Failure(ConnectionLost()))
     assert outcomes == [
         Outcome.CONNECTION_LOST,
@@ -561,7 +563,7 @@
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     for one in links:
-        made.nodes.call_off(one.out[0])
+        made.server_pools.cancel(one.in_flight[0])
     asking.dataReceived(get(b"6"))
     assert len(made.reactor.tcpClients) == 3
 
@@ -644,11 +646,11 @@
         made.listed(entries(1, "DELETED", instanceId=f"x{number}"), False)
     made.listed(entries(2, "DRAINING"), False)
     made.listed(entries(2, "DELETED"), False)
-    assert [*made.balancer.servers] == [*made.nodes.places] == [busy.place.name]  # its attempt is still out
+    assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
     busy.dataReceived(hit())
     busy.connectionLost(Failure(ConnectionDone()))
     made.listed([], False)
-    assert not made.balancer.servers and not made.nodes.places
+    assert not made.balancer.servers and not made.server_pools.pools
 
 
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
@@ -658,7 +660,7 @@
     asking.dataReceived(get(b"1"))
     link(made).dataReceived(hit())
     asking.dataReceived(get(b"2"))
-    made.nodes.links[0].connectionLost(Failure(ConnectionLost()))
+    made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
     asking.dataReceived(get(b"3"))
     link(made).connectionLost(Failure(ConnectionLost()))
     assert (
@@ -688,8 +690,8 @@
         made.reactor.advance(1)
         asking.append(client(made))
         asking[-1].dataReceived(get(b"%d" % number))
-        for one in [*made.nodes.links.values()] or [link(made)]:
-            if one.out:
+        for one in [*made.server_pools.connections.values()] or [link(made)]:
+            if one.in_flight:
                 one.dataReceived(hit())
     assert [one.code for one in asking] == ["idle", "idle", None, None, None]
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -22,7 +22,7 @@
     Send,
 )
 from ivystack.net.front import Frame
-from ivystack.net.nodes import Sending
+from ivystack.net.in_flight_attempt import InFlightAttempt
 from ivystack.net.resp import command
 
 BUSY = b"-BUSY\r\n"
@@ -50,7 +50,8 @@
 
 def written(made):
     """What has been written to nodes, on any connection that has come up."""
-    return b"".join(one.transport.value() for one in made.nodes.links.values() if one.up)
+    links = made.server_pools.connections.values()
+    return b"".join(one.transport.value() for one in links if one.is_connected)
 
 
 def lost(one):
@@ -82,7 +83,7 @@
     pass_by(made, 49)  # 300 ms since the first was decided
     link(made)
     assert written(made) == b"" and asking.transport.took().startswith(answer)
-    assert not made.sendings and not made.requests
+    assert not made.in_flight and not made.requests
 
 
 def test_a_repeat_whose_connection_comes_up_within_the_window_is_written():
@@ -101,7 +102,7 @@
     severed(made, 250)
     made.reactor.rightNow += 0.2  # with no call made
     late = link(made)
-    assert written(made) == b"" and late in made.nodes.resting  # it serves others
+    assert written(made) == b"" and late in made.server_pools.idle_connections  # it serves others
 
 
 def test_the_repeat_that_goes_out_first_makes_the_first_one_the_repeat():
@@ -127,9 +128,9 @@
     made = proxy(1, run=once(idempotency="side_effect"))
     asking = client(made)
     asking.dataReceived(put())
-    waits = next(iter(made.sendings))
+    waits = next(iter(made.in_flight))
     made.listed(entries(1, startedAtMs=999_999), True)
-    assert waits.outcome == Outcome.NOT_SENT and len(made.sendings) == 1 and waits not in made.sendings
+    assert waits.outcome == Outcome.NOT_SENT and len(made.in_flight) == 1 and waits not in made.in_flight
     assert not asking.transport.value()
 
 
@@ -142,13 +143,14 @@
     def __init__(self, semantics, **more):
         self.made = proxy(1, run=once(streams_per_conn=10, may_duplicate=True, **more))
         self.method, self.ends = RequestClass("mark", semantics, 2 * S, dedup_window=S), []
-        self.made.nodes.ended = lambda sending, outcome, value: self.ends.append((sending.attempt, outcome))
+        pools = self.made.server_pools
+        pools.on_outcome = lambda ended, outcome, value: self.ends.append((ended.attempt, outcome))
 
     def go(self, **more):
         now, fields = self.made.now(), b"c=mark,d=500"
         attempt = Attempt(Request(self.method, now, now + 2 * S), None, now, now + 2 * S, **more)
         frame = Frame([b"OBJ.GET", b"7f", b"1", fields], (9, 12))
-        self.made.nodes.send(Sending(attempt, frame), "n0", now + 2 * S)
+        self.made.server_pools.send(InFlightAttempt(attempt, frame), "n0", now + 2 * S)
         return attempt
 
     def said(self, wire, data):
@@ -168,7 +170,7 @@
     assert of.said(wire, BUSY) == [Outcome.OVERLOADED]
     pass_by(of.made, gap // 2)
     of.go()
-    assert len(wire.out) == 1  # on the same connection
+    assert len(wire.in_flight) == 1  # on the same connection
     pass_by(of.made, gap - gap // 2)
     said = of.said(wire, BUSY[:4]) + of.said(wire, BUSY[4:]) if split else of.said(wire, BUSY)
     assert said == [
@@ -178,36 +180,37 @@
 
 def test_of_several_on_a_connection_only_the_first_busy_proves():
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
-    of.made.nodes.FEW = 1
+    of.made.server_pools.PIPELINE_FROM = 1
     of.go()
     wire = link(of.made)
     of.go()
     of.go()
-    assert len(wire.out) == 3
+    assert len(wire.in_flight) == 3
     assert of.said(wire, BUSY + BUSY + hit()) == [Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.SUCCEEDED]
 
 
 def test_a_busy_for_one_that_was_given_up_makes_the_next_one_doubtful():
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
-    of.made.nodes.FEW = 1
+    of.made.server_pools.PIPELINE_FROM = 1
     of.go()
     wire = link(of.made)
     of.go()
-    of.made.nodes.call_off(wire.out[0])
+    of.made.server_pools.cancel(wire.in_flight[0])
     assert of.said(wire, BUSY + BUSY) == [Outcome.CANCELLED]
 
 
 def test_one_that_must_be_there_in_time_goes_behind_nothing():
     # What holds back those before it, a long value or a node that reads no more, would hold it back too.
     of = Attempts(Idempotency.KEYED)
-    of.made.nodes.FEW = 1
+    of.made.server_pools.PIPELINE_FROM = 1
     of.go()
     wire = link(of.made)
     far, near = of.made.now() + 4 * S, of.made.now() + S
     of.go(send_by=far)
-    assert len(wire.out) == 2  # in so long a time it gets there, or is given up
+    assert len(wire.in_flight) == 2  # in so long a time it gets there, or is given up
     last = of.go(send_by=near)
-    assert len(wire.out) == 2 and [s.attempt for s in of.made.nodes.places["n0"].waiting] == [last]
+    waiting = of.made.server_pools.pools["n0"].waiting
+    assert len(wire.in_flight) == 2 and [one.attempt for one in waiting] == [last]
     pass_by(of.made, 1001)
     assert of.ends[-1] == (last, Outcome.NOT_SENT)
 
@@ -216,7 +219,7 @@
     lacks = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
     for aside, outcome in ((False, Outcome.ERROR), (True, Outcome.CACHE_MISS)):
         of = Attempts(Idempotency.NOT_IDEMPOTENT)
-        of.made.nodes.aside = aside
+        of.made.server_pools.cache_aside = aside
         of.go()
         assert of.said(link(of.made), lacks) == [outcome]
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -71,7 +71,8 @@
     node.dataReceived(TAIL[:2])
     assert asking.transport.took() == LONG[1000:]
     node.dataReceived(TAIL[2:])
-    assert asking.transport.took() == b"\r\n" and node in made.nodes.resting and not made.nodes.relaying
+    pools = made.server_pools
+    assert asking.transport.took() == b"\r\n" and node in pools.idle_connections and not pools.relays
     asking.dataReceived(get(b"2"))  # both connections are good for more
     node.dataReceived(hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
@@ -128,8 +129,8 @@
     quick.dataReceived(HEAD + LONG[:10])
     slow.dataReceived(hit(LONG))
     quick.dataReceived(LONG[10:] + TAIL)
-    assert asking.transport.took() == bulk(LONG) and not made.sendings
-    assert {slow, quick} == {*made.nodes.resting}
+    assert asking.transport.took() == bulk(LONG) and not made.in_flight
+    assert {slow, quick} == {*made.server_pools.idle_connections}
 
 
 def test_what_ends_in_the_middle_never_looks_whole():
@@ -145,7 +146,7 @@
         got = asking.transport.took()
         assert bulk(LONG).startswith(got) and got != bulk(LONG)
         asking.connectionLost(Failure(ConnectionDone()))
-        assert not made.requests and not made.sendings
+        assert not made.requests and not made.in_flight
 
 
 def test_what_is_owed_behind_one_that_is_cut_short_is_not_sent_on():
@@ -159,7 +160,7 @@
     assert len(made.requests) == 2 and len(made.reactor.tcpClients) > 1
     node.connectionLost(Failure(ConnectionLost()))
     assert asking.transport.disconnecting and asking.code == "cut-short"
-    assert not made.requests and not made.sendings and not made.front.ids
+    assert not made.requests and not made.in_flight and not made.front.ids
     for number in range(1, len(made.reactor.tcpClients)):
         assert link(made, number).transport.value() == b""
     assert not asking.owed and made.front.bytes == 0
@@ -192,7 +193,7 @@
 def test_a_client_that_leaves_in_the_middle_costs_a_connection_at_most():
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG[:1000])
-    made.nodes.LITTLE = 1000
+    made.server_pools.MAX_DISCARDED_BYTES = 1000
     asking.connectionLost(Failure(ConnectionDone()))
     assert node.transport.disconnected and node.code == "called-off"
     made, asking, node = asked()
@@ -201,21 +202,21 @@
     asking.connectionLost(Failure(ConnectionDone()))  # little is left: it is read and thrown away
     assert node.transport.producerState == "producing"
     node.dataReceived(LONG[1000:] + TAIL)
-    assert node in made.nodes.resting
+    assert node in made.server_pools.idle_connections
 
 
 def test_those_behind_it_on_the_connection_are_answered_though_its_client_left():
     made = proxy(1, may_duplicate=True, streams_per_conn=100)
-    made.nodes.FEW = 1
+    made.server_pools.PIPELINE_FROM = 1
     asking, other = client(made), client(made)
     asking.dataReceived(get(b"0"))
     node = link(made)
     node.dataReceived(hit())
     asking.dataReceived(get(b"1", fields=b"c=read,d=900"))
     other.dataReceived(get(b"2", fields=b"c=read,d=900"))
-    assert [sending.attempt.request.key for sending in node.out] == [127, 127]
+    assert [one.attempt.request.key for one in node.in_flight] == [127, 127]
     node.dataReceived(HEAD + LONG[:1000])
-    made.nodes.LITTLE = 0
+    made.server_pools.MAX_DISCARDED_BYTES = 0
     asking.connectionLost(Failure(ConnectionDone()))
     node.dataReceived(LONG[1000:] + TAIL + hit(b"other"))
     assert other.transport.took() == b"$5\r\nother\r\n"
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -109,7 +109,8 @@
 def test_nodes_connections_follow_the_settings():
     made = proxy()
     made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
-    assert (made.nodes.deep, made.nodes.connect_timeout, made.nodes.idle) == (1, 100_000, 800_000)
+    pools = made.server_pools
+    assert (pools.max_in_flight, pools.connect_timeout, pools.idle_timeout) == (1, 100_000, 800_000)
     assert made.balancer.may_duplicate and made.settings.may_duplicate
 
 
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -84,13 +84,13 @@
 
 def test_more_nodes_than_descriptors_cost_a_try_never_the_process():
     made = proxy(300, sockets=64)
-    most = made.nodes.most
-    made.nodes.bound(64, 1 << 20)
+    most = made.server_pools.max_connections
+    made.server_pools.set_limits(64, 1 << 20)
     client = made.front.buildProtocol(None)
     client.makeConnection(Transport())
     for number in range(30):
         client.dataReceived(get(b"%d" % number, b"%x" % (number * 7919)))
-    assert len(made.nodes.links) <= made.nodes.most < most
+    assert len(made.server_pools.connections) <= made.server_pools.max_connections < most
     made.reactor.advance(2)
     answers = client.transport.took()
     assert answers.count(b"-") + answers.count(b"$") == 30  # each has its one answer
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -36,7 +36,7 @@
     asking.dataReceived(TAIL[1:])
     assert node.transport.took() == TAIL
     node.dataReceived(hit(b"receipt"))
-    assert asking.transport.took() == bulk(b"receipt") and not made.requests and not made.sendings
+    assert asking.transport.took() == bulk(b"receipt") and not made.requests and not made.in_flight
     asking.dataReceived(get(b"2"))  # both connections are good for more
     node.dataReceived(hit())
     assert asking.transport.took() == bulk(b"v")
@@ -80,7 +80,7 @@
 def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind():
     made, asking, node = begun()
     asking.connectionLost(Failure(ConnectionDone()))
-    assert node.transport.disconnected and not made.requests and not made.sendings and not made.front.ids
+    assert node.transport.disconnected and not made.requests and not made.in_flight and not made.front.ids
     assert not made.balancer.servers["n0"].health.consecutive_failures  # that was not the node's doing
 
 
@@ -169,7 +169,7 @@
 
 def test_nothing_goes_behind_half_a_write():
     made, asking, node = begun(may_duplicate=True, streams_per_conn=100)
-    made.nodes.FEW = 1
+    made.server_pools.PIPELINE_FROM = 1
     other = client(made)
     other.dataReceived(get(b"2"))
     assert node.transport.took() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
