--- /dev/null
+++ b/ivystack/net/hot_restart_state.py
@@ -0,0 +1,149 @@
+"""What an old process tells its successor in a hot restart: the records, their export and their import.
+
+The names on the wire are those of earlier releases and are mapped to the fields here.  All times are
+microseconds since 1970.
+"""
+
+from __future__ import annotations
+
+import msgspec
+from msgspec import Struct
+
+from ..choice import Balancer, Room
+from ..model import RESPONSE_TIMES_KEPT, FailureState, RequestClass, Server, ServerState
+
+VERSION = 1  # of the records; a process that is told another one starts without
+MAX_PROBE_DELAY = 10_000_000  # microseconds: longer than any pause between probes
+UNKNOWN_KIND = -2  # a machine kind that the settings do not name
+
+
+class FailureRecord(Struct):
+    """The recent failures of a server, or of one request class at a server."""
+
+    consecutive_failures: int = msgspec.field(name="failures")
+    connection_failed: bool = msgspec.field(name="broken")
+    next_probe_at: int = msgspec.field(name="trial_at")
+    probes: int = msgspec.field(name="trials")
+
+
+class ServerRecord(Struct):
+    """What was observed of one server."""
+
+    health: FailureRecord = msgspec.field(name="tried")
+    class_failures: dict[str, FailureRecord] = msgspec.field(name="errors")  # by the class's name
+    started_at: int = msgspec.field(name="started")
+    was_draining: bool = msgspec.field(name="drained")
+    gone_at: int = msgspec.field(name="left_at")
+    concurrency_limit: float = msgspec.field(name="window")
+    admitted_share: float = msgspec.field(name="share")
+
+
+class ProcessState(Struct):
+    """All that a process tells its successor."""
+
+    version: int = msgspec.field(name="v")
+    generation: int  # of the endpoint list
+    instances: list[dict]  # the endpoint list, in discovery's form
+    slots: list[str]  # names of servers in the order of their slots
+    servers: dict[str, ServerRecord] = msgspec.field(name="nodes")
+    attempt_times: dict[str, list[int]] = msgspec.field(name="times")  # microseconds, by class
+    common_share: float = msgspec.field(name="common")  # admitted by the servers in common
+
+
+def export_state(
+    balancer: Balancer, request_classes: dict[str, RequestClass], generation: int, instances: list[dict]
+) -> ProcessState:
+    """Return what this process knows, for its successor."""
+    names = {request_class: name for name, request_class in request_classes.items()}
+    known = {*balancer.servers.values(), *balancer.placement.slots}
+    servers = {server.name: _export_server(server, names) for server in known if not server.is_placeholder}
+    slots = [server.name for server in balancer.placement.slots if not server.is_placeholder]
+    attempt_times = {name: [*one.attempt_times] for name, one in request_classes.items()}
+    common_share = balancer.room.common
+    return ProcessState(VERSION, generation, instances, slots, servers, attempt_times, common_share)
+
+
+def import_state(
+    state: ProcessState, balancer: Balancer, request_classes: dict[str, RequestClass], now: int
+) -> None:
+    """Go on where the other process is: slot order, servers' health, slow starts, limits and samples.
+
+    What is out of bounds is brought within them; unknown classes are ignored.
+    """
+    for name, record in state.servers.items():
+        server = balancer.servers.get(name) or _add_gone_server(name, record, balancer, now)
+        _import_server(record, server, request_classes, now)
+    for name, times in state.attempt_times.items():
+        if name in request_classes:
+            samples = [time for time in times[-RESPONSE_TIMES_KEPT:] if time >= 0]
+            request_classes[name].attempt_times.extend(samples)
+    balancer.room.common = min(1.0, max(Room.CLOSED, state.common_share))
+    _import_slots(state.slots, balancer, now)
+
+
+def _export_failures(state: FailureState) -> FailureRecord:
+    return FailureRecord(
+        state.consecutive_failures, state.connection_failed, state.next_probe_at, state.probes
+    )
+
+
+def _export_server(server: Server, class_names: dict[RequestClass, str]) -> ServerRecord:
+    class_failures = {
+        class_names[request_class]: _export_failures(state)
+        for request_class, state in server.class_failures.items()
+        if request_class in class_names
+    }
+    return ServerRecord(
+        _export_failures(server.health),
+        class_failures,
+        server.started_at,
+        server.was_draining,
+        server.gone_at,
+        server.concurrency_limit,
+        server.admitted_share,
+    )
+
+
+def _add_gone_server(name: str, record: ServerRecord, balancer: Balancer, now: int) -> Server:
+    """Add a server that is not listed any more: it is awaited at its slot as long as the other would."""
+    server = Server(
+        name,
+        UNKNOWN_KIND,
+        state=ServerState.GONE,
+        was_draining=record.was_draining,
+        gone_at=min(record.gone_at, now),
+    )
+    total_weight = sum(other.weight for other in balancer.servers.values())
+    server.weight = total_weight / max(1, len(balancer.servers))
+    balancer.servers[name] = server
+    return server
+
+
+def _import_server(
+    record: ServerRecord, server: Server, request_classes: dict[str, RequestClass], now: int
+) -> None:
+    _import_failures(record.health, server.health, now)
+    for name, failures in record.class_failures.items():
+        if name in request_classes:
+            state = server.class_failures.setdefault(request_classes[name], FailureState())
+            _import_failures(failures, state, now)
+    server.started_at = max(server.started_at, min(record.started_at, now))
+    server.concurrency_limit = min(Room.MOST, max(Room.LEAST, record.concurrency_limit))
+    server.admitted_share = min(1.0, max(Room.CLOSED, record.admitted_share))
+
+
+def _import_failures(record: FailureRecord, state: FailureState, now: int) -> None:
+    state.consecutive_failures, state.probes = max(0, record.consecutive_failures), max(0, record.probes)
+    state.connection_failed = record.connection_failed
+    state.next_probe_at = min(record.next_probe_at, now + MAX_PROBE_DELAY)
+
+
+def _import_slots(names: list[str], balancer: Balancer, now: int) -> None:
+    placement = balancer.placement
+    order = [balancer.servers[name] for name in dict.fromkeys(names) if name in balancer.servers]
+    placement.slots = [server for server in order if server.kind != balancer.origin_kind]
+    placement.known.clear()
+    caches = [server for server in balancer.servers.values() if server.kind != balancer.origin_kind]
+    placement.settle(caches, now)
+    if balancer.order:  # the order is known: no peer is to be asked
+        balancer.order.grown_at, balancer.order.next_at = now, None
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -38,7 +38,8 @@
 from .deadlines import Deadline, DeadlineQueue
 from .discovery import Discovery
 from .front import Frame, Front
-from .handover import Handover, State, adopt, take, told
+from .hot_restart import HotRestart, adopt_listening_socket
+from .hot_restart_state import ProcessState, export_state, import_state
 from .in_flight_attempt import InFlightAttempt
 from .listener import ClientListener, listen
 from .peers import Peers
@@ -116,7 +117,7 @@
             reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
         )  # fmt: skip
         self.peers = Peers(run.peers, self.told)
-        self.handover = Handover(
+        self.hot_restart = HotRestart(
             reactor, self.deadlines, self.now, run.folder, run.listen, self.state, self.two
         )  # fmt: skip
         self.admin = Admin(self.deadlines, self.now, self.serves, self.drain, self.back)
@@ -141,11 +142,11 @@
         if self.run.admin:  # first: it answers no until we serve
             self.reactor.listenTCP(self.run.admin[1], self.admin, backlog=64, interface=self.run.admin[0])
         if self.run.fd is not None:
-            self.handover.ask(self.begin)
+            self.hot_restart.request_state(self.begin)
         else:
             self.begin(None)
 
-    def begin(self, state: State | None) -> None:
+    def begin(self, state: ProcessState | None) -> None:
         """Serves, going on from what an old process has told."""
         if self.ending:  # guards against a port that nobody would close: SIGTERM came while we asked
             return
@@ -156,25 +157,26 @@
             logger.error("could not start: {}", fault)
             self.reactor.stop()
 
-    def go_on(self, state: State | None) -> None:
+    def go_on(self, state: ProcessState | None) -> None:
         if state is None:
             return
         try:
             if state.generation >= self.discovery.generation:
                 listing = dict(generation=state.generation, reset=True, instances=state.instances)
                 self.discovery.known(listing)
-            take(state, self.balancer, self.settings.request_classes, self.now())
+            import_state(state, self.balancer, self.settings.request_classes, self.now())
         except Exception as fault:  # guards the start against whatever an old process may tell
-            logger.error("handover: could not go on from it: {}: {}", type(fault).__name__, fault)
+            logger.error("hot restart: the state could not be imported: {}: {}", type(fault).__name__, fault)
         else:
-            logger.info("handover taken generation={} slots={}", state.generation, len(state.slots))
+            generation, slots = state.generation, len(state.slots)
+            logger.info("hot restart state imported generation={} slots={}", generation, slots)
 
     def open(self) -> None:
         if self.run.peer_listen:
             self.talk(*self.run.peer_listen)
         if self.run.fd is not None:
-            self.port = adopt(self.reactor, self.run.fd, self.front)
-            self.handover.listen()
+            self.port = adopt_listening_socket(self.reactor, self.run.fd, self.front)
+            self.hot_restart.listen()
         else:
             self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
         self.discovery.watch()
@@ -184,7 +186,7 @@
 
     # In an upgrade.
 
-    def state(self) -> State:
+    def state(self) -> ProcessState:
         """What the next process is told."""
         kinds = {place: name for name, place in self.settings.kinds.items()}
         listed = {ServerState.READY: "SERVING", ServerState.DRAINING: "DRAINING"}
@@ -200,11 +202,12 @@
             for node in self.balancer.servers.values()
             if node.state in listed and node.name in pools
         ]  # fmt: skip
-        return told(self.balancer, self.settings.request_classes, self.discovery.generation, instances)
+        classes, generation = self.settings.request_classes, self.discovery.generation
+        return export_state(self.balancer, classes, generation, instances)
 
     def two(self, two: bool) -> None:
         """Another process is there, or has gone: together they keep within the bounds of one."""
-        logger.info("handover two={}", two)
+        logger.info("hot restart other_process={}", two)
         sockets, memory = (of // 2 if two else of for of in self.limits)
         self.server_pools.set_limits(sockets, memory // Front.HELD)
         self.front.bound(max(Front.EACH, sockets - self.server_pools.max_connections - Front.SPARE), memory)
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -196,7 +196,7 @@
     run.fd, run.folder = 3, str(folder)
     made = proxy(0, run=run)
     made.discovery.watch = made.open = lambda: None
-    (folder / f"{made.handover.tag}-1.sock").write_text("")
+    (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     path, factory = made.reactor.unixClients[-1][:2]
     assert Path(path).parent == folder
@@ -207,14 +207,14 @@
 
 def socket_name(made):
     """The name of a process's socket, up to the process's number."""
-    return made.handover.tag
+    return made.hot_restart.tag
 
 
-def handover_answer(made):
+def hot_restart_answer(made):
     """All that a process writes to one that has connected to its socket."""
-    from ivystack.net.handover import Telling
+    from ivystack.net.hot_restart import StateServerFactory
 
-    end = Telling(made.handover).buildProtocol(None)
+    end = StateServerFactory(made.hot_restart).buildProtocol(None)
     end.makeConnection(StringTransport())
     return end.transport.value()
 
@@ -431,7 +431,7 @@
     """What a new process knows once it was told this, by what it would tell the next one."""
     made, end = new_process(folder)
     end.dataReceived(line)
-    return {"told again": sorted_nodes(handover_answer(made)), "states": node_states(made)}
+    return {"told again": sorted_nodes(hot_restart_answer(made)), "states": node_states(made)}
 
 
 def sorted_nodes(line):
@@ -517,7 +517,7 @@
     keep("mesh", mesh_steps())
     keep("gossip", gossip())
     work.mkdir()
-    answer = handover_answer(old_process())
+    answer = hot_restart_answer(old_process())
     name = socket_name(old_process())
     keep("handover", {"socket": name, "answer": sorted_nodes(answer), "imported": imported(work, answer)})
     shutil.rmtree(work)
@@ -610,7 +610,7 @@
 def test_the_old_process_answers_as_recorded():
     known = recorded("handover")
     made = old_process()
-    assert sorted_nodes(handover_answer(made)) == known["answer"]
+    assert sorted_nodes(hot_restart_answer(made)) == known["answer"]
     assert socket_name(made) == known["socket"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -9,12 +9,13 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import FailureState, ServerState
-from ivystack.net.handover import State, Telling
+from ivystack.net.hot_restart import StateServerFactory
+from ivystack.net.hot_restart_state import ProcessState
 
 
 def asked(made):
     """What an old process answers one that asks."""
-    end = Telling(made.handover).buildProtocol(None)
+    end = StateServerFactory(made.hot_restart).buildProtocol(None)
     end.makeConnection(StringTransport())
     return end
 
@@ -28,7 +29,7 @@
     made.begun = []
     made.open = lambda: made.begun.append(made.now())
     if leftover:
-        (tmp_path / f"{made.handover.tag}-1.sock").write_text("")
+        (tmp_path / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     return made
 
@@ -92,7 +93,7 @@
     assert {*new.balancer.servers} == {"n0", "n1"} and new.discovery.generation == 9 and new.begun
 
 
-GOOD = msgspec.json.decode(msgspec.json.encode(State(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
+GOOD = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -209,13 +209,13 @@
     run.fd, run.folder = os.dup(door.fileno()), str(tmp_path)
     made = moment(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
-    old.bind(str(tmp_path / f"{made.proxy.handover.tag}-1.sock"))
+    old.bind(str(tmp_path / f"{made.proxy.hot_restart.tag}-1.sock"))
     old.listen()
     made.start()
     word = old.accept()[0]
     made.turn(made.proxy.terminate)
     word.close()
-    made.until(lambda: made.proxy.handover.then is None)
+    made.until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
     made.pass_by(1)
     assert made.loop.stopped
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -11,7 +11,8 @@
 from ivystack.fleet.settings import Fleet
 from ivystack.mesh.link import MESSAGE
 from ivystack.model import FailureState, Server
-from ivystack.net.handover import MOST, State
+from ivystack.net.hot_restart import MAX_STATE_BYTES
+from ivystack.net.hot_restart_state import ProcessState
 from ivystack.words import mark, order, read_order
 
 MANY = 1024
@@ -64,8 +65,8 @@
     for node in slots:  # each has been met, and failed a class
         made.balancer.health.failed(node.class_failures.setdefault(read, FailureState()), True, 5)
     words = msgspec.json.encode(made.state())
-    assert len(words) < MOST // 2
-    assert len(msgspec.json.decode(words, type=State).nodes) == MANY
+    assert len(words) < MAX_STATE_BYTES // 2
+    assert len(msgspec.json.decode(words, type=ProcessState).servers) == MANY
 
 
 def test_a_thousand_peers_are_told_and_heard():
