--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from . import early  # isort: skip  # first: what it notes may come at any time
+from . import early_signals  # isort: skip  # first: a SIGHUP may come at any time
 
 import gc
 import os
@@ -54,7 +54,8 @@
         signal.signal(name, lambda *_: reactor.callFromThread(end, proxy, together))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, together))
     reactor.callWhenRunning(start, proxy, reactor, together)
-    if early.noted:  # it may have come after the reading: a word of a new configuration is not to be lost
+    # A SIGHUP may have come after the configuration was read: that of the new one is not to be lost.
+    if early_signals.received_hangups:
         reactor.callWhenRunning(reload, proxy, together)
     reactor.run(installSignalHandlers=False)
     return 0 if proxy.started else 1
--- a/ivystack/duties/order.py
+++ b/ivystack/duties/order.py
@@ -27,7 +27,7 @@
     def able(self) -> bool:
         """Whether this proxy sees the list and knows a ready node."""
         now = self.proxy.now()
-        if self.proxy.discovery.body is not None:
+        if self.proxy.endpoint_watch.is_streaming:
             self.since = None
         elif self.since is None:
             self.since = now
--- a/ivystack/fleet/run.py
+++ b/ivystack/fleet/run.py
@@ -17,6 +17,7 @@
 from ..duties.leases import Leases
 from ..duties.run import Duties
 from ..mesh.mesh import Mesh
+from ..net.admin import AdminResponse
 from ..settings import FaultError
 from .settings import Fleet, load
 
@@ -55,7 +56,7 @@
             logger.exception("fleet: could not start")
 
     def begin(self) -> None:
-        self.proxy.admin.calls[b"/_fleet"] = {b"GET": self.told}
+        self.proxy.admin.routes[b"/_fleet"] = {b"GET": self.told}
         self.proxy.reactor.addSystemEventTrigger("before", "shutdown", self.stop)
         self.mesh.start()
         if self.member is not None:
@@ -92,9 +93,9 @@
             self.member.stop()
         self.mesh.stop()
 
-    def told(self) -> tuple[int, str]:
+    def told(self) -> AdminResponse:
         """For operators: how things stand, as JSON."""
         told = {"name": self.fleet.name, "mesh": self.mesh.state(), "duties": self.duties.state()}
         if self.member is not None:
             told["group"] = self.member.state()
-        return 200, orjson.dumps(told).decode()
+        return AdminResponse(200, orjson.dumps(told).decode())
--- a/ivystack/net/admin.py
+++ b/ivystack/net/admin.py
@@ -1,112 +1,149 @@
-"""The operators' address: one call to a connection, answered in the turn in which it has come whole.
+"""The operators' HTTP endpoint: one request a connection, answered in the turn in which it has come whole.
 
-Owns that address and the connections to it.  It must never wait for anything before it answers, keep what a
-caller sends, or do more than ask the proxy: what is done and whether it is refused is the proxy's.
+What a request does, and whether it is rejected, is decided by the handlers; a body is read past.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from http import HTTPStatus
 from io import BytesIO
+from typing import Any, NamedTuple
 
 from loguru import logger
-from twisted.internet.protocol import ServerFactory
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import ServerFactory, connectionDone
+from twisted.python.failure import Failure
 from twisted.web.http import HTTPChannel, Request
 
-from .deadlines import Deadline
+from .deadlines import Deadline, DeadlineQueue
 
-BODY = 4_096  # bytes of a call's body that are read past; no call needs one
+MAX_BODY_BYTES = 4_096  # that are read past; no request needs a body
+MAX_HEADERS = 64
+MAX_HEADER_BYTES = 8_192
+METHOD_LOGGED, PATH_LOGGED = 10, 40  # characters
 
 
-class Call(Request):
-    """One call.  Its body is thrown away as it comes: the library would put a long one into a file."""
+class AdminResponse(NamedTuple):
+    """A handler's answer: the HTTP status and a line of text for the caller."""
 
-    def gotLength(self, length) -> None:  # noqa: N802
-        self.content, self.size = BytesIO(), 0
+    status: int
+    text: str
 
-    def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        self.size += len(data)
-        if self.size > BODY:
+
+AdminHandler = Callable[[], AdminResponse]
+Routes = dict[bytes, dict[bytes, AdminHandler]]  # by path, then by HTTP method
+
+
+class AdminRequest(Request):
+    """One request.  Its body is discarded as it comes: the library would put a long one into a file."""
+
+    channel: AdminChannel
+
+    def gotLength(self, length: int | None) -> None:  # noqa: N802, D102
+        self.content, self.body_bytes = BytesIO(), 0
+
+    def handleContentChunk(self, data: bytes) -> None:  # noqa: N802, D102
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_BODY_BYTES:
             self.channel.drop("too-long")
 
     def process(self) -> None:
-        admin = self.channel.admin
-        methods = admin.calls.get(self.path)
-        if methods is None:
-            code, text = 404, "no such call"
-        elif self.method not in methods:
-            code, text = 405, "no such method for this call"
-            self.setHeader(b"allow", b", ".join(methods))
-        else:
-            code, text = methods[self.method]()
-        self.channel.code = f"{code} {self.method.decode('latin-1'):.10} {self.path.decode('latin-1'):.40}"
+        """Answer the request, which has come whole."""
+        status, text = self._handle()
+        method, path = self.method.decode("latin-1"), self.path.decode("latin-1")
+        self.channel.code = f"{int(status)} {method:.{METHOD_LOGGED}} {path:.{PATH_LOGGED}}"
         body = text.encode() + b"\n"
-        self.setResponseCode(code)
+        self.setResponseCode(status)
         for name, value in ((b"content-type", b"text/plain"), (b"connection", b"close")):
             self.setHeader(name, value)
         self.setHeader(b"content-length", b"%d" % len(body))
         self.write(body)
         self.finish()
 
+    def _handle(self) -> AdminResponse:
+        handlers = self.channel.server.routes.get(self.path)
+        if handlers is None:
+            return AdminResponse(HTTPStatus.NOT_FOUND.value, "no such call")
+        if self.method not in handlers:
+            self.setHeader(b"allow", b", ".join(handlers))
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED.value, "no such method for this call")
+        return handlers[self.method]()
+
 
-class Channel(HTTPChannel):
-    requestFactory = Call  # noqa: N815
-    maxHeaders = 64  # noqa: N815
-    totalHeadersSize = 8_192  # noqa: N815
-    timeOut = None  # noqa: N815  a whole call has one deadline, however its bytes are spread
+class AdminChannel(HTTPChannel):
+    """An operator's connection."""
 
-    def __init__(self, admin: Admin):
+    requestFactory = AdminRequest  # noqa: N815
+    maxHeaders = MAX_HEADERS  # noqa: N815
+    totalHeadersSize = MAX_HEADER_BYTES  # noqa: N815
+    timeOut = None  # noqa: N815  a whole request has one deadline, however its bytes are spread
+    transport: Any
+
+    def __init__(self, server: AdminServer) -> None:
         super().__init__()
-        self.admin = admin
-        self.code: str | None = None
-        self.late: Deadline | None = None
+        self.server = server
+        self.code: str | None = None  # for the log: how it was answered, or why it ended
+        self.deadline: Deadline | None = None
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:  # noqa: N802, D102
         super().connectionMade()
-        self.late = self.admin.deadlines.call_at(
-            self.admin.now() + self.admin.WHOLE, self.drop, "half-a-call"
-        )
-        self.admin.came(self)
+        timeout_at = self.server.now() + self.server.REQUEST_TIMEOUT
+        self.deadline = self.server.deadlines.call_at(timeout_at, self.drop, "half-a-call")
+        self.server.channel_opened(self)
 
-    def checkPersistence(self, request, version) -> bool:  # noqa: N802
+    def checkPersistence(self, request: Request, version: bytes) -> bool:  # noqa: N802, D102
         return False
 
     def drop(self, code: str) -> None:
+        """Abort the connection."""
         self.code = self.code or code
         self.transport.abortConnection()
 
-    def connectionLost(self, reason) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         super().connectionLost(reason)
-        if self.late is not None:
-            self.late.cancel()
-        self.admin.open.pop(self, None)
+        if self.deadline is not None:
+            self.deadline.cancel()
+        self.server.channels.pop(self, None)
         logger.info("end admin code={}", self.code or "caller-closed")
 
 
-class Admin(ServerFactory):
-    noisy = False
-    # Connections at once.  Beyond it the oldest goes: a whole call is answered in the turn that reads it, so
-    # the oldest hold theirs without one, or do not read their answers.
-    MOST = 16
-    WHOLE = 3_000_000  # for a whole call and its answer's reading
+class AdminServer(ServerFactory):
+    """Serves the operators' requests on a few connections at once.
+
+    Beyond `MAX_CONNECTIONS` the oldest is dropped: a whole request is answered in the turn that reads it, so
+    the oldest callers hold theirs without one, or do not read their answers.
+    """
 
-    def __init__(self, deadlines, now, ready, drain, back):
-        """`ready`, `drain` and `back` each answer with a status and a line for the caller."""
+    noisy = False
+    MAX_CONNECTIONS = 16
+    REQUEST_TIMEOUT = 3_000_000  # microseconds for a whole request and for its answer to be read
+
+    def __init__(
+        self,
+        deadlines: DeadlineQueue,
+        now: Callable[[], int],
+        ready: AdminHandler,
+        drain: AdminHandler,
+        resume: AdminHandler,
+    ) -> None:
         self.deadlines, self.now = deadlines, now
-        self.calls = {
+        self.routes: Routes = {
             b"/_ready": {b"GET": ready},
             b"/_lameduck/on": {b"POST": drain},
-            b"/_lameduck/off": {b"POST": back},
+            b"/_lameduck/off": {b"POST": resume},
         }
-        self.open: dict[Channel, None] = {}  # oldest first
-
-    def buildProtocol(self, addr) -> Channel:  # noqa: N802
-        return Channel(self)
-
-    def came(self, channel: Channel) -> None:
-        self.open[channel] = None
-        if len(self.open) > self.MOST:
-            oldest = next(iter(self.open))
-            del self.open[oldest]
-            oldest.transport.doRead()  # its call may lie unread where many came at once
+        self.channels: dict[AdminChannel, None] = {}  # oldest first
+
+    def buildProtocol(self, addr: IAddress | None) -> AdminChannel:  # noqa: N802, D102
+        return AdminChannel(self)
+
+    def channel_opened(self, channel: AdminChannel) -> None:
+        """Note a connection, and drop the oldest if there are too many."""
+        self.channels[channel] = None
+        if len(self.channels) > self.MAX_CONNECTIONS:
+            oldest = next(iter(self.channels))
+            del self.channels[oldest]
+            oldest.transport.doRead()  # its request may lie unread where many came at once
             if oldest.code is None:
                 oldest.drop("no-room")
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -33,16 +33,16 @@
     usable_figures,
 )
 from ..settings import Run, address, doubtful
-from .admin import Admin
+from .admin import AdminResponse, AdminServer
 from .clock import WallAnchoredClock
 from .deadlines import Deadline, DeadlineQueue
-from .discovery import Discovery
+from .endpoint_watch import EndpointWatch, UpdateResult
 from .front import Frame, Front
+from .gossip_socket import GossipSocket
 from .hot_restart import HotRestart, adopt_listening_socket
 from .hot_restart_state import ProcessState, export_state, import_state
 from .in_flight_attempt import InFlightAttempt
 from .listener import ClientListener, listen
-from .peers import Peers
 from .relay import Relay, Upload
 from .reply import Failed, Rejected, Reply, Value
 from .resp import SHORT
@@ -113,14 +113,14 @@
             reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
             self.settings.request_classes, self.settings.tenants, most, run.memory,
         )  # fmt: skip
-        self.discovery = Discovery(
+        self.endpoint_watch = EndpointWatch(
             reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
         )  # fmt: skip
-        self.peers = Peers(run.peers, self.told)
+        self.gossip = GossipSocket(run.peers, self.told)
         self.hot_restart = HotRestart(
             reactor, self.deadlines, self.now, run.folder, run.listen, self.state, self.two
         )  # fmt: skip
-        self.admin = Admin(self.deadlines, self.now, self.serves, self.drain, self.back)
+        self.admin = AdminServer(self.deadlines, self.now, self.serves, self.drain, self.back)
         self.limits = run.sockets, run.memory  # the start's
         self.port = None
         self.started = self.ending = False
@@ -136,7 +136,7 @@
         self.warn(self.run)
         if self.run.known:
             try:
-                self.discovery.known(self.run.known)
+                self.endpoint_watch.load_known(self.run.known)
             except Exception as fault:  # guards the start: the watch will bring a list
                 logger.error("known: a list that can't be used: {}: {}", type(fault).__name__, fault)
         if self.run.admin:  # first: it answers no until we serve
@@ -161,9 +161,9 @@
         if state is None:
             return
         try:
-            if state.generation >= self.discovery.generation:
+            if state.generation >= self.endpoint_watch.generation:
                 listing = dict(generation=state.generation, reset=True, instances=state.instances)
-                self.discovery.known(listing)
+                self.endpoint_watch.load_known(listing)
             import_state(state, self.balancer, self.settings.request_classes, self.now())
         except Exception as fault:  # guards the start against whatever an old process may tell
             logger.error("hot restart: the state could not be imported: {}: {}", type(fault).__name__, fault)
@@ -179,7 +179,7 @@
             self.hot_restart.listen()
         else:
             self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
-        self.discovery.watch()
+        self.endpoint_watch.request_watch()
         logger.info("start name={} nodes={}", self.run.name, len(self.balancer.servers))
         self.started = True
         self.settle()
@@ -202,7 +202,7 @@
             for node in self.balancer.servers.values()
             if node.state in listed and node.name in pools
         ]  # fmt: skip
-        classes, generation = self.settings.request_classes, self.discovery.generation
+        classes, generation = self.settings.request_classes, self.endpoint_watch.generation
         return export_state(self.balancer, classes, generation, instances)
 
     def two(self, two: bool) -> None:
@@ -218,7 +218,7 @@
         if self.ending:
             return
         try:
-            self.reactor.listenUDP(port, self.peers, interface=host)
+            self.reactor.listenUDP(port, self.gossip, interface=host)
         except CannotListenError:
             if self.run.fd is None:
                 raise
@@ -242,8 +242,8 @@
             last = max((held.request.deadline for held in self.held.values()), default=0)
             over = max(last, self.now()) + 2 * self.LAST  # by then none of their requests is left
             self.deadlines.call_at(over, self.settings.forget, former)
-        self.peers.at(run.peers)
-        self.discovery.move(run.discovery)
+        self.gossip.set_peers(run.peers)
+        self.endpoint_watch.change_address(run.discovery)
         self.settle()
 
     def pool_settings(self, run: Run) -> PoolSettings:
@@ -262,7 +262,7 @@
         logger.info("stop asked requests={}", len(self.requests))
         self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
         if inherited:
-            self.peers.leave()
+            self.gossip.close()
         self.deadlines.call_at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
 
     def stop_taking(self) -> None:
@@ -283,30 +283,32 @@
             self.deadlines.call_at(self.now() + 10_000, self.finish)
         else:
             logger.info("stop")
-            self.discovery.stop()
+            self.endpoint_watch.stop()
             self.server_pools.mark_stopping()
             self.reactor.stop()
 
     # The operators' calls.
 
-    def serves(self) -> tuple[int, str]:
+    def serves(self) -> AdminResponse:
         if self.ending or self.front.draining:
-            return 503, "draining"
-        return (200, "ready") if self.started and self.ready() else (503, "no cache node is ready")
+            return AdminResponse(503, "draining")
+        if self.started and self.ready():
+            return AdminResponse(200, "ready")
+        return AdminResponse(503, "no cache node is ready")
 
-    def drain(self) -> tuple[int, str]:
+    def drain(self) -> AdminResponse:
         if not self.ending and not self.front.draining:
             logger.info("drain clients={} requests={}", len(self.front.clients), len(self.requests))
             self.front.drain("drained", Front.SPREAD, Front.HALVES)
-        return 200, "draining"
+        return AdminResponse(200, "draining")
 
-    def back(self) -> tuple[int, str]:
+    def back(self) -> AdminResponse:
         if self.ending:
-            return 409, "stopping: there is no way back"
+            return AdminResponse(409, "stopping: there is no way back")
         if self.front.draining:
             logger.info("drain over clients={}", len(self.front.clients))
             self.front.keep()
-        return 200, "serving"
+        return AdminResponse(200, "serving")
 
     def ready(self) -> bool:
         return any(node.state == ServerState.READY for node in self.balancer.servers.values())
@@ -418,7 +420,7 @@
         """Does what is due, or decides on a request."""
         match action:
             case SendGossip(peer, datagram):
-                self.peers.say(peer, datagram)
+                self.gossip.send(peer, datagram)
             case CloseIdleConnections(server):
                 self.server_pools.release(server.name)
             case request:
@@ -547,7 +549,7 @@
 
     # News.
 
-    def listed(self, entries: list[dict], whole: bool) -> tuple[bool, bool]:
+    def listed(self, entries: list[dict], whole: bool) -> UpdateResult:
         """Takes the news.  Whether all of it could be used, and whether what could not is new to us."""
         nodes, useless, new = [], False, False
         settling, self.settling = self.settling, True  # what ends by the news is decided by all of it
@@ -568,7 +570,7 @@
             self.settling = settling
         self.server_pools.forget_unlisted(self.balancer.servers)
         self.settle()
-        return not useless, new
+        return UpdateResult(not useless, new)
 
     def entry(self, entry: dict) -> Server:
         name, where = entry["instanceId"], entry.get("hostPort")
--- a/ivystack/net/trace.py
+++ b/ivystack/net/trace.py
@@ -16,11 +16,11 @@
 
     __slots__ = ("enabled",)
 
-    def __init__(self, enabled: bool):
+    def __init__(self, enabled: bool) -> None:
         self.enabled = enabled
 
-    def step(self, request_id: bytes, event: str, **fields) -> None:
-        """Logs one step; callers ask `enabled` first, so that a trace that is off costs nothing."""
+    def step(self, request_id: bytes, event: str, **fields: object) -> None:
+        """Log one step; callers ask `enabled` first, so that a trace that is off costs nothing."""
         text = " ".join(f"{name}={value}" for name, value in fields.items())
         logger.info("request id={} event={} {}", request_id.decode("latin-1"), event, text)
 
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -156,7 +156,7 @@
                 one.transport.abortConnection()
             if self.proxy.port is not None and self.proxy.port.connected:
                 self.proxy.port.stopListening()
-            self.proxy.discovery.stop()
+            self.proxy.endpoint_watch.stop()
             self.proxy.deadlines.heap.clear()
             self.proxy.deadlines.call_at = lambda *_: None
 
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ivystack.net.admin import Admin
+from ivystack.net.admin import AdminServer
 from ivystack.net.front import Client, Front
 from ivystack.net.listener import ClientTransport
 from ivystack.net.resp import command
@@ -311,7 +311,7 @@
         callers = []
 
         def all_at_once() -> None:
-            for _ in range(Admin.MOST + 8):
+            for _ in range(AdminServer.MAX_CONNECTIONS + 8):
                 callers.append(socket.create_connection(run.admin, timeout=10))
                 callers[-1].sendall(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
 
--- a/tests/test_told.py
+++ b/tests/test_endpoint_watch.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
 
-from ivystack.net.discovery import Discovery
+from ivystack.net.endpoint_watch import EndpointWatch, UpdateResult
 from ivystack.net.deadlines import DeadlineQueue
 from ivystack.settings import Settings
 
@@ -83,12 +83,12 @@
     settings = Settings(seed, {"discovery": mode, "rules": rules})
     deadlines, news = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S)), []
     agent = Agent(reactor, kinds, start + back_at)
-    made = Discovery(
+    made = EndpointWatch(
         reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1),
-        lambda entries, whole: news.append(deadlines.now() - start) or (True, False),
+        lambda entries, whole: news.append(deadlines.now() - start) or UpdateResult(True, False),
     )  # fmt: skip
     made.agent = agent
-    made.watch()
+    made.request_watch()
     for _ in range(200 * 30):
         if news:
             return news[0], [at - start for at in agent.calls]
@@ -133,10 +133,10 @@
     reactor.advance(1000)
     settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
     deadlines = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S))
-    made = Discovery(reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1), None)
-    made.watch = lambda: calls.append(deadlines.now())
+    made = EndpointWatch(reactor, deadlines, deadlines.now, settings.asking, ("127.0.0.1", 1), None)
+    made.request_watch = lambda: calls.append(deadlines.now())
     silent = deadlines.now()
-    made.heard()
+    made.note_activity()
     for _ in range(1200):
         reactor.advance(0.005)
     assert calls and calls[0] <= silent + TOLD - 500 * MS
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -184,7 +184,7 @@
         consecutive_failures=1, connection_failed=True, next_probe_at=now + 2 * S, probes=3
     )
     made.balancer.room.common = 0.5
-    made.discovery.generation = 41
+    made.endpoint_watch.generation = 41
     return made
 
 
@@ -195,7 +195,7 @@
     run = told()
     run.fd, run.folder = 3, str(folder)
     made = proxy(0, run=run)
-    made.discovery.watch = made.open = lambda: None
+    made.endpoint_watch.request_watch = made.open = lambda: None
     (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     path, factory = made.reactor.unixClients[-1][:2]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -25,7 +25,7 @@
     run = told()
     run.fd, run.folder = 3, str(tmp_path)
     made = proxy(0, run=run)
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.begun = []
     made.open = lambda: made.begun.append(made.now())
     if leftover:
@@ -57,7 +57,7 @@
     read.attempt_times.extend([5, 6, 7])
     nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
     old.balancer.room.common = 0.5
-    old.discovery.generation = 41
+    old.endpoint_watch.generation = 41
     new = starting(tmp_path)
     assert new.begun == []
     end_of(new).dataReceived(asked(old).transport.value())
@@ -81,16 +81,16 @@
     )
     mine = new.settings.request_classes["read"]
     assert [*mine.attempt_times] == [5, 6, 7] and got["n3"].class_failures[mine].consecutive_failures == 2
-    assert new.balancer.room.common == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
+    assert new.balancer.room.common == 0.5 and new.endpoint_watch.generation == 41 and len(new.begun) == 1
     assert new.server_pools.pools["n1"].address == old.server_pools.pools["n1"].address
 
 
 def test_a_list_newer_than_the_old_processs_stays(tmp_path):
     old = proxy(1)
     new = starting(tmp_path)
-    new.discovery.known({"generation": 9, "reset": True, "instances": entries(2)})
+    new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": entries(2)})
     end_of(new).dataReceived(asked(old).transport.value())
-    assert {*new.balancer.servers} == {"n0", "n1"} and new.discovery.generation == 9 and new.begun
+    assert {*new.balancer.servers} == {"n0", "n1"} and new.endpoint_watch.generation == 9 and new.begun
 
 
 GOOD = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
@@ -138,7 +138,7 @@
 def test_without_an_inherited_socket_nobody_is_asked_or_listened_for():
     # On the large fleet's days there are no Unix sockets.
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     assert not made.reactor.unixClients and not made.reactor.unixServers and made.port is not None
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -322,17 +322,19 @@
     spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
     made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
-    made.until(lambda: made.proxy.discovery.body is None)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.pass_by(made.proxy.settings.pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
     agent.line(watch, 3, nodes[1].entry())
     made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
-    assert made.turn(lambda: made.proxy.discovery.body is not None and made.proxy.discovery.lacking)
+    assert made.turn(
+        lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
+    )
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
     made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
-    assert not made.proxy.discovery.lacking and made.proxy.discovery.generation == 4
+    assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
 
 
 def test_a_drain_counts_though_its_address_is_spoilt(moment):
@@ -355,7 +357,7 @@
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
     watch.close()
-    made.until(lambda: made.proxy.discovery.body is None)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.pass_by(made.proxy.settings.pauses[1] * 2)
     assert agent.call()[1] == 2
 
@@ -533,7 +535,7 @@
     to_node = node.accept()
     to_node.take()
     agent.line(watch, 2, whole=True)
-    made.until(lambda: made.proxy.discovery.generation == 2)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 2)
     to_node.send(hit())
     assert asking.take() == b"v" and to_node.take() is None
 
@@ -543,25 +545,26 @@
     made = moment(discovery=first)
     watch, _ = first.call()
     first.line(watch, 7, Node("n0").entry(), whole=True)
-    made.until(lambda: made.proxy.discovery.generation == 7)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
-    made.until(lambda: made.proxy.discovery.body is None)  # the pause: time stands still
-    made.turn(made.proxy.discovery.move, second.address)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
+    made.turn(made.proxy.endpoint_watch.change_address, second.address)
     watch, since = second.call()
     assert since == 7
-    made.until(lambda: made.proxy.discovery.body is not None)
+    made.until(lambda: made.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
         nowhere = free.getsockname()
-    made.turn(made.proxy.discovery.move, nowhere)
-    made.until(lambda: made.proxy.discovery.call is None and made.proxy.discovery.body is None)
+    made.turn(made.proxy.endpoint_watch.change_address, nowhere)
+    made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
     second.line(watch, 9, Node("n0").entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
-    made.turn(made.proxy.discovery.move, hung.getsockname())
+    made.turn(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
     late.recv(65_536)
-    made.turn(made.proxy.discovery.move, first.address)  # amid the call, whose answer comes too late
+    # Amid the call, whose answer comes too late.
+    made.turn(made.proxy.endpoint_watch.change_address, first.address)
     watch, since = first.call()
     assert since == 7
     late.close()
     first.line(watch, 8, Node("n1").entry())
-    made.until(lambda: made.proxy.discovery.generation == 8 and len(made.proxy.balancer.servers) == 2)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -414,7 +414,7 @@
 
 def test_after_sigterm_all_that_is_held_is_finished():
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     idle, asking = client(made), client(made)
     made.terminate()
@@ -468,8 +468,8 @@
 def test_a_silent_watch_is_begun_anew():
     made = proxy()
     calls = []
-    made.discovery.watch = lambda: calls.append(made.now())
-    made.discovery.heard()
+    made.endpoint_watch.request_watch = lambda: calls.append(made.now())
+    made.endpoint_watch.note_activity()
     made.reactor.advance(4.9)
     assert not calls
     made.reactor.pump([0.2, 1])
@@ -479,11 +479,11 @@
 def test_lines_of_the_watch_are_news_and_bad_ones_begin_it_anew():
     made = proxy(0)
     calls = []
-    made.discovery.watch = lambda: calls.append(made.discovery.generation)
-    made.discovery.line(b'{"generation":7,"reset":true,"instances":[]}')
-    made.discovery.line(b"")
-    assert made.discovery.generation == 7 and not calls
-    made.discovery.line(b'{"generation":')
+    made.endpoint_watch.request_watch = lambda: calls.append(made.endpoint_watch.generation)
+    made.endpoint_watch.line_received(b'{"generation":7,"reset":true,"instances":[]}')
+    made.endpoint_watch.line_received(b"")
+    assert made.endpoint_watch.generation == 7 and not calls
+    made.endpoint_watch.line_received(b'{"generation":')
     made.reactor.advance(1)
     assert calls == [7]
 
@@ -491,10 +491,10 @@
 def test_words_of_strangers_and_wrong_words_do_nothing():
     made = proxy(peers=True)
     heard = []
-    made.peers.addresses, made.peers.senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
-    made.peers.told = heard.append
-    made.peers.datagramReceived(b"x", ("127.0.0.4", 9))
-    made.peers.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
+    made.gossip.peers, made.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
+    made.gossip.on_datagram = heard.append
+    made.gossip.datagramReceived(b"x", ("127.0.0.4", 9))
+    made.gossip.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
     assert not heard
     made.told(b"\xff" * 7)
     made.balancer.receive_gossip = None
@@ -744,12 +744,12 @@
     # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
     made = proxy()
     waits = []
-    made.discovery.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
+    made.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
     for mode in ("push", "ask"):
         settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
         made.settings.take(settings)
-        made.discovery.asking.failures = 0
-        made.discovery.broke("watch-ended")
+        made.endpoint_watch.backoff.failures = 0
+        made.endpoint_watch.connection_broke("watch-ended")
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -4,7 +4,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ivystack.net.admin import BODY, Admin
+from ivystack.net.admin import MAX_BODY_BYTES, AdminServer
 from ivystack.net.resp import command
 
 PING = command(b"PING")
@@ -12,7 +12,7 @@
 
 def serving(count=1):
     made = proxy(count)
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     return made
 
@@ -48,7 +48,7 @@
 
 def test_ready_is_yes_exactly_while_clients_are_taken():
     made = proxy(0)
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     assert ask(made, "GET /_ready") == 503  # not started
     made.start()
     assert ask(made, "GET /_ready") == 503  # no node
@@ -68,7 +68,8 @@
     assert ask(made, "GET /") == 404 and ask(made, "POST /_ready") == 405
     assert ask(made, "GET /_lameduck/on") == 405 and ask(made, "nonsense") == 400
     long = caller(made)
-    long.dataReceived(b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n" + b"x" * (BODY + 1))
+    head = b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"
+    long.dataReceived(head + b"x" * (MAX_BODY_BYTES + 1))
     endless = caller(made)
     endless.dataReceived(b"GET /_ready HTTP/1.1\r\n" + b"A: b\r\n" * 5_000)
     assert long.transport.disconnected and endless.transport.disconnecting and not made.front.draining
@@ -77,13 +78,13 @@
 def test_callers_without_a_whole_call_keep_nobody_from_an_answer():
     # Guards the operators: each of these holds its connection, and they are more than may be open at once.
     made = serving()
-    holding = [caller(made) for _ in range(3 * Admin.MOST)]
+    holding = [caller(made) for _ in range(3 * AdminServer.MAX_CONNECTIONS)]
     for one in holding:
         one.dataReceived(b"GET /_ready HT")
     assert ask(made, "GET /_ready") == 200
-    assert len(made.admin.open) <= Admin.MOST and holding[0].transport.disconnected
+    assert len(made.admin.channels) <= AdminServer.MAX_CONNECTIONS and holding[0].transport.disconnected
     assert not holding[-1].transport.disconnected
-    made.reactor.advance(Admin.WHOLE / S)
+    made.reactor.advance(AdminServer.REQUEST_TIMEOUT / S)
     assert all(one.transport.disconnected for one in holding)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -246,7 +246,7 @@
 
 def test_a_drain_finishes_what_is_being_passed_on():
     made, asking, node = asked()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     node.dataReceived(HEAD + LONG[:1000])
     made.drain()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -96,7 +96,7 @@
 
 def test_settings_are_taken_up_in_a_drain_and_at_the_end():
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     made.drain()
     made.reload(told(methods=[sheet("new")]))
