--- a/ivystack/duties/trials.py
+++ b/ivystack/duties/trials.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from ..model import ServerState
-from ..net.resp import Resp, command
+from ..net.resp import RespProtocol, encode_command
 
 EVERY = 500_000  # microseconds to the second look at a node, as to its first trial; doubled twice
 WAIT = 400_000  # for a connection and its answer: a node that takes longer is in no state to be tried
@@ -28,7 +28,7 @@
 word_of = tuple[int, dict[str, bool]]  # token; whether each node was reached
 
 
-class Look(Resp):
+class Look(RespProtocol):
     """One connection to a node, a PING on it; nothing else is ever written there."""
 
     def __init__(self, done: Callable[[bool], None]):
@@ -36,13 +36,13 @@
         self.done = done
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.transport.write(command(b"PING"))
+        self.transport.write(encode_command(b"PING"))
 
-    def received(self, value) -> None:
+    def value_received(self, value) -> None:
         self.done(value == "+PONG")
         self.transport.loseConnection()
 
-    def malformed(self, why: str) -> None:
+    def fail_protocol(self, why: str) -> None:
         self.done(False)
         self.transport.loseConnection()
 
--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -13,7 +13,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet.protocol import ClientFactory
 
-from ..net.resp import LONGEST, Resp, command
+from ..net.resp import MAX_VALUE, RespProtocol, encode_command
 from .arrivals import Arrival
 
 SERVED, NACKED, FAILED, LOST, NEVER, UNSENT = "served", "nacked", "failed", "lost", "never", "unsent"
@@ -65,10 +65,10 @@
     lag: int = 0  # how much later than due it was sent
 
 
-class Link(Resp):
+class Link(RespProtocol):
     """A connection to a proxy, one command at a time."""
 
-    most = LONGEST
+    max_value_size = MAX_VALUE
 
     def __init__(self, clients: Clients, proxy: str):
         super().__init__()
@@ -84,12 +84,12 @@
         self.here = here.host, here.port
         self.clients.up(self)
 
-    def received(self, value) -> None:
+    def value_received(self, value) -> None:
         self.clients.answered(self, value)
 
-    def malformed(self, why: str) -> None:
+    def fail_protocol(self, why: str) -> None:
         self.clients.answered(self, "!" + why)
-        self.drop(why)
+        self.abort(why)
 
     def connectionLost(self, reason) -> None:  # noqa: N802
         self.clients.lost(self)
@@ -181,7 +181,7 @@
         fields += b",k=%b" % asked.mark if asked.mark else b""
         fields += b",r=1" if len(asked.tries) > 1 else b""
         parts = [b"OBJ.SET" if method.write else b"OBJ.GET", asked.arrival.key, ident, fields]
-        link.transport.write(command(*parts, *([b"value of " + ident] if method.write else [])))
+        link.transport.write(encode_command(*parts, *([b"value of " + ident] if method.write else [])))
         self.reactor.callLater((method.wait + 1_000_000) / 1e6, self.waited, link, made)
 
     # What comes of it.
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -14,8 +14,8 @@
 
 from ..model import Attempt, Idempotency, Outcome
 from . import tables
-from .relay import Relay, Upload
-from .resp import LONGEST, VALUE, Given, Resp, no_delay
+from .resp import MAX_BUFFERED_VALUE, MAX_VALUE, RespProtocol, StreamedValue, disable_nagle
+from .streams import MIN_WINDOW, RequestStream, ResponseStream
 from .trace import trace
 
 
@@ -24,7 +24,7 @@
 
     __slots__ = ("attempt", "frame", "upload", "link", "place", "until", "last_byte", "over", "report", "hit")
 
-    def __init__(self, attempt: Attempt, frame, upload: Upload | None = None):
+    def __init__(self, attempt: Attempt, frame, upload: RequestStream | None = None):
         self.attempt, self.frame, self.upload = attempt, frame, upload
         self.link: Link | None = None
         self.place: Place | None = None
@@ -38,7 +38,7 @@
         """Its last byte has not gone out: the node can't have begun it."""
         if self.link is None:
             return False
-        return (self.upload is not None and not self.upload.whole) or self.last_byte > self.link.gone_out()
+        return (self.upload is not None and not self.upload.sent) or self.last_byte > self.link.gone_out()
 
 
 class Place:
@@ -56,11 +56,11 @@
         self.opening: dict[Link, object] = {}  # with the connector of each
 
 
-class Link(Resp):
+class Link(RespProtocol):
     """A connection to a node; answers come in the order of the attempts on it."""
 
-    most = LONGEST
-    arrays_from = 2  # the load report; the value and how it went are none
+    max_value_size = MAX_VALUE
+    first_array_index = 2  # the load report; the value and how it went are none
 
     def __init__(self, nodes: Nodes, place: Place):
         super().__init__()
@@ -72,7 +72,7 @@
         self.reading = False  # more may lie behind the answer just read
         self.last = (0, 0)  # the value that came last, hashed, or a long one's size; and when
         self.busy_at = -Nodes.DOUBT  # when it last turned an attempt away
-        self.relay: Relay | None = None  # the long answer that is being passed on
+        self.relay: ResponseStream | None = None  # the long answer that is being passed on
         self.written = 0  # bytes that were given to the transport for attempts
         self.slot = nodes.links.put(self)
 
@@ -89,7 +89,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         self.up = True
-        no_delay(self.transport)
+        disable_nagle(self.transport)
         self.nodes.came_up(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -99,39 +99,43 @@
         if self.code is None:
             self.nodes.read(self)
 
-    def begins(self, size: int):
-        if self.open != [([], 3)]:
-            return self.malformed("too long")
+    def stream_started(self, size: int):
+        if self.open_arrays != [([], 3)]:
+            return self.fail_protocol("too long")
         return self.nodes.begun(self, size)
 
-    def part(self, part) -> None:
-        super().part(part)
+    def element_received(self, element) -> None:
+        super().element_received(element)
         # A report that never comes whole must not keep the end of a value from the client.
-        if self.relay and self.open and len(self.open[0][0]) == 2:
-            if outcome_of([*self.open[0][0], None]) == Outcome.SUCCEEDED:
-                self.relay.whole()
+        if self.relay and self.open_arrays and len(self.open_arrays[0].elements) == 2:
+            if outcome_of([*self.open_arrays[0].elements, None]) == Outcome.SUCCEEDED:
+                self.relay.complete()
 
-    def received(self, value) -> None:
+    def value_received(self, value) -> None:
         self.nodes.answered(self, value)
 
-    def drop(self, code: str) -> None:
-        super().drop(code)
+    def abort(self, code: str) -> None:
+        super().abort(code)
         self.cut()
 
     def cut(self) -> None:
         relay, self.relay = self.relay, None
         if relay is not None:
-            relay.broken()
-
-    def malformed(self, why: str) -> None:
-        report = [*self.open[0][0], None] if self.open and len(self.open[0][0]) == 2 else None
+            relay.fail()
+
+    def fail_protocol(self, why: str) -> None:
+        report = (
+            [*self.open_arrays[0].elements, None]
+            if self.open_arrays and len(self.open_arrays[0].elements) == 2
+            else None
+        )
         if self.out and report and outcome_of(report) == Outcome.SUCCEEDED:
             self.nodes.answered(self, report)  # the value is whole: a bad load report must not spoil it
         self.nodes.spoilt(self, why)
 
     def connectionLost(self, reason) -> None:  # noqa: N802
         self.cut()
-        self.nodes.lost(self, self.ended(reason, "node"))
+        self.nodes.lost(self, self.end_code(reason, "node"))
 
 
 class Opening(ClientFactory):
@@ -161,7 +165,7 @@
     ['None', 'cache-miss']
     """
     if isinstance(value, list) and len(value) == 3 and isinstance(value[1], bytes | None):
-        if isinstance(value[0], bytes | Given):
+        if isinstance(value[0], bytes | StreamedValue):
             return Outcome.SUCCEEDED
         return Outcome.CACHE_MISS if aside and value[0] is None and value[1] == b"miss" else None
     if not isinstance(value, str) or not value.startswith("-"):
@@ -191,7 +195,7 @@
         self.wanted = wanted
         self.reactor, self.deadlines, self.now = reactor, deadlines, now
         self.ended = ended  # told of each attempt's outcome, once, never from within `send`
-        self.relaying: dict[Link, Relay] = {}
+        self.relaying: dict[Link, ResponseStream] = {}
         self.tune(idle, connect_timeout, deep, aside)
         self.links = tables.Slots()
         self.places: dict[str, Place] = {}
@@ -308,11 +312,11 @@
         link.carried += 1
         rest = max(1, (sending.attempt.timeout_at - self.now()) // 1000)
         if trace.enabled:
-            trace.step(sending.frame.ident, "sent", node=link.place.name, link=link.slot, told_ms=rest)
+            trace.step(sending.frame.request_id, "sent", node=link.place.name, link=link.slot, told_ms=rest)
         if sending.upload is not None:
-            link.send(sending.frame.telling(sending.upload.rest))
-            return sending.upload.sent_to(link)
-        link.send(sending.frame.telling(rest))
+            link.send(sending.frame.encode(sending.upload.told_timeout_ms))
+            return sending.upload.send_to(link)
+        link.send(sending.frame.encode(rest))
         sending.last_byte = link.written
 
     def call_off(self, sending: Sending) -> None:
@@ -347,10 +351,10 @@
             self.end(
                 sending, Outcome.NOT_SENT if outcome == Outcome.CANCELLED else Outcome.CONNECTION_REFUSED
             )
-            return link.drop(code)
+            return link.abort(code)
         others = [other for other in link.out if other is not sending]
         if not self.linger and all(other.over for other in others):
-            link.drop(code)
+            link.abort(code)
         elif not any(other.over for other in others):  # else it is seen to already
             # Also where a connection takes one at a time by now: guards those that are on it from before.
             link.deadline = self.deadlines.at(self.now() + self.LINGER, self.lingered, link, code)
@@ -360,7 +364,7 @@
         if link.relay is None and all(sending.over for sending in link.out):
             # Guards the next request there: where one connection says nothing more, idle ones are no better.
             self.leave(link.place, "suspect")
-            return link.drop(code)
+            return link.abort(code)
         link.deadline = self.deadlines.at(self.now() + self.LINGER, self.lingered, link, code)
 
     def end(self, sending: Sending, outcome: str, value: bytes | None = None) -> None:
@@ -369,13 +373,13 @@
         sending.over = True
         if trace.enabled:
             link = sending.link.slot if sending.link else "none"
-            trace.step(sending.frame.ident, "ended", node=sending.place.name, link=link, outcome=outcome)
+            trace.step(sending.frame.request_id, "ended", node=sending.place.name, link=link, outcome=outcome)
         for deadline in sending.until:
             self.deadlines.drop(deadline)
         if sending.link is None:
             sending.place.waiting.remove(sending)
         if sending.upload is not None and sending.partial():
-            sending.upload.broke()
+            sending.upload.attempt_failed()
         self.ended(sending, outcome, value)
 
     def through(self, sending: Sending, until: int) -> None:
@@ -428,16 +432,16 @@
 
     def answered(self, link: Link, value) -> None:
         if not link.out:
-            return link.drop("strange: an answer to nothing")
+            return link.abort("strange: an answer to nothing")
         outcome = outcome_of(value, self.aside)
         if outcome is None:
             return self.spoilt(link, f"{value!r:.40}")
         if link.relay is not None:
             self.relaying.pop(link, None)
             relay, link.relay = link.relay, None
-            link.transport.bufferSize = VALUE
+            link.transport.bufferSize = MAX_BUFFERED_VALUE
             link.last = relay.size, self.now()
-            relay.whole()
+            relay.complete()
         elif outcome == Outcome.SUCCEEDED:
             # Guards the next request against a second copy of this answer that crossed its attempt.
             last, link.last = link.last, (hash(value[0]), self.now())
@@ -467,56 +471,56 @@
                 outcome = Outcome.ERROR  # to what it has not seen whole
             self.end(sending, outcome, value[0] if outcome == Outcome.SUCCEEDED else None)
         if early:
-            link.drop("early: an answer to half a write")
+            link.abort("early: an answer to half a write")
 
     # Long answers.
 
     def begun(self, link: Link, size: int):
         """A long answer begins: its request is satisfied by it, and who asked gets it as it comes."""
         if not link.out:
-            return link.drop("strange: an answer to nothing")
+            return link.abort("strange: an answer to nothing")
         if link.last[0] == size and self.now() - link.last[1] < self.COPY:
             return self.spoilt(link, "a second copy")
         sending = link.out[0]
         if sending.over:
             return lambda piece: None
         # A connection's piece, the client's, and what lies between them.
-        window = max(Relay.LEAST, min(VALUE, self.pieces // (3 * (len(self.relaying) + 1))))
-        relay = link.relay = self.relaying[link] = Relay(link, size, window)
+        window = max(MIN_WINDOW, min(MAX_BUFFERED_VALUE, self.pieces // (3 * (len(self.relaying) + 1))))
+        relay = link.relay = self.relaying[link] = ResponseStream(link, size, window)
         link.place.broke = 0
         self.end(sending, Outcome.SUCCEEDED, relay)
         self.stalled(link, relay, -1)
-        return relay.piece
+        return relay.piece_received
 
-    def stalled(self, link: Link, relay: Relay, passed: int) -> None:
+    def stalled(self, link: Link, relay: ResponseStream, passed: int) -> None:
         """Guards against a node that says nothing more in the middle; a client that takes nothing is its own
         connection's matter."""
-        if link.relay is not relay or relay.over:
+        if link.relay is not relay or relay.ended:
             return
-        if passed == relay.passed and not link.paused:
-            return link.drop("stalled")
-        self.deadlines.at(self.now() + self.STALLS, self.stalled, link, relay, relay.passed)
+        if passed == relay.received_bytes and not link.paused:
+            return link.abort("stalled")
+        self.deadlines.at(self.now() + self.STALLS, self.stalled, link, relay, relay.received_bytes)
 
     def unwanted(self, link: Link) -> None:
         """The client has gone in the middle of a long answer."""
-        left = link.relay.size - link.relay.passed if link.relay else 0
+        left = link.relay.size - link.relay.received_bytes if link.relay else 0
         if left > self.LITTLE and all(sending.over for sending in link.out):
-            link.drop("called-off")
+            link.abort("called-off")
 
     def read(self, link: Link) -> None:
         """All that came has been read: only now may the link carry the next attempt, whose answer could not
         be told from what came too much before it."""
         if link.out:
             return
-        if not link.between():
-            link.drop("strange: more than an answer")
+        if not link.at_message_boundary():
+            link.abort("strange: more than an answer")
         elif link not in self.resting:
             self.free(link)
 
     def spoilt(self, link: Link, why: str) -> None:
         """What came is no answer: the attempt it came for has failed and may have run.  Those behind it get
         no answer any more; that is held against the node once, not once for each."""
-        link.drop(f"strange: {why}")
+        link.abort(f"strange: {why}")
         self.end_all(link, Outcome.ERROR)
 
     def end_all(self, link: Link, outcome: str) -> None:
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -35,14 +35,16 @@
 from ..settings import Run, address, doubtful
 from .admin import Admin
 from .discovery import Discovery
-from .front import Frame, Front
+from .client_drain import ClientDrain
+from .client_server import ClientRequest, ClientServer, RequestCallbacks
 from .handover import Handover, State, adopt, take, told
 from .listener import ClientListener, listen
 from .nodes import Nodes, Sending
 from .peers import Peers
-from .relay import Upload
 from .reply import Failed, Rejected, Reply, Value
-from .resp import SHORT
+from .request_frame import RequestFrame
+from .resp import MAX_ARGUMENT
+from .streams import RequestStream
 from .tables import Clock, Deadlines, Slots
 from .trace import trace
 
@@ -59,14 +61,22 @@
         "upload",
         "wait",
         "reply",
-        "still_there",
+        "is_connected",
         "slot",
         "last_call",
         "place_by",
     )
 
-    def __init__(self, request: Request, frame: Frame, reply, upload: Upload | None, wait: int, still_there):
-        self.still_there = still_there
+    def __init__(
+        self,
+        request: Request,
+        frame: RequestFrame,
+        reply,
+        upload: RequestStream | None,
+        wait: int,
+        is_connected,
+    ):
+        self.is_connected = is_connected
         self.request, self.frame, self.reply, self.slot = request, frame, reply, -1
         self.upload, self.wait = upload, wait
         self.last_call: list | None = None
@@ -101,13 +111,25 @@
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
         self.nodes = Nodes(
             reactor, self.deadlines, self.now, self.ended, run.sockets, run.idle, run.connect_timeout,
-            self.deep(), self.aside(), run.memory // Front.HELD, self.wanted,
-        )  # fmt: skip
-        most = run.sockets - self.nodes.most - Front.SPARE
-        self.front = Front(
-            reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
-            self.settings.request_classes, self.settings.tenants, most, run.memory,
+            self.deep(), self.aside(), run.memory // ClientServer.VALUE_MEMORY_DIVISOR, self.wanted,
         )  # fmt: skip
+        most = run.sockets - self.nodes.most - ClientServer.RESERVED_DESCRIPTORS
+        self.client_server = ClientServer(
+            reactor,
+            self.deadlines,
+            self.now,
+            RequestCallbacks(
+                admit=self.admit,
+                begin=self.begin_on,
+                abandon=self.gone,
+                abort_upload=self.cut,
+                is_ready=self.ready,
+            ),
+            self.settings.request_classes,
+            self.settings.tenants,
+            most,
+            run.memory,
+        )
         self.discovery = Discovery(
             reactor, self.deadlines, self.now, self.settings.asking, run.discovery, self.listed,
         )  # fmt: skip
@@ -169,10 +191,10 @@
         if self.run.peer_listen:
             self.talk(*self.run.peer_listen)
         if self.run.fd is not None:
-            self.port = adopt(self.reactor, self.run.fd, self.front)
+            self.port = adopt(self.reactor, self.run.fd, self.client_server)
             self.handover.listen()
         else:
-            self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
+            self.port = self.listen(self.reactor, *self.run.listen, self.client_server, self.BACKLOG)
         self.discovery.watch()
         logger.info("start name={} nodes={}", self.run.name, len(self.balancer.servers))
         self.started = True
@@ -201,8 +223,11 @@
         """Another process is there, or has gone: together they keep within the bounds of one."""
         logger.info("handover two={}", two)
         sockets, memory = (of // 2 if two else of for of in self.limits)
-        self.nodes.bound(sockets, memory // Front.HELD)
-        self.front.bound(max(Front.EACH, sockets - self.nodes.most - Front.SPARE), memory)
+        self.nodes.bound(sockets, memory // ClientServer.VALUE_MEMORY_DIVISOR)
+        self.client_server.set_limits(
+            max(ClientServer.EVICTION_BATCH, sockets - self.nodes.most - ClientServer.RESERVED_DESCRIPTORS),
+            memory,
+        )
 
     def talk(self, host: str, port: int) -> None:
         """Takes the address for datagrams.  In an upgrade the old process has it until it is told to end: no
@@ -224,7 +249,7 @@
         self.warn(run)
         former = self.settings.take(run.settings)
         run.settings, self.run = self.settings, run
-        self.front.knows(self.settings.request_classes, self.settings.tenants)
+        self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
         self.nodes.tune(run.idle, run.connect_timeout, self.deep(), self.aside())
         logger.info(
             "configuration taken discovery={}:{} classes={} changed={}", *run.discovery,
@@ -253,7 +278,7 @@
         self.last_answer_at = self.now() + rest
         inherited = self.run.fd is not None  # another process accepts there, or will
         logger.info("stop asked requests={}", len(self.requests))
-        self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
+        self.client_server.drain.start("stopping", self.STAY, self.HALVES, refuses_pings=not inherited)
         if inherited:
             self.peers.leave()
         self.deadlines.at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
@@ -268,11 +293,13 @@
         at an inherited one is the other process's to take."""
         self.port.stopReading()
         if self.run.fd is None:
-            self.port.accept_waiting(max(ClientListener.AT_ONCE, self.front.room()))
+            self.port.accept_waiting(
+                max(ClientListener.ACCEPTS_PER_TURN, self.client_server.available_capacity())
+            )
         self.port.connectionLost(Failure(ConnectionDone()))  # in this turn: later, more would have come
 
     def finish(self) -> None:
-        if self.requests or self.front.clients:
+        if self.requests or self.client_server.connections:
             self.deadlines.at(self.now() + 10_000, self.finish)
         else:
             logger.info("stop")
@@ -283,22 +310,24 @@
     # The operators' calls.
 
     def serves(self) -> tuple[int, str]:
-        if self.ending or self.front.draining:
+        if self.ending or self.client_server.drain.code:
             return 503, "draining"
         return (200, "ready") if self.started and self.ready() else (503, "no cache node is ready")
 
     def drain(self) -> tuple[int, str]:
-        if not self.ending and not self.front.draining:
-            logger.info("drain clients={} requests={}", len(self.front.clients), len(self.requests))
-            self.front.drain("drained", Front.SPREAD, Front.HALVES)
+        if not self.ending and not self.client_server.drain.code:
+            logger.info(
+                "drain clients={} requests={}", len(self.client_server.connections), len(self.requests)
+            )
+            self.client_server.drain.start("drained", ClientDrain.SPREAD, ClientDrain.PARTIAL_COMMAND_GRACE)
         return 200, "draining"
 
     def back(self) -> tuple[int, str]:
         if self.ending:
             return 409, "stopping: there is no way back"
-        if self.front.draining:
-            logger.info("drain over clients={}", len(self.front.clients))
-            self.front.keep()
+        if self.client_server.drain.code:
+            logger.info("drain over clients={}", len(self.client_server.connections))
+            self.client_server.drain.stop()
         return 200, "serving"
 
     def ready(self) -> bool:
@@ -306,19 +335,21 @@
 
     # Clients.
 
-    def admit(
-        self, reply, frame: Frame, method, wait: int, key: int, tenant, write, repeat,
-        upload: Upload | None, still_there,
-    ) -> int:  # fmt: skip
-        now = self.now()
+    def admit(self, client_request: ClientRequest) -> int:
+        now, upload, wait = self.now(), client_request.upload, client_request.timeout
         if self.ending:
             wait = max(0, min(wait, self.last_answer_at - now))
         arrives = now if upload is None else now + self.COMING
-        request = Request(method, arrives, arrives + wait, key, tenant, write, repeat)
-        held = Held(request, frame, reply, upload, wait, still_there)
+        request = Request(
+            client_request.request_class, arrives, arrives + wait, client_request.key, client_request.tenant,
+            client_request.is_write, client_request.is_client_retry,
+        )  # fmt: skip
+        held = Held(
+            request, client_request.frame, client_request.reply, upload, wait, client_request.is_connected
+        )
         if upload is not None:
-            upload.request, upload.through = request, self.through
-            upload.rest = max(1, (self.balancer.end(request) - arrives) // 1000)
+            upload.request, upload.on_sent = request, self.through
+            upload.told_timeout_ms = max(1, (self.balancer.end(request) - arrives) // 1000)
         held.slot = self.requests.put(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
@@ -335,7 +366,7 @@
             logger.exception("a request could not be begun")
             self.answer(request, Failed())
 
-    def through(self, upload: Upload) -> None:
+    def through(self, upload: RequestStream) -> None:
         """A long write's last byte has gone out: it is taken now, and the node can begin."""
         held = self.held.get(upload.request)
         if held is None:
@@ -348,7 +379,7 @@
         self.deadlines.drop(held.last_call)
         held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
 
-    def cut(self, upload: Upload) -> None:
+    def cut(self, upload: RequestStream) -> None:
         """A long write will never come whole."""
         self.answer(upload.request, Failed())
         self.call_off(upload.request.outstanding())
@@ -400,7 +431,7 @@
         }
         if isinstance(reply, Rejected):
             fields["retry_after_ms"] = reply.retry_after_ms
-        trace.step(held.frame.ident, "answered", **fields)
+        trace.step(held.frame.request_id, "answered", **fields)
 
     # Decisions.
 
@@ -446,7 +477,7 @@
         sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
         if trace.enabled:
             number, left = len(request.attempts), (timeout_at - self.now()) // 1000
-            trace.step(held.frame.ident, "attempt", number=number, node=server.name, left_ms=left)
+            trace.step(held.frame.request_id, "attempt", number=number, node=server.name, left_ms=left)
         self.nodes.send(sending, server.name, timeout_at)
 
     def wanted(self, request: Request) -> bool:
@@ -455,11 +486,11 @@
         if len(request.attempts) <= 1 and self.now() - request.arrived_at < self.LOOK_AGAIN:
             return True
         held = self.held.get(request)
-        return held is not None and held.still_there() and request in self.held
+        return held is not None and held.is_connected() and request in self.held
 
     def seek(self, held: Held | None) -> None:
         """A long write's time has not begun: what the decisions give one to find a place is given here."""
-        if held is None or held.upload is None or held.upload.whole or held.request.partly_sent:
+        if held is None or held.upload is None or held.upload.sent or held.request.partly_sent:
             return
         if held.place_by is None or held.place_by[2] is None:
             held.place_by = self.deadlines.at(self.now() + held.wait // 8, self.no_place, held)
@@ -478,7 +509,7 @@
 
     def load(self, report) -> dict[str, float]:
         """The figures of use in a node's load report; one that can't be read tells nothing, nor does harm."""
-        if not self.settings.columns or not isinstance(report, bytes) or len(report) > SHORT:
+        if not self.settings.columns or not isinstance(report, bytes) or len(report) > MAX_ARGUMENT:
             return {}
         try:
             return usable_figures(orjson.loads(report), self.settings.columns)
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -19,7 +19,7 @@
 from ..load.arrivals import drawn
 from ..load.clients import Clients, in_time
 from ..mesh.keys import read, write
-from ..net.resp import Resp, command
+from ..net.resp import RespProtocol, encode_command
 from ..standin.discovery import Discovery
 from ..standin.ledger import SERVING
 from ..standin.node import Node
@@ -81,19 +81,19 @@
             self.kept.pop().close()
 
 
-class Ping(Resp):
+class Ping(RespProtocol):
     def __init__(self, done):
         super().__init__()
         self.done = done
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.transport.write(command(b"PING"))
+        self.transport.write(encode_command(b"PING"))
 
-    def received(self, value) -> None:
+    def value_received(self, value) -> None:
         self.done(value == "+PONG")
         self.transport.loseConnection()
 
-    def malformed(self, why: str) -> None:
+    def fail_protocol(self, why: str) -> None:
         self.done(False)
 
 
--- a/ivystack/standin/apart.py
+++ b/ivystack/standin/apart.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.threads import blockingCallFromThread
 
-from ..net.resp import command
+from ..net.resp import encode_command
 from . import discovery as lists
 from . import node as caches
 from .ledger import SERVING, Ledger
@@ -99,7 +99,7 @@
     def ask(self, one, ident: bytes) -> bytes:
         text = b""
         try:
-            one.sendall(command(b"OBJ.GET", b"7f", ident, self.fields))
+            one.sendall(encode_command(b"OBJ.GET", b"7f", ident, self.fields))
             while not text.endswith(b"\r\n") or (text[:1] == b"$" and text.count(b"\r\n") < 2):
                 more = one.recv(65_536)
                 if not more:
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from ..net.resp import LONGEST, Resp, bulk
+from ..net.resp import MAX_VALUE, RespProtocol, encode_bulk
 from .ledger import Ledger, Taken
 
 BUSY, FAILED, BAD = b"-BUSY\r\n", b"-ERR failed\r\n", b"-SYNTAX\r\n"
@@ -32,12 +32,12 @@
         self.taken: Taken | None = None
 
 
-class Link(Resp):
+class Link(RespProtocol):
     """A proxy's connection; answers go out in the order of the commands."""
 
-    only_arrays = True
-    most = LONGEST
-    value_at = 4
+    arrays_only = True
+    max_value_size = MAX_VALUE
+    value_index = 4
 
     def __init__(self, node: Node, caller: str):
         super().__init__()
@@ -52,13 +52,13 @@
         self.node.links.pop(self, None)
         self.owed.clear()
 
-    def begins(self, size: int):
+    def stream_started(self, size: int):
         return lambda piece: None
 
-    def malformed(self, why: str) -> None:
-        self.drop(why)
+    def fail_protocol(self, why: str) -> None:
+        self.abort(why)
 
-    def received(self, args) -> None:
+    def value_received(self, args) -> None:
         place: list = [None]
         self.owed.append(place)
         name = args[0].upper() if args and isinstance(args[0], bytes) else b""
@@ -204,7 +204,7 @@
             if len(self.kept) > self.memory:
                 self.kept.popitem(last=False)
         value = self.value or command.ident
-        self.answer(command, b"*3\r\n" + bulk(value) + bulk(how.encode()) + b"$-1\r\n")
+        self.answer(command, b"*3\r\n" + encode_bulk(value) + encode_bulk(how.encode()) + b"$-1\r\n")
 
     def answer(self, command: Command, text: bytes) -> None:
         link = command.link
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 from ivystack.choice import Balancer, Cold, Health, Hearsay, Links, Live, Order, Placement, Room, Shares
 from ivystack.model import DedupGroup, Idempotency, Request, RequestClass, Server
 from ivystack.net.proxy import Proxy
-from ivystack.net.resp import bulk, command
+from ivystack.net.resp import encode_bulk, encode_command
 from ivystack.settings import Config, Run, checked
 
 S = 1_000_000
@@ -143,7 +143,7 @@
 
 
 def client(of):
-    made = of.front.buildProtocol(None)
+    made = of.client_server.buildProtocol(None)
     made.makeConnection(Transport())
     return made
 
@@ -156,8 +156,13 @@
 
 
 def get(ident=b"1", key=b"7f", fields=b"c=read,t=t,d=500"):
-    return command(b"OBJ.GET", key, ident, fields)
+    return encode_command(b"OBJ.GET", key, ident, fields)
 
 
 def hit(text=b"v", report=None):
-    return b"*3\r\n" + bulk(text) + bulk(b"hit") + (b"$-1\r\n" if report is None else bulk(report))
+    return (
+        b"*3\r\n"
+        + encode_bulk(text)
+        + encode_bulk(b"hit")
+        + (b"$-1\r\n" if report is None else encode_bulk(report))
+    )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -143,8 +143,13 @@
 
 def test_two_processes_together_keep_within_the_bounds_of_one():
     made = proxy()
-    whole = made.nodes.most, made.front.most, made.front.held, made.nodes.pieces
-    made.front.most = 100
+    whole = (
+        made.nodes.most,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        made.nodes.pieces,
+    )
+    made.client_server.max_connections = 100
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
         one.dataReceived(get(b"%d" % number))
@@ -153,18 +158,27 @@
         one.dataReceived(hit())
     made.limits = 64, made.limits[1]
     end = asked(made)
-    assert (made.nodes.most, made.front.most, made.front.held) == (10, 8, whole[2] // 2)
+    assert (made.nodes.most, made.client_server.max_connections, made.client_server.max_value_bytes) == (
+        10,
+        8,
+        whole[2] // 2,
+    )
     counts = []
     for _ in range(30):
         made.reactor.advance(0.02)
         counts.append(len(left(asking)))
         for one in asking:
-            if one.transport.disconnecting and one.slot in made.front.clients:
+            if one.transport.disconnecting and one.slot in made.client_server.connections:
                 one.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
     made.limits = made.run.sockets, made.run.memory
     end.connectionLost(Failure(ConnectionDone()))
-    assert (made.nodes.most, made.front.most, made.front.held, made.nodes.pieces) == whole
+    assert (
+        made.nodes.most,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        made.nodes.pieces,
+    ) == whole
 
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -10,7 +10,7 @@
 from http.client import HTTPConnection
 
 import pytest
-from helpers import command
+from helpers import encode_command
 
 
 @pytest.fixture
@@ -94,7 +94,7 @@
     process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
     with connected(port) as asking:
-        asking.sendall(command(b"PING"))
+        asking.sendall(encode_command(b"PING"))
         assert asking.recv(100) == b"-ERR draining\r\n"
         assert asking.recv(100) == b""  # closed between reqs
     process.communicate(timeout=10)
@@ -141,12 +141,12 @@
     try:
         assert call(operators, "GET", "/_ready") == 200
         with connected(port) as idle:
-            idle.sendall(command(b"PING"))
+            idle.sendall(encode_command(b"PING"))
             assert idle.recv(100) == b"+PONG\r\n"
             assert call(operators, "POST", "/_lameduck/on") == 200
             assert idle.recv(100) == b""  # closed by the drain
         with connected(port) as new:
-            new.sendall(command(b"PING"))
+            new.sendall(encode_command(b"PING"))
             assert new.recv(100) == b"-ERR draining\r\n" and new.recv(100) == b""
         assert call(operators, "GET", "/_ready") == 503
         assert call(operators, "POST", "/_lameduck/off") == 200 == call(operators, "GET", "/_ready")
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 import pytest
-from helpers import bulk, command, get
+from helpers import encode_bulk, encode_command, get
 from test_main import connected, free_port, started  # noqa: F401  a fixture
 
 from ivystack.migrate import main
@@ -143,7 +143,12 @@
         while text := self.read(one):
             self.behind += text.count(b"OBJ.GET") > 1
             self.all.wait(10)
-            one.sendall(b"*3\r\n" + bulk(b"%d" % next(self.values)) + bulk(b"hit") + bulk(b'{"active":3}'))
+            one.sendall(
+                b"*3\r\n"
+                + encode_bulk(b"%d" % next(self.values))
+                + encode_bulk(b"hit")
+                + encode_bulk(b'{"active":3}')
+            )
 
 
 class Agent(StandIn):
@@ -192,7 +197,7 @@
 def ready(port):
     with connected(port) as one:
         for _ in range(200):
-            one.sendall(command(b"PING"))
+            one.sendall(encode_command(b"PING"))
             if one.recv(100) == b"+PONG\r\n":
                 return
             threading.Event().wait(0.02)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -21,9 +21,9 @@
     RequestClass,
     Send,
 )
-from ivystack.net.front import Frame
+from ivystack.net.request_frame import RequestFrame
 from ivystack.net.nodes import Sending
-from ivystack.net.resp import command
+from ivystack.net.resp import encode_command
 
 BUSY = b"-BUSY\r\n"
 MS = 1000
@@ -39,7 +39,7 @@
 
 
 def put(ident=b"1", wait=2000):
-    return command(b"OBJ.SET", b"7f", ident, b"c=mark,t=t,d=%d" % wait, b"v")
+    return encode_command(b"OBJ.SET", b"7f", ident, b"c=mark,t=t,d=%d" % wait, b"v")
 
 
 def pass_by(made, milliseconds):
@@ -147,7 +147,7 @@
     def go(self, **more):
         now, fields = self.made.now(), b"c=mark,d=500"
         attempt = Attempt(Request(self.method, now, now + 2 * S), None, now, now + 2 * S, **more)
-        frame = Frame([b"OBJ.GET", b"7f", b"1", fields], (9, 12))
+        frame = RequestFrame([b"OBJ.GET", b"7f", b"1", fields], (9, 12))
         self.made.nodes.send(Sending(attempt, frame), "n0", now + 2 * S)
         return attempt
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -100,10 +100,13 @@
     made.start()
     made.drain()
     made.reload(told(methods=[sheet("new")]))
-    assert made.front.draining == "drained" and [*made.front.methods] == [b"new"]
+    assert made.client_server.drain.code == "drained" and [*made.client_server.request_classes] == [b"new"]
     made.terminate()
     made.reload(told())
-    assert made.front.draining == "stopping" and [*made.front.methods] == [b"read", b"pay"]
+    assert made.client_server.drain.code == "stopping" and [*made.client_server.request_classes] == [
+        b"read",
+        b"pay",
+    ]
 
 
 def test_nodes_connections_follow_the_settings():
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -322,10 +322,10 @@
 
 
 @pytest.mark.parametrize("path, before, after, scene, rule", [
-    ("net/front.py", "            self.owed.popleft()\n            self.transport.write(text)",
-     "            self.owed.popleft()\n            self.transport.write(2 * text)", "first", "one answer"),
+    ("net/client_connection.py", "self.pending.popleft()\n            self.transport.write(response)",
+     "self.pending.popleft()\n            self.transport.write(2 * response)", "first", "one answer"),
     ("net/proxy.py", '"DRAINING": LEAVING', '"DRAINING": READY', "drain", "nothing new to a draining node"),
-    ("net/listener.py", "        if self.protocol.may_end():", "        if True:", "held-up", "one answer"),
+    ("net/listener.py", "        if self.protocol.may_close():", "        if True:", "held-up", "one answer"),
     ("net/listener.py", "EINTR, ENOMEM, ENOBUFS})  # of", "EINTR})  # of", "failing-calls", "one answer"),
 ])  # fmt: skip
 def test_a_program_that_breaks_a_rule_is_found_and_the_account_shows_the_req(
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 
 import pytest
 from ivystack.standin.apart import Discovery, Node
-from moments import Wire, command
+from moments import Wire, encode_command
 from test_main import connected, free_port
 
 PLACE = Path(__file__).parent.parent / "deploy" / "sites"
@@ -52,7 +52,7 @@
     parts = [b"OBJ.SET" if one.get("write") else b"OBJ.GET", b"7f", ident]
     value = [b"v"] if one.get("write") else []
     marked = fields + (f",k={ident.decode()}" if one["effect"] == "keyed" else "")
-    wire.send(command(*parts, marked.encode(), *value))
+    wire.send(encode_command(*parts, marked.encode(), *value))
     return wire.take()
 
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -190,7 +190,7 @@
         made = proxy(2, run=run)
         if run is not None:
             made.settings.request_classes.clear()
-            made.front.knows(made.settings.request_classes, made.settings.tenants)
+            made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
         asks = client(made)
         asks.dataReceived(get(fields=b"c=other,t=t,d=500"))
         assert asks.transport.took().startswith(b"-ERR") and not made.requests and made.ready()
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -86,7 +86,7 @@
     made = proxy(300, sockets=64)
     most = made.nodes.most
     made.nodes.bound(64, 1 << 20)
-    client = made.front.buildProtocol(None)
+    client = made.client_server.buildProtocol(None)
     client.makeConnection(Transport())
     for number in range(30):
         client.dataReceived(get(b"%d" % number, b"%x" % (number * 7919)))
