--- a/ivystack/net/client_connection.py
+++ b/ivystack/net/client_connection.py
@@ -29,6 +29,10 @@
     from .client_server import ClientServer
 
 
+def _all_bytes(arguments: list[Any]) -> bool:
+    return {*map(type, arguments)} == {bytes}
+
+
 class ClientConnection(RespProtocol):
     """A connection from a client, with what it owes and what it is in the middle of.
 
@@ -62,9 +66,6 @@
         self.handling_input = False  # more commands may follow the one just read
         self.upload: RequestStream | None = None  # the long write that is arriving
 
-    def _transition(self, event: ClientEvent) -> None:
-        self.state = next_state(self.state, event)
-
     def connectionMade(self) -> None:  # noqa: N802, D102
         disable_nagle(self.transport)
         self.slot = self.server.connections.put(self)
@@ -94,12 +95,12 @@
 
     def command_begun(self) -> None:
         """Count as idle no longer."""
-        self._transition(ClientEvent.COMMAND_BEGUN)
+        self.state = next_state(self.state, ClientEvent.COMMAND_BEGUN)
         self.server.idle_connections.pop(self, None)
 
     def request_admitted(self) -> None:
         """Count as in use: one of its commands is a request in hand."""
-        self._transition(ClientEvent.REQUEST_ADMITTED)
+        self.state = next_state(self.state, ClientEvent.REQUEST_ADMITTED)
         self.server.unused_connections.pop(self, None)
 
     def value_received(self, value: Any) -> None:
@@ -113,7 +114,7 @@
             upload.end_received()
             return self.flush()
         self.commands_received += 1
-        if not value or not all(isinstance(argument, bytes) for argument in value):
+        if not value or not _all_bytes(value):
             return self.fail_protocol("not a command")
         pending = self.pending.add()
         name = value[0].upper()
@@ -130,9 +131,7 @@
         arrays = self.open_arrays
         is_command = len(arrays) == 1 and arrays[0].length == WRITE_ARGUMENTS
         arguments = arrays[0].elements if is_command else []
-        known = len(arguments) == WRITE_ARGUMENTS - 1 and all(
-            isinstance(argument, bytes) for argument in arguments
-        )
+        known = len(arguments) == WRITE_ARGUMENTS - 1 and _all_bytes(arguments)
         if not known or not IS_WRITE.get(arguments[0].upper()):
             self.fail_protocol("too long")
             return None
@@ -215,7 +214,7 @@
         return False
 
     def _become_idle(self) -> None:
-        self._transition(ClientEvent.ALL_ANSWERED)
+        self.state = next_state(self.state, ClientEvent.ALL_ANSWERED)
         self.server.unused_connections.pop(self, None)
         self.idle_since = self.server.now()
         self.server.idle_connections[self] = None
@@ -287,7 +286,7 @@
 
     def stop_reading_commands(self) -> None:
         """Execute nothing more, not even what was read."""
-        self._transition(ClientEvent.INPUT_CLOSED)
+        self.state = next_state(self.state, ClientEvent.INPUT_CLOSED)
         self.close_input()
 
     # Ending the connection.
@@ -300,7 +299,7 @@
         self._unregister()
         if not self.state.is_open:
             return
-        self._transition(ClientEvent.CLOSE_REQUESTED)
+        self.state = next_state(self.state, ClientEvent.CLOSE_REQUESTED)
         self.server.closing_connections[self] = even_if_partial
         self._close_transport(code)
 
@@ -312,7 +311,7 @@
 
     def abort(self, code: str) -> None:
         """End the connection at once; what was written and not sent is lost."""
-        self._transition(ClientEvent.ABORTED)
+        self.state = next_state(self.state, ClientEvent.ABORTED)
         super().abort(code)
 
     def _unregister(self) -> None:
@@ -340,9 +339,9 @@
         self._stop_write_timeout()
         self.transport.registerProducer(self, True)
         if self.commands_received:
-            self._transition(ClientEvent.CLOSE_WITHDRAWN)
+            self.state = next_state(self.state, ClientEvent.CLOSE_WITHDRAWN)
         else:
-            self._transition(ClientEvent.CLOSE_WITHDRAWN_UNUSED)
+            self.state = next_state(self.state, ClientEvent.CLOSE_WITHDRAWN_UNUSED)
             self.server.unused_connections[self] = None
         return False
 
@@ -392,7 +391,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.close_input()  # what was read and waits must not be executed any more
-        self._transition(ClientEvent.LOST)
+        self.state = next_state(self.state, ClientEvent.LOST)
         self.server.hang_up_monitor.forget(self)
         self.server.deadlines.drop(self.write_timeout)
         self.server.deadlines.drop(self.command_timeout)
--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -39,7 +39,7 @@
 UNKNOWN_COMMAND = b"-ERR unknown command\r\n"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(eq=False, slots=True)
 class ClientRequest:
     """A request as a client sent it, and how to answer it."""
 
--- a/ivystack/net/client_state.py
+++ b/ivystack/net/client_state.py
@@ -19,6 +19,9 @@
     ABORTED = "aborted"  # not read any more; the transport reports the end in the reactor's next turn
     CLOSED = "closed"
 
+    # Members are unique objects; Enum's own hash is a Python function, called several times a request.
+    __hash__ = object.__hash__
+
     @property
     def is_open(self) -> bool:
         """Whether commands are accepted and nothing has asked for the end."""
@@ -47,6 +50,8 @@
     ABORTED = "aborted"
     LOST = "lost"
 
+    __hash__ = object.__hash__  # as above
+
 
 class InvalidTransitionError(Exception):
     """An event occurred in a state in which it can't."""
--- a/ivystack/net/request_frame.py
+++ b/ivystack/net/request_frame.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import re
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from .resp import encode_bulk
 
@@ -50,8 +50,7 @@
         return [self._before, encode_bulk(fields), self._value]
 
 
-@dataclass(frozen=True, slots=True)
-class RequestFields:
+class RequestFields(NamedTuple):
     """The fields of a request that are read here."""
 
     class_name: bytes | None
@@ -69,7 +68,8 @@
     (b'read', None, 480, (9, 12))
     """
     timeout = TIMEOUT_FIELD.search(text)
-    fields = dict(field.partition(b"=")[::2] for field in text.split(b","))
+    pairs = [field.partition(b"=") for field in text.split(b",")]
+    fields = {name: value for name, _, value in pairs}
     return RequestFields(
         class_name=fields.get(b"c"),
         tenant_name=fields.get(b"t"),
--- a/ivystack/net/resp.py
+++ b/ivystack/net/resp.py
@@ -146,7 +146,7 @@
             True,
         )  # as in LineReceiver: calls from within only add to its buffer
         try:
-            while not self.paused and not self.input_closed:
+            while position < len(data) and not self.paused and not self.input_closed:
                 array = self._match_array(data, position)
                 if array is None:
                     break
