--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -1,4 +1,4 @@
-"""The clients' side of the proxy: its connections, their limits, and the requests taken from them."""
+"""The clients' side of the proxy: its connections, their limits, and the requests they send."""
 
 from __future__ import annotations
 
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -4,7 +4,7 @@
 
 - a connection was closed without a look at what had arrived meanwhile;
 - where a process runs out of descriptors, `Port` accepts what waits in the backlog and closes it at once;
-- each error of recv and send but EAGAIN was taken for the connection's end, also a transient one (ENOMEM).
+- each error of recv and send but EAGAIN was treated as the connection's end, also a transient one (ENOMEM).
 
 And they forward requests for nobody: a client's end right behind its request was seen a turn later.
 """
--- a/ivystack/net/nodes.py
+++ b/ivystack/net/nodes.py
@@ -314,7 +314,7 @@
         if trace.enabled:
             trace.step(sending.frame.request_id, "sent", node=link.place.name, link=link.slot, told_ms=rest)
         if sending.upload is not None:
-            link.send(sending.frame.encode(sending.upload.told_timeout_ms))
+            link.send(sending.frame.encode(sending.upload.server_timeout_ms))
             return sending.upload.send_to(link)
         link.send(sending.frame.encode(rest))
         sending.last_byte = link.written
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -349,7 +349,7 @@
         )
         if upload is not None:
             upload.request, upload.on_sent = request, self.through
-            upload.told_timeout_ms = max(1, (self.balancer.end(request) - arrives) // 1000)
+            upload.server_timeout_ms = max(1, (self.balancer.end(request) - arrives) // 1000)
         held.slot = self.requests.put(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
--- a/ivystack/net/reply.py
+++ b/ivystack/net/reply.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request had no effect and may be retried after so many milliseconds (0: not told)."""
+    """The request had no effect and may be retried after so many milliseconds (0: not stated)."""
 
     retry_after_ms: int
 
--- a/ivystack/net/request_frame.py
+++ b/ivystack/net/request_frame.py
@@ -1,8 +1,8 @@
-"""Clients' request commands: what is taken out of them, and how they are passed on to a server.
+"""Clients' request commands: what is read of them, and how they are forwarded.
 
 `OBJ.GET key id fields` and `OBJ.SET key id fields value`; `fields` are `name=value` pairs with commas between
 them.  Read here are `c` (request class), `d` (how long the client waits, milliseconds), `t` (tenant) and `r`
-(whether the client itself retries); all else is passed on as it came.
+(whether the client itself retries); all else is forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RequestFrame:
-    """A request's command as it came, ready to be sent with another timeout.
+    """A request's command as received, ready to be sent with another timeout.
 
     :param arguments: of the command, its name first
     :param timeout_span: where the digits of `d` lie in the fields
--- a/ivystack/net/streams.py
+++ b/ivystack/net/streams.py
@@ -107,7 +107,7 @@
         client.transport.bufferSize = window
         self.server_connection: Any = None
         self.request: Request | None = None  # set once it is admitted
-        self.told_timeout_ms = 0  # that the server is told
+        self.server_timeout_ms = 0  # the time that the server is given
         self.on_sent: Callable[[RequestStream], None] | None = None  # called once all of it was written
         self.paused = False  # the client is not read
         self.received = False  # the client's last byte has arrived
