--- a/ivystack/net/client_connection.py
+++ b/ivystack/net/client_connection.py
@@ -49,7 +49,6 @@
     # clients which can't be served wait for a response at most.
     COMMAND_TIMEOUT = 2_500_000
     WRITE_TIMEOUT = 10_000_000  # microseconds for a client to read its responses, above our longest deadline
-    IDS_LOGGED = 8  # ids of unanswered requests in the log line of a connection's end
 
     def __init__(self, server: ClientServer) -> None:
         super().__init__()
@@ -345,23 +344,6 @@
             self.server.unused_connections[self] = None
         return False
 
-    def close_fields(self, unanswered: list[bytes | None]) -> str:
-        """Return further fields for the log line of its end: what was open, unread or idle.
-
-        :param unanswered: the ids of the requests that were left without a response
-        """
-        text = ""
-        if unanswered:
-            ids = [request_id.decode("latin-1") for request_id in unanswered[: self.IDS_LOGGED] if request_id]
-            text += f" ids={','.join(ids)}"
-        if self.closed_mid_message:
-            text += " partial_command=1"
-        if self.discarded_bytes:
-            text += f" discarded_bytes={self.discarded_bytes}"
-        if self.commands_received and not unanswered:
-            text += f" idle_ms={(self.server.now() - self.idle_since) // 1000}"
-        return text
-
     # Calls of the transport: more is written than it could send, all of it has been sent, it has ended.
 
     def _start_write_timeout(self) -> None:
--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -87,6 +87,7 @@
     EXTRA_CONNECTIONS = 16  # beyond the bound for as long as others make way
     # Descriptors for these and for all else: the endpoint list, peers, operators, the log, Python's own.
     RESERVED_DESCRIPTORS = 32
+    IDS_LOGGED = 8  # ids of unanswered requests in the log line of a connection's end
     EVICTION_BATCH = 8  # connections closed at once where they are beyond a bound that has changed
 
     def __init__(
@@ -322,7 +323,7 @@
         unanswered = [pending.request_id for pending in client.pending.unanswered()]
         logger.info(
             "end client={} commands={} open={} code={}{}", client.slot, client.commands_received,
-            len(unanswered), code, client.close_fields(unanswered),
+            len(unanswered), code, self._close_fields(client, unanswered),
         )  # fmt: skip
         if trace.enabled:
             for request_id in unanswered:
@@ -330,6 +331,23 @@
                     trace.step(request_id, "client-disconnected", client=client.slot, code=code)
         self.abandon_pending(client)
 
+    def _close_fields(self, client: ClientConnection, unanswered: list[bytes | None]) -> str:
+        """Return further fields for the log line of a connection's end: what was open, unread or idle.
+
+        :param unanswered: the ids of the requests that were left without a response
+        """
+        text = ""
+        if unanswered:
+            ids = [request_id.decode("latin-1") for request_id in unanswered[: self.IDS_LOGGED] if request_id]
+            text += f" ids={','.join(ids)}"
+        if client.closed_mid_message:
+            text += " partial_command=1"
+        if client.discarded_bytes:
+            text += f" discarded_bytes={client.discarded_bytes}"
+        if client.commands_received and not unanswered:
+            text += f" idle_ms={(self.now() - client.idle_since) // 1000}"
+        return text
+
     def abandon_pending(self, client: ClientConnection) -> None:
         """Abandon the requests whose responses can't reach the client any more."""
         unanswered, streams = client.pending.unanswered(), [*client.pending.streams()]
