--- a/ivystack/net/client_connection.py
+++ b/ivystack/net/client_connection.py
@@ -115,7 +115,8 @@
         self.commands_received += 1
         if not value or not _all_bytes(value):
             return self.fail_protocol("not a command")
-        pending = self.pending.add()
+        pending = PendingResponse()
+        self.pending.append(pending)
         name = value[0].upper()
         if name in IS_WRITE:
             self.server.submit(self, pending, value, IS_WRITE[name])
@@ -158,8 +159,9 @@
         self.command_timeout = self.server.deadlines.at(now + self.COMMAND_TIMEOUT, self.command_timed_out)
 
     def _stop_command_timeout(self) -> None:
-        self.server.deadlines.drop(self.command_timeout)
-        self.command_timeout = None
+        if self.command_timeout is not None:
+            self.server.deadlines.drop(self.command_timeout)
+            self.command_timeout = None
 
     def command_timed_out(self) -> None:
         """Close a connection that has sent nothing, or half a command and no more.
@@ -193,7 +195,7 @@
         if not self.pending and self.transport.connected:
             if not self.state.accepts_commands:
                 self.close_after_writes("stopping")
-            elif self.commands_received and self.state is not ClientState.CLOSING_WHEN_IDLE:
+            elif self.commands_received and self.state.is_open:
                 if self.server.drain.code and self.is_finished():
                     return self.close_when_idle(self.server.drain.code)  # response and end are sent together
                 self._become_idle()
