--- a/ivystack/net/in_flight_attempt.py
+++ b/ivystack/net/in_flight_attempt.py
@@ -6,10 +6,10 @@
 
 from ..model import Attempt
 from .deadlines import Deadline
-from .relay import Upload
+from .streams import RequestStream
 
 if TYPE_CHECKING:
-    from .front import Frame
+    from .request_frame import RequestFrame
     from .server_connection import ServerConnection
     from .server_pool import ServerPool
 
@@ -32,7 +32,7 @@
 
     pool: ServerPool  # set once it is sent
 
-    def __init__(self, attempt: Attempt, frame: Frame, upload: Upload | None = None) -> None:
+    def __init__(self, attempt: Attempt, frame: RequestFrame, upload: RequestStream | None = None) -> None:
         self.attempt, self.frame, self.upload = attempt, frame, upload
         self.connection: ServerConnection | None = None
         self.deadlines: list[Deadline] = []
@@ -48,7 +48,7 @@
         """
         if self.connection is None:
             return False
-        if self.upload is not None and not self.upload.whole:
+        if self.upload is not None and not self.upload.sent:
             return True
         return self.end_position > self.connection.bytes_sent()
 
--- a/ivystack/net/response_outcome.py
+++ b/ivystack/net/response_outcome.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..model import Outcome
-from .resp import Given
+from .resp import StreamedValue
 
 ANSWER_PARTS = 3  # the value, how it was found, the load report
 EXPECTED_ERROR = "-ERR failed"  # any other error line is worth a line in the log
@@ -12,7 +12,7 @@
 def outcome_of_response(response: object, cache_aside: bool = False) -> Outcome | None:
     """Return the outcome that a response proves; None for one that the protocol does not know.
 
-    :param response: a value as `resp.Resp` reads it.
+    :param response: a value as `resp.RespProtocol` reads it.
     :param cache_aside: servers tell that they lack a value, and fetch none themselves.  Where they read
         through, "no value found" is no answer: it proves nothing.
 
@@ -37,6 +37,6 @@
     if len(parts) != ANSWER_PARTS or not isinstance(parts[1], bytes | None):
         return None
     value, found = parts[:2]
-    if isinstance(value, bytes | Given):
+    if isinstance(value, bytes | StreamedValue):
         return Outcome.SUCCEEDED
     return Outcome.CACHE_MISS if cache_aside and value is None and found == b"miss" else None
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -16,9 +16,9 @@
 from ..model import Idempotency, Outcome
 from .deadlines import Deadline
 from .in_flight_attempt import InFlightAttempt
-from .relay import Relay
-from .resp import LONGEST, VALUE, Resp, no_delay
+from .resp import MAX_BUFFERED_VALUE, MAX_VALUE, RespProtocol, disable_nagle
 from .response_outcome import ANSWER_PARTS, EXPECTED_ERROR, outcome_of_response
+from .streams import ResponseStream
 from .trace import trace
 
 if TYPE_CHECKING:
@@ -47,13 +47,13 @@
     CLOSED = "closed"
 
 
-class ServerConnection(Resp):
+class ServerConnection(RespProtocol):
     """A connection whose answers come in the order of the attempts on it."""
 
     STALL_TIMEOUT = 10_000_000  # microseconds without a byte of a long value: servers take seconds for one
     transport: Any  # Twisted's TCP client; its write buffer is looked into
-    most = LONGEST
-    arrays_from = LOAD_REPORT_PART
+    max_value_size = MAX_VALUE
+    first_array_index = LOAD_REPORT_PART
 
     def __init__(self, pools: ServerPools, pool: ServerPool) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         self.reading = False  # more may lie behind the answer just read
         self.last_value = (0, 0)  # the hash of the value that came last, or a long one's size; and when
         self.busy_at = -DUPLICATE_BUSY_WINDOW  # when it last rejected an attempt
-        self.relay: Relay | None = None  # the long value that is being forwarded
+        self.relay: ResponseStream | None = None  # the long value that is being forwarded
         self.bytes_written = 0  # to the transport, for attempts
         self.slot = pools.connections.add(self)
 
@@ -121,9 +121,9 @@
         super().close(code)
         self.state = ConnectionState.CLOSING
 
-    def drop(self, code: str) -> None:
+    def abort(self, code: str) -> None:
         """Abort it at once; a long value that is being forwarded breaks off."""
-        super().drop(code)
+        super().abort(code)
         self.state = ConnectionState.CLOSING
         self._break_relay()
 
@@ -150,12 +150,12 @@
         timeout_ms = max(1, (attempt.timeout_at - self.pools.now()) // MICROSECONDS_PER_MILLISECOND)
         if trace.enabled:
             server, slot = self.pool.name, self.slot
-            trace.step(frame.ident, "sent", server=server, connection=slot, timeout_ms=timeout_ms)
+            trace.step(frame.request_id, "sent", server=server, connection=slot, timeout_ms=timeout_ms)
         if in_flight.upload is not None:
-            self.send(frame.telling(in_flight.upload.rest))
-            in_flight.upload.sent_to(self)
+            self.send(frame.encode(in_flight.upload.server_timeout_ms))
+            in_flight.upload.send_to(self)
             return
-        self.send(frame.telling(timeout_ms))
+        self.send(frame.encode(timeout_ms))
         in_flight.end_position = self.bytes_written
 
     def send(self, parts: list[bytes]) -> None:
@@ -174,7 +174,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.state = ConnectionState.BUSY if self.code is None else ConnectionState.CLOSING
-        no_delay(self.transport)
+        disable_nagle(self.transport)
         self.pools.connection_made(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
@@ -186,36 +186,36 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self._break_relay()
-        self.pools.connection_lost(self, self.ended(reason, OTHER_SIDE))
+        self.pools.connection_lost(self, self.end_code(reason, OTHER_SIDE))
 
-    def begins(self, size: int) -> Callable[[bytes], None] | None:
+    def stream_started(self, size: int) -> Callable[[bytes], None] | None:
         """Take the start of a long value; return what takes its pieces, None where the connection fails."""
-        if self.open != [([], ANSWER_PARTS)]:
-            self.malformed("too long")
+        if self.open_arrays != [([], ANSWER_PARTS)]:
+            self.fail_protocol("too long")
             return None
         return self._begin_relay(size)
 
-    def part(self, part: Any) -> None:
+    def element_received(self, element: Any) -> None:
         """Take a part of an answer.
 
         A load report that never comes whole must not keep the end of a long value from the client.
         """
-        super().part(part)
-        report_is_next = bool(self.open) and len(self.open[0][0]) == LOAD_REPORT_PART
+        super().element_received(element)
+        report_is_next = bool(self.open_arrays) and len(self.open_arrays[0].elements) == LOAD_REPORT_PART
         if self.relay and report_is_next and self._value_is_complete():
-            self.relay.whole()
+            self.relay.complete()
 
-    def malformed(self, why: str) -> None:
+    def fail_protocol(self, why: str) -> None:
         """Fail the connection, but use a value that came whole: only its load report is bad."""
-        report_is_next = bool(self.open) and len(self.open[0][0]) == LOAD_REPORT_PART
+        report_is_next = bool(self.open_arrays) and len(self.open_arrays[0].elements) == LOAD_REPORT_PART
         if self.in_flight and report_is_next and self._value_is_complete():
-            self.received([*self.open[0][0], None])
+            self.value_received([*self.open_arrays[0].elements, None])
         self.fail(why)
 
-    def received(self, value: Any) -> None:
+    def value_received(self, value: Any) -> None:
         """Take an answer: the oldest attempt has its outcome."""
         if not self.in_flight:
-            self.drop("strange: an answer to nothing")
+            self.abort("strange: an answer to nothing")
             return
         outcome = outcome_of_response(value, self.pools.cache_aside)
         if outcome is None:
@@ -237,14 +237,14 @@
         The attempt it came for has failed and may have run.  Those behind it get no answer any more; that is
         held against the server once, not once for each.
         """
-        self.drop(f"strange: {why}")
+        self.abort(f"strange: {why}")
         self.pools.finish_all(self, Outcome.ERROR)
 
     # Answers.
 
     def _value_is_complete(self) -> bool:
         """Whether the answer being read has all but its load report, and is one with a value."""
-        return outcome_of_response([*self.open[0][0], None]) is Outcome.SUCCEEDED
+        return outcome_of_response([*self.open_arrays[0].elements, None]) is Outcome.SUCCEEDED
 
     def _is_duplicate(self, fingerprint: int) -> bool:
         """Note a value; return whether it is a duplicate of the one before, which crossed this attempt."""
@@ -277,7 +277,7 @@
                 outcome = Outcome.ERROR  # it answers what it has not seen whole
             self.pools.finish(in_flight, outcome, value[0] if outcome is Outcome.SUCCEEDED else None)
         if is_early:
-            self.drop("early: an answer to half a write")
+            self.abort("early: an answer to half a write")
 
     def _finish_reading(self) -> None:
         """All that came has been read: only now may it carry the next attempt.
@@ -286,8 +286,8 @@
         """
         if self.in_flight:
             return
-        if not self.between():
-            self.drop("strange: more than an answer")
+        if not self.at_message_boundary():
+            self.abort("strange: more than an answer")
         elif self.state is not ConnectionState.IDLE:
             self.pools.reuse(self)
 
@@ -296,7 +296,7 @@
     def _begin_relay(self, size: int) -> Callable[[bytes], None] | None:
         """Take the start of a long value: it satisfies its request, whose client gets it as it comes."""
         if not self.in_flight:
-            self.drop("strange: an answer to nothing")
+            self.abort("strange: an answer to nothing")
             return None
         last_size, last_at = self.last_value
         if last_size == size and self.pools.now() - last_at < DUPLICATE_VALUE_WINDOW:
@@ -305,43 +305,43 @@
         in_flight = self.in_flight[0]
         if in_flight.has_ended:
             return _discard
-        relay = self.relay = Relay(self, size, self.pools.relay_window())
+        relay = self.relay = ResponseStream(self, size, self.pools.relay_window())
         self.pools.relays[self] = relay
         self.pool.consecutive_losses = 0
         self.pools.finish(in_flight, Outcome.SUCCEEDED, relay)
         self._check_stalled(relay, -1)
-        return relay.piece
+        return relay.piece_received
 
-    def _finish_relay(self, relay: Relay) -> None:
+    def _finish_relay(self, relay: ResponseStream) -> None:
         self.pools.relays.pop(self, None)
         self.relay = None
-        self.transport.bufferSize = VALUE
+        self.transport.bufferSize = MAX_BUFFERED_VALUE
         self.last_value = relay.size, self.pools.now()
-        relay.whole()
+        relay.complete()
 
     def _break_relay(self) -> None:
         relay, self.relay = self.relay, None
         if relay is not None:
-            relay.broken()
+            relay.fail()
 
-    def _check_stalled(self, relay: Relay, passed_before: int) -> None:
+    def _check_stalled(self, relay: ResponseStream, passed_before: int) -> None:
         """Drop a server that says nothing more in the middle of a long value.
 
         A client that takes nothing is its own connection's matter.
         """
-        if self.relay is not relay or relay.over:
+        if self.relay is not relay or relay.ended:
             return
-        if passed_before == relay.passed and not self.paused:
-            self.drop("stalled")
+        if passed_before == relay.received_bytes and not self.paused:
+            self.abort("stalled")
             return
         check_at = self.pools.now() + self.STALL_TIMEOUT
-        self.pools.deadlines.call_at(check_at, self._check_stalled, relay, relay.passed)
+        self.pools.deadlines.call_at(check_at, self._check_stalled, relay, relay.received_bytes)
 
     def relay_abandoned(self) -> None:
         """Drop the connection if the client of a long value has gone and too much of it is still to come."""
-        bytes_left = self.relay.size - self.relay.passed if self.relay else 0
+        bytes_left = self.relay.size - self.relay.received_bytes if self.relay else 0
         if bytes_left > self.pools.MAX_DISCARDED_BYTES and self.only_abandoned_attempts:
-            self.drop("called-off")
+            self.abort("called-off")
 
 
 def _discard(piece: bytes) -> None:
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -12,18 +12,18 @@
 from ..model import Outcome, Request
 from .deadlines import DeadlineQueue
 from .in_flight_attempt import InFlightAttempt
-from .relay import Relay
-from .resp import VALUE
+from .resp import MAX_BUFFERED_VALUE
 from .server_connection import ConnectionFactory, ConnectionState, ServerConnection
 from .server_pool import PoolSettings, ServerPool
 from .slot_table import SlotTable
+from .streams import MIN_WINDOW, ResponseStream
 from .trace import trace
 
 WINDOWS_PER_RELAY = 3  # a server connection's piece, the client's, and what lies between them
 CONNECT_TIMEOUT_CODE = "connect-timeout"
 NO_DESCRIPTOR_CODE = "no-descriptor"
 
-OutcomeCallback = Callable[[InFlightAttempt, Outcome, "bytes | Relay | None"], None]
+OutcomeCallback = Callable[[InFlightAttempt, Outcome, "bytes | ResponseStream | None"], None]
 
 
 class ServerPools:
@@ -60,7 +60,7 @@
         self.connections: SlotTable[ServerConnection] = SlotTable()
         self.pools: dict[str, ServerPool] = {}  # by the server's name
         self.idle_connections: OrderedDict[ServerConnection, None] = OrderedDict()  # longest idle first
-        self.relays: dict[ServerConnection, Relay] = {}
+        self.relays: dict[ServerConnection, ResponseStream] = {}
         self.configure(settings)
         self.set_limits(sockets, relay_memory)
 
@@ -80,7 +80,7 @@
     def relay_window(self) -> int:
         """Return how many bytes at a time one more long value may be read."""
         share = self.relay_memory // (WINDOWS_PER_RELAY * (len(self.relays) + 1))
-        return max(Relay.LEAST, min(VALUE, share))
+        return max(MIN_WINDOW, min(MAX_BUFFERED_VALUE, share))
 
     # The endpoint list.
 
@@ -212,7 +212,7 @@
         in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._time_out, in_flight)]
 
     def finish(
-        self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | Relay | None = None
+        self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None = None
     ) -> None:
         """Give an attempt its outcome, once; whatever comes later is ignored."""
         if in_flight.has_ended:
@@ -222,12 +222,12 @@
         if trace.enabled:
             slot = connection.slot if connection else "none"
             server = in_flight.pool.name
-            trace.step(in_flight.frame.ident, "ended", server=server, connection=slot, outcome=outcome)
+            trace.step(in_flight.frame.request_id, "ended", server=server, connection=slot, outcome=outcome)
         in_flight.cancel_deadlines()
         if connection is None:
             in_flight.pool.waiting.remove(in_flight)
         if in_flight.upload is not None and in_flight.has_unsent_bytes():
-            in_flight.upload.broke()
+            in_flight.upload.attempt_failed()
         self.on_outcome(in_flight, outcome, value)
 
     def finish_all(self, connection: ServerConnection, outcome: Outcome) -> None:
@@ -263,11 +263,11 @@
         if connection is None or in_flight.has_unsent_bytes():  # it never ran
             self.finish(in_flight, Outcome.NOT_SENT if is_cancelled else Outcome.CONNECTION_REFUSED)
             if connection is not None:
-                connection.drop(code)
+                connection.abort(code)
             return
         others = [other for other in connection.in_flight if other is not in_flight]
         if self.max_in_flight <= 1 and all(other.has_ended for other in others):
-            connection.drop(code)
+            connection.abort(code)
         elif not any(other.has_ended for other in others):  # else the timeout runs already
             # Also where a connection takes one at a time by now, for those that are on it from before.
             self._await_abandoned(connection, code)
@@ -284,7 +284,7 @@
         """
         if connection.relay is None and connection.only_abandoned_attempts:
             self.close_idle(connection.pool, "suspect")
-            connection.drop(code)
+            connection.abort(code)
         else:
             self._await_abandoned(connection, code)
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -146,8 +146,13 @@
 def test_two_processes_together_keep_within_the_bounds_of_one():
     made = proxy()
     pools = made.server_pools
-    whole = pools.max_connections, made.front.most, made.front.held, pools.relay_memory
-    made.front.most = 100
+    whole = (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        pools.relay_memory,
+    )
+    made.client_server.max_connections = 100
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
         one.dataReceived(get(b"%d" % number))
@@ -156,18 +161,27 @@
         one.dataReceived(hit())
     made.limits = 64, made.limits[1]
     end = asked(made)
-    assert (pools.max_connections, made.front.most, made.front.held) == (10, 8, whole[2] // 2)
+    assert (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+    ) == (10, 8, whole[2] // 2)
     counts = []
     for _ in range(30):
         made.reactor.advance(0.02)
         counts.append(len(left(asking)))
         for one in asking:
-            if one.transport.disconnecting and one.slot in made.front.clients:
+            if one.transport.disconnecting and one.slot in made.client_server.connections:
                 one.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
     made.limits = made.run.sockets, made.run.memory
     end.connectionLost(Failure(ConnectionDone()))
-    assert (pools.max_connections, made.front.most, made.front.held, pools.relay_memory) == whole
+    assert (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        pools.relay_memory,
+    ) == whole
 
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
