--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from ..mesh.mesh import Mesh
-    from ..net.tables import Deadlines
+    from ..net.deadlines import Deadline, DeadlineQueue
     from .replica import Replica
 
 MAX_PENDING = 64
@@ -41,14 +41,14 @@
     until: int
     command_number: int = 0
     member: str = ""  # that was asked last
-    timer: list | None = None
+    timer: Deadline | None = None
 
 
 class Client:
     """Sends requests to whoever leads the group, and retries elsewhere until a deadline."""
 
     def __init__(
-        self, deadlines: Deadlines, now: Callable[[], int], rng: Random, mesh: Mesh, members: list[str]
+        self, deadlines: DeadlineQueue, now: Callable[[], int], rng: Random, mesh: Mesh, members: list[str]
     ) -> None:
         """Begin without knowing who leads; ``members`` are the names of the group's proxies."""
         self.deadlines, self.now, self.rng, self.mesh, self.members = deadlines, now, rng, mesh, members
@@ -106,7 +106,7 @@
             if not self._send(request):
                 self.leader = ""
                 delay = RETRY_DELAY
-        request.timer = self.deadlines.at(min(request.until, now + delay), self._timed_out, request)
+        request.timer = self.deadlines.call_at(min(request.until, now + delay), self._timed_out, request)
 
     def _in_command_window(self, request: PendingRequest) -> bool:
         """Whether the group would still recognize a command as a retry after those before it."""
@@ -118,7 +118,7 @@
         body = Request(request.number, request.kind, request.fields)
         if self.local is not None and request.member == self.mesh.name:
             # In a turn of its own: the reply may come within the call.
-            self.deadlines.at(self.now(), self.local.receive_request, request.member, body, True)
+            self.deadlines.call_at(self.now(), self.local.receive_request, request.member, body, True)
             return True
         return self.mesh.send(request.member, MessageKind.REQUEST, body)
 
@@ -147,11 +147,13 @@
         named = reply.answer
         other_member = isinstance(named, str) and named in self.members and named != sender
         self.leader = named if other_member else ""
-        self.deadlines.drop(request.timer)
+        if request.timer is not None:
+            request.timer.cancel()
         delay = REDIRECT_DELAY if self.leader else int(RETRY_DELAY * (1 + self.rng.random()))
-        request.timer = self.deadlines.at(self.now() + delay, self._attempt, request)
+        request.timer = self.deadlines.call_at(self.now() + delay, self._attempt, request)
 
     def _finish(self, request: PendingRequest, accepted: bool, answer: Any) -> None:
-        self.deadlines.drop(request.timer)
+        if request.timer is not None:
+            request.timer.cancel()
         self.pending.pop(request.number, None)
         request.callback(accepted, answer)
--- a/ivystack/consensus/environment.py
+++ b/ivystack/consensus/environment.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from ..mesh.mesh import Mesh
-    from ..net.tables import Deadlines
+    from ..net.deadlines import DeadlineQueue
 
 
 @dataclass(frozen=True)
@@ -17,7 +17,7 @@
     """Reactor, timers, clock (microseconds), random source and the links to other proxies."""
 
     reactor: Any  # of Twisted
-    deadlines: Deadlines
+    deadlines: DeadlineQueue
     now: Callable[[], int]
     rng: Random
     mesh: Mesh
--- a/ivystack/consensus/membership_manager.py
+++ b/ivystack/consensus/membership_manager.py
@@ -42,7 +42,7 @@
         replica = self.replica
         if replica.stopped:
             return
-        self.env.deadlines.at(self.env.now() + ANNOUNCE_INTERVAL, self.run)
+        self.env.deadlines.call_at(self.env.now() + ANNOUNCE_INTERVAL, self.run)
         if replica.core is None:
             return
         now = self.env.now()
--- a/ivystack/consensus/replica.py
+++ b/ivystack/consensus/replica.py
@@ -14,6 +14,7 @@
 import msgspec
 from loguru import logger
 
+from ..net.deadlines import Deadline
 from .core import Core
 from .environment import Environment, Timing
 from .errors import FaultCode, StorageError, UnknownEntryError
@@ -78,7 +79,7 @@
         self.applied_since_snapshot = 0
         self.known_leader = ""
         self.membership = MembershipManager(self)
-        self._tick_timer: list | None = None
+        self._tick_timer: Deadline | None = None
         self.state_observers: list[Callable[[], None]] = []  # called after each change of the state
         self.deliver_reply = self.send_reply
         # Whether a process (name/incarnation) may ask for (part, name, args).
@@ -98,7 +99,8 @@
     def stop(self) -> None:
         """End; what was given to the storage is written first."""
         self.stopped = True
-        self.env.deadlines.drop(self._tick_timer)
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         self.core = None
         if self.storage is not None:
             self.storage.stop()
@@ -141,7 +143,7 @@
             logger.error("group: replica can't start code={} {}", error.code, error)
         self.fault = error.code
         if error.code != FaultCode.NEWER_FORMAT and not self.stopped:
-            self.env.deadlines.at(self.env.now() + REOPEN_DELAY, self.start)
+            self.env.deadlines.call_at(self.env.now() + REOPEN_DELAY, self.start)
 
     def _opened(self, storage: Storage, stored: StoredState) -> None:
         if self.stopped:
@@ -182,7 +184,8 @@
         self.fault = code
         self._release_requests()
         self.core = None
-        self.env.deadlines.drop(self._tick_timer)
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
 
     # --- The core's work ---
 
@@ -191,8 +194,9 @@
         if self.core is not None:
             self._guarded(self._process_all_ready)
         if self.core is not None:
-            self.env.deadlines.drop(self._tick_timer)
-            self._tick_timer = self.env.deadlines.at(self.core.wake_at, self._tick)
+            if self._tick_timer is not None:
+                self._tick_timer.cancel()
+            self._tick_timer = self.env.deadlines.call_at(self.core.wake_at, self._tick)
 
     def _guarded(self, call: Callable, *args: Any) -> None:
         """Withdraw if a step fails: a replica may not go on with half of one."""
--- a/ivystack/duties/health_check_duty.py
+++ b/ivystack/duties/health_check_duty.py
@@ -61,8 +61,8 @@
 
     def checkable_address(self, name: str) -> tuple[str, int] | None:
         """Return the address of a ready server; nothing is sent to one that is draining or has left."""
-        server, place = self.proxy.balancer.servers.get(name), self.proxy.nodes.places.get(name)
-        return None if server is None or place is None or server.state != ServerState.READY else place.address
+        server, pool = self.proxy.balancer.servers.get(name), self.proxy.server_pools.pools.get(name)
+        return None if server is None or pool is None or server.state != ServerState.READY else pool.address
 
     def planned_check(self, server: Server) -> PlannedCheck:
         """Return our own next check of a server that is down."""
--- a/ivystack/duties/health_probe.py
+++ b/ivystack/duties/health_probe.py
@@ -7,12 +7,12 @@
 
 from twisted.internet.protocol import ClientFactory
 
-from ..net.resp import Resp, command
+from ..net.resp import RespProtocol, encode_command
 
 TIMEOUT = 400_000  # microseconds for connection and answer: a slower server is in no state to be used
 
 
-class PingProtocol(Resp):
+class PingProtocol(RespProtocol):
     """Sends one PING and nothing else, ever; `done` gets whether it was answered, and may get more calls."""
 
     transport: Any
@@ -22,14 +22,14 @@
         self.done = done
 
     def connectionMade(self) -> None:  # noqa: N802, D102
-        self.transport.write(command(b"PING"))
+        self.transport.write(encode_command(b"PING"))
 
-    def received(self, value: Any) -> None:
+    def value_received(self, value: Any) -> None:
         """Take the answer."""
         self.done(value == "+PONG")
         self.transport.loseConnection()
 
-    def malformed(self, why: str) -> None:
+    def fail_protocol(self, why: str) -> None:
         """Take bytes that are no answer."""
         self.done(False)
         self.transport.loseConnection()
@@ -69,5 +69,5 @@
         finish(False)
         connector.disconnect()
 
-    deadlines.at(now + TIMEOUT, time_out)
+    deadlines.call_at(now + TIMEOUT, time_out)
     connector = reactor.connectTCP(*address, PingFactory(finish), timeout=TIMEOUT / 1e6)
--- a/ivystack/duties/lease_client.py
+++ b/ivystack/duties/lease_client.py
@@ -12,13 +12,14 @@
 
 
 class GroupRequest(Protocol):
-    """A request to the group as its client offers it: False if it was not sent, else one call of `done`.
+    """A request to the group as its client offers it: False if it was not sent, else one call of `callback`.
 
-    `done(True, answer)` on an answer, `done(False, None)` once `within` microseconds have passed without one.
+    `callback(True, answer)` on an answer, `callback(False, None)` once `timeout` microseconds have passed
+    without one.
     """
 
     def __call__(  # noqa: D102
-        self, part: str, name: str, args: list, done: Callable[[bool, Any], None], within: int
+        self, part: str, name: str, args: list, callback: Callable[[bool, Any], None], timeout: int
     ) -> bool: ...
 
 
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -74,7 +74,7 @@
         """Run one cycle and schedule the next."""
         if self.stopped:
             return
-        self.deadlines.at(self.now() + TICK_INTERVAL, self.tick)
+        self.deadlines.call_at(self.now() + TICK_INTERVAL, self.tick)
         now = self.now()
         if self.leader is not None:
             self.leader.tick(now)
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -48,7 +48,7 @@
     def can_serve(self) -> bool:
         """Return whether this proxy has a recent endpoint list and knows a ready server."""
         now = self.proxy.now()
-        if self.proxy.discovery.body is not None:
+        if self.proxy.endpoint_watch.is_streaming:
             self.watch_lost_at = None
         elif self.watch_lost_at is None:
             self.watch_lost_at = now
--- a/ivystack/fleet/config.py
+++ b/ivystack/fleet/config.py
@@ -17,11 +17,11 @@
 from loguru import logger
 from msgspec import Meta, Struct
 
+from ..configuration.errors import ConfigurationError
+from ..configuration.schema import parse_address
 from ..mesh.exceptions import KeyFileError
 from ..mesh.keys import KeyRing, read_key_file
 from ..mesh.protocol import NAME_PATTERN, ProxyName
-from ..configuration.errors import ConfigurationError
-from ..configuration.schema import parse_address
 
 VERSION = 1  # of the file
 GROUP_SIZES = 3, 5, 7
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -11,6 +11,7 @@
 import orjson
 from loguru import logger
 
+from ..configuration.errors import ConfigurationError
 from ..consensus.client import Client
 from ..consensus.environment import Environment, Timing
 from ..consensus.replica import Replica
@@ -18,7 +19,7 @@
 from ..duties.lease_table import LeaseTable
 from ..duties.manager import DutyManager
 from ..mesh.mesh import Mesh
-from ..configuration.errors import ConfigurationError
+from ..net.admin import AdminResponse
 from .config import FleetConfig, load_config
 
 if TYPE_CHECKING:
@@ -81,7 +82,7 @@
             logger.exception("fleet: could not start")
 
     def _start(self) -> None:
-        self.proxy.admin.calls[STATUS_PATH] = {b"GET": self.status}
+        self.proxy.admin.routes[STATUS_PATH] = {b"GET": self.status}
         self.proxy.reactor.addSystemEventTrigger("before", "shutdown", self.stop)
         self.mesh.start()
         if self.member is not None:
@@ -120,7 +121,7 @@
             self.member.stop()
         self.mesh.stop()
 
-    def status(self) -> tuple[int, str]:
+    def status(self) -> AdminResponse:
         """Return an HTTP status and how things stand, as JSON for operators."""
         status: dict[str, Any] = {
             "name": self.config.name,
@@ -129,4 +130,4 @@
         }
         if self.member is not None:
             status["group"] = self.member.status()
-        return HTTP_OK, orjson.dumps(status).decode()
+        return AdminResponse(HTTP_OK, orjson.dumps(status).decode())
--- a/ivystack/mesh/drop_log.py
+++ b/ivystack/mesh/drop_log.py
@@ -4,17 +4,18 @@
 
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
 
 from loguru import logger
 
+from ..net.deadlines import Deadline, DeadlineQueue
+
 LOG_PERIOD = 10_000_000  # microseconds between two lines
 
 
 class DropLog:
     """Counts by code.  The first drop is logged at once, later ones as sums, however many there are."""
 
-    def __init__(self, deadlines: Any, now: Callable[[], int]) -> None:
+    def __init__(self, deadlines: DeadlineQueue, now: Callable[[], int]) -> None:
         """Start with no drops.
 
         :param now: the clock, in microseconds.
@@ -22,7 +23,7 @@
         self.deadlines, self.now = deadlines, now
         self.unlogged: Counter[str] = Counter()
         self.total: dict[str, int] = {}  # since the start
-        self.next_line: list | None = None
+        self.next_line: Deadline | None = None
 
     def count(self, code: str, peer: str) -> None:
         """Count one drop; `peer` is the name or address that it came from or was meant for."""
@@ -42,4 +43,4 @@
 
     def _begin_period(self) -> None:
         self.unlogged.clear()
-        self.next_line = self.deadlines.at(self.now() + LOG_PERIOD, self._log_sums)
+        self.next_line = self.deadlines.call_at(self.now() + LOG_PERIOD, self._log_sums)
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -37,6 +37,7 @@
 from .send_queue import SendQueue
 
 if TYPE_CHECKING:
+    from ..net.deadlines import Deadline
     from .mesh import Mesh
 
 HEARTBEAT_INTERVAL = 500_000  # microseconds between heartbeats where nothing else is sent
@@ -69,7 +70,7 @@
         self.paused = False  # the transport takes no more for now
         self.code: str | None = None  # why the link ended
         self.last_received_at = 0
-        self.timer: list | None = None
+        self.timer: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.transport.setTcpNoDelay(True)
@@ -77,7 +78,7 @@
         self.transport.registerProducer(self, True)
         self.last_received_at = self.mesh.now()
         deadline = self.last_received_at + HANDSHAKE_TIMEOUT
-        self.timer = self.mesh.deadlines.at(deadline, self.handshake_timeout)
+        self.timer = self.mesh.deadlines.call_at(deadline, self.handshake_timeout)
         self.mesh.connected(self)
         if self.is_caller:
             self._send_handshake()
@@ -124,8 +125,9 @@
 
     def _establish(self) -> None:
         self.established = True
-        self.mesh.deadlines.drop(self.timer)
-        self.timer = self.mesh.deadlines.at(self.mesh.now() + HEARTBEAT_INTERVAL, self.heartbeat)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.mesh.deadlines.call_at(self.mesh.now() + HEARTBEAT_INTERVAL, self.heartbeat)
         self.mesh.established(self)
 
     def heartbeat(self) -> None:
@@ -135,7 +137,7 @@
             return self.close(DropCode.SILENT)
         if not self.queue:
             self.send(HEARTBEAT_KIND, None)
-        self.timer = self.mesh.deadlines.at(now + HEARTBEAT_INTERVAL, self.heartbeat)
+        self.timer = self.mesh.deadlines.call_at(now + HEARTBEAT_INTERVAL, self.heartbeat)
         return None
 
     def send(self, kind: str, body: Any) -> None:
@@ -214,7 +216,8 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
-        self.mesh.deadlines.drop(self.timer)
+        if self.timer is not None:
+            self.timer.cancel()
         if self.code is None:
             closed = reason.check(error.ConnectionDone)
             self.code = DropCode.PEER_CLOSED if closed else DropCode.PEER_RESET
--- a/ivystack/mesh/mesh.py
+++ b/ivystack/mesh/mesh.py
@@ -124,7 +124,7 @@
             if not self.listen_failed:
                 logger.warning("mesh: {}; retrying until the address is free", fault)
             self.listen_failed = True
-            self.deadlines.at(self.now() + LISTEN_RETRY_INTERVAL, self.listen)
+            self.deadlines.call_at(self.now() + LISTEN_RETRY_INTERVAL, self.listen)
 
     def stop(self) -> None:
         """Close the listener and all links once what was written is out."""
@@ -159,7 +159,7 @@
         self.dialing.discard(peer)
         failures = self.dial_failures[peer] = self.dial_failures.get(peer, 0) + 1
         backoff = min(MAX_BACKOFF, MIN_BACKOFF << min(failures - 1, MAX_BACKOFF_DOUBLINGS))
-        self.deadlines.at(self.now() + int(backoff * (0.5 + self.rng.random() / 2)), self.dial, peer)
+        self.deadlines.call_at(self.now() + int(backoff * (0.5 + self.rng.random() / 2)), self.dial, peer)
 
     def connected(self, link: Link) -> None:
         """Note a new connection, before its handshake."""
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -14,6 +14,8 @@
 from twisted.internet.error import CannotListenError, ConnectionDone
 from twisted.python.failure import Failure
 
+from ..configuration.process import ProcessConfiguration
+from ..configuration.schema import parse_address
 from ..model import (
     Attempt,
     CloseIdleConnections,
@@ -32,19 +34,24 @@
     Wakeup,
     usable_figures,
 )
-from ..configuration.process import ProcessConfiguration
-from ..configuration.schema import parse_address
-from .admin import Admin
-from .discovery import Discovery
-from .front import Frame, Front
-from .handover import Handover, State, adopt, take, told
+from .admin import AdminResponse, AdminServer
+from .client_drain import ClientDrain
+from .client_server import ClientRequest, ClientServer, RequestCallbacks
+from .clock import WallAnchoredClock
+from .deadlines import Deadline, DeadlineQueue
+from .endpoint_watch import EndpointWatch, UpdateResult
+from .gossip_socket import GossipSocket
+from .hot_restart import HotRestart, adopt_listening_socket
+from .hot_restart_state import ProcessState, export_state, import_state
+from .in_flight_attempt import InFlightAttempt
 from .listener import ClientListener, listen
-from .nodes import Nodes, Sending
-from .peers import Peers
-from .relay import Upload
 from .reply import Failed, Rejected, Reply, Value
-from .resp import SHORT
-from .tables import Clock, Deadlines, Slots
+from .request_frame import RequestFrame
+from .resp import MAX_ARGUMENT
+from .server_pool import PoolSettings
+from .server_pools import ServerPools
+from .slot_table import SlotTable
+from .streams import RequestStream, ResponseStream
 from .trace import trace
 
 STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
@@ -60,18 +67,26 @@
         "upload",
         "wait",
         "reply",
-        "still_there",
+        "is_connected",
         "slot",
         "last_call",
         "place_by",
     )
 
-    def __init__(self, request: Request, frame: Frame, reply, upload: Upload | None, wait: int, still_there):
-        self.still_there = still_there
+    def __init__(
+        self,
+        request: Request,
+        frame: RequestFrame,
+        reply,
+        upload: RequestStream | None,
+        wait: int,
+        is_connected,
+    ):
+        self.is_connected = is_connected
         self.request, self.frame, self.reply, self.slot = request, frame, reply, -1
         self.upload, self.wait = upload, wait
-        self.last_call: list | None = None
-        self.place_by: list | None = None  # a long write's deadline for going anywhere
+        self.last_call: Deadline | None = None
+        self.place_by: Deadline | None = None  # a long write's deadline for going anywhere
 
 
 class Proxy:
@@ -90,35 +105,45 @@
     LONGEST, UNTIL_KILL, HELD_UP = 3_000_000, 700_000, 150_000
 
     def __init__(self, run: ProcessConfiguration, reactor, now=None):
-        self.run, self.reactor, self.now = run, reactor, now or Clock()
+        self.run, self.reactor, self.now = run, reactor, now or WallAnchoredClock()
         self.settings, self.balancer = run.settings, run.settings.balancer
-        self.deadlines = Deadlines(reactor, self.now)
-        self.requests = Slots()
+        self.deadlines = DeadlineQueue(reactor, self.now)
+        self.requests: SlotTable[Held] = SlotTable()
         self.held: dict[Request, Held] = {}
-        self.sendings: dict[Attempt, Sending] = {}
+        self.in_flight: dict[Attempt, InFlightAttempt] = {}
         self.ends: deque[tuple[Attempt, Outcome, dict, bool]] = deque()  # outcomes still to be told
         self.settling = False
-        self.alarm: list | None = None
+        self.alarm: Deadline | None = None
         self.useless: deque[int] = deque(maxlen=64)  # the list's entries that can't be used and were told
-        self.nodes = Nodes(
-            reactor, self.deadlines, self.now, self.ended, run.descriptors, run.idle_timeout_us,
-            run.connect_timeout_us,
-            self.deep(), self.aside(),
-            run.memory_bytes // Front.HELD, self.wanted,
-        )  # fmt: skip
-        most = run.descriptors - self.nodes.most - Front.SPARE
-        self.front = Front(
-            reactor, self.deadlines, self.now, self.admit, self.begin_on, self.gone, self.cut, self.ready,
-            self.settings.request_classes, self.settings.tenants, most, run.memory_bytes,
+        self.server_pools = ServerPools(
+            reactor, self.deadlines, self.now, self.pool_settings(run), run.descriptors,
+            run.memory_bytes // ClientServer.VALUE_MEMORY_DIVISOR, self.ended, self.wanted,
         )  # fmt: skip
-        self.discovery = Discovery(
+        most = run.descriptors - self.server_pools.max_connections - ClientServer.RESERVED_DESCRIPTORS
+        self.client_server = ClientServer(
+            reactor,
+            self.deadlines,
+            self.now,
+            RequestCallbacks(
+                admit=self.admit,
+                begin=self.begin_on,
+                abandon=self.gone,
+                abort_upload=self.cut,
+                is_ready=self.ready,
+            ),
+            self.settings.request_classes,
+            self.settings.tenants,
+            most,
+            run.memory_bytes,
+        )
+        self.endpoint_watch = EndpointWatch(
             reactor, self.deadlines, self.now, self.settings.poll_backoff, run.discovery, self.listed,
         )  # fmt: skip
-        self.peers = Peers(run.peers, self.told)
-        self.handover = Handover(
+        self.gossip = GossipSocket(run.peers, self.told)
+        self.hot_restart = HotRestart(
             reactor, self.deadlines, self.now, run.restart_folder, run.listen, self.state, self.two
         )  # fmt: skip
-        self.admin = Admin(self.deadlines, self.now, self.serves, self.drain, self.back)
+        self.admin = AdminServer(self.deadlines, self.now, self.serves, self.drain, self.back)
         self.limits = run.descriptors, run.memory_bytes  # the start's
         self.port = None
         self.started = self.ending = False
@@ -134,17 +159,17 @@
         self.warn(self.run)
         if self.run.known_endpoints:
             try:
-                self.discovery.known(self.run.known_endpoints)
+                self.endpoint_watch.load_known(self.run.known_endpoints)
             except Exception as fault:  # guards the start: the watch will bring a list
                 logger.error("known: a list that can't be used: {}: {}", type(fault).__name__, fault)
         if self.run.admin:  # first: it answers no until we serve
             self.reactor.listenTCP(self.run.admin[1], self.admin, backlog=64, interface=self.run.admin[0])
         if self.run.inherited_descriptor is not None:
-            self.handover.ask(self.begin)
+            self.hot_restart.request_state(self.begin)
         else:
             self.begin(None)
 
-    def begin(self, state: State | None) -> None:
+    def begin(self, state: ProcessState | None) -> None:
         """Serves, going on from what an old process has told."""
         if self.ending:  # guards against a port that nobody would close: SIGTERM came while we asked
             return
@@ -155,57 +180,68 @@
             logger.error("could not start: {}", fault)
             self.reactor.stop()
 
-    def go_on(self, state: State | None) -> None:
+    def go_on(self, state: ProcessState | None) -> None:
         if state is None:
             return
         try:
-            if state.generation >= self.discovery.generation:
+            if state.generation >= self.endpoint_watch.generation:
                 listing = dict(generation=state.generation, reset=True, instances=state.instances)
-                self.discovery.known(listing)
-            take(state, self.balancer, self.settings.request_classes, self.now())
+                self.endpoint_watch.load_known(listing)
+            import_state(state, self.balancer, self.settings.request_classes, self.now())
         except Exception as fault:  # guards the start against whatever an old process may tell
-            logger.error("handover: could not go on from it: {}: {}", type(fault).__name__, fault)
+            logger.error("hot restart: the state could not be imported: {}: {}", type(fault).__name__, fault)
         else:
-            logger.info("handover taken generation={} slots={}", state.generation, len(state.slots))
+            generation, slots = state.generation, len(state.slots)
+            logger.info("hot restart state imported generation={} slots={}", generation, slots)
 
     def open(self) -> None:
         if self.run.peer_listen:
             self.talk(*self.run.peer_listen)
         if self.run.inherited_descriptor is not None:
-            self.port = adopt(self.reactor, self.run.inherited_descriptor, self.front)
-            self.handover.listen()
+            self.port = adopt_listening_socket(
+                self.reactor, self.run.inherited_descriptor, self.client_server
+            )
+            self.hot_restart.listen()
         else:
-            self.port = self.listen(self.reactor, *self.run.listen, self.front, self.BACKLOG)
-        self.discovery.watch()
+            self.port = self.listen(self.reactor, *self.run.listen, self.client_server, self.BACKLOG)
+        self.endpoint_watch.request_watch()
         logger.info("start name={} nodes={}", self.run.name, len(self.balancer.servers))
         self.started = True
         self.settle()
 
     # In an upgrade.
 
-    def state(self) -> State:
+    def state(self) -> ProcessState:
         """What the next process is told."""
         kinds = {place: name for name, place in self.settings.kinds.items()}
         listed = {ServerState.READY: "SERVING", ServerState.DRAINING: "DRAINING"}
+        pools = self.server_pools.pools
         instances = [
             {
-                "instanceId": node.name, "hostPort": "{}:{}".format(*self.nodes.places[node.name].address),
+                "instanceId": node.name, "hostPort": "{}:{}".format(*pools[node.name].address),
                 "zone": node.zone, "machineType": kinds.get(node.kind), "cell": node.cell,
                 "lifecycle": listed[node.state], "startedAtMs": node.started_at // 1000,
                 # Live ones are no sizes: the list tells them anew each second.
                 "weight": None if self.balancer.load.enabled else node.weight,
             }
             for node in self.balancer.servers.values()
-            if node.state in listed and node.name in self.nodes.places
+            if node.state in listed and node.name in pools
         ]  # fmt: skip
-        return told(self.balancer, self.settings.request_classes, self.discovery.generation, instances)
+        classes, generation = self.settings.request_classes, self.endpoint_watch.generation
+        return export_state(self.balancer, classes, generation, instances)
 
     def two(self, two: bool) -> None:
         """Another process is there, or has gone: together they keep within the bounds of one."""
-        logger.info("handover two={}", two)
+        logger.info("hot restart other_process={}", two)
         sockets, memory = (of // 2 if two else of for of in self.limits)
-        self.nodes.bound(sockets, memory // Front.HELD)
-        self.front.bound(max(Front.EACH, sockets - self.nodes.most - Front.SPARE), memory)
+        self.server_pools.set_limits(sockets, memory // ClientServer.VALUE_MEMORY_DIVISOR)
+        self.client_server.set_limits(
+            max(
+                ClientServer.EVICTION_BATCH,
+                sockets - self.server_pools.max_connections - ClientServer.RESERVED_DESCRIPTORS,
+            ),
+            memory,
+        )
 
     def talk(self, host: str, port: int) -> None:
         """Takes the parse_address for datagrams.  In an upgrade the old process has it until it is told to
@@ -214,11 +250,11 @@
         if self.ending:
             return
         try:
-            self.reactor.listenUDP(port, self.peers, interface=host)
+            self.reactor.listenUDP(port, self.gossip, interface=host)
         except CannotListenError:
             if self.run.inherited_descriptor is None:
                 raise
-            self.deadlines.at(self.now() + self.LET_GO, self.talk, host, port)
+            self.deadlines.call_at(self.now() + self.LET_GO, self.talk, host, port)
 
     def reload(self, run: ProcessConfiguration) -> None:
         """A new configuration: all of its settings, discovery and the peers count at once, the rest with a
@@ -228,8 +264,8 @@
         self.warn(run)
         former = self.settings.take(run.settings)
         run.settings, self.run = self.settings, run
-        self.front.knows(self.settings.request_classes, self.settings.tenants)
-        self.nodes.tune(run.idle_timeout_us, run.connect_timeout_us, self.deep(), self.aside())
+        self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
+        self.server_pools.configure(self.pool_settings(run))
         logger.info(
             "configuration taken discovery={}:{} classes={} changed={}", *run.discovery,
             len(self.settings.request_classes), len(former),
@@ -237,16 +273,15 @@
         if former:
             last = max((held.request.deadline for held in self.held.values()), default=0)
             over = max(last, self.now()) + 2 * self.LAST  # by then none of their requests is left
-            self.deadlines.at(over, self.settings.forget, former)
-        self.peers.at(run.peers)
-        self.discovery.move(run.discovery)
+            self.deadlines.call_at(over, self.settings.forget, former)
+        self.gossip.set_peers(run.peers)
+        self.endpoint_watch.change_address(run.discovery)
         self.settle()
 
-    def deep(self) -> int:
-        return self.settings.streams if self.settings.hedging_enabled else 1
-
-    def aside(self) -> bool:
-        return self.balancer.parameters.origin_kind >= 0
+    def pool_settings(self, run: ProcessConfiguration) -> PoolSettings:
+        max_in_flight = self.settings.streams if self.settings.hedging_enabled else 1
+        cache_aside = self.balancer.parameters.origin_kind >= 0
+        return PoolSettings(run.idle_timeout_us, run.connect_timeout_us, max_in_flight, cache_aside)
 
     def terminate(self) -> None:
         """A planned end: serve a little longer, then finish what is held."""
@@ -257,10 +292,10 @@
         self.last_answer_at = self.now() + rest
         inherited = self.run.inherited_descriptor is not None  # another process accepts there, or will
         logger.info("stop asked requests={}", len(self.requests))
-        self.front.drain("stopping", self.STAY, self.HALVES, refuses=not inherited)
+        self.client_server.drain.start("stopping", self.STAY, self.HALVES, refuses_pings=not inherited)
         if inherited:
-            self.peers.leave()
-        self.deadlines.at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
+            self.gossip.close()
+        self.deadlines.call_at(self.now() + (0 if inherited else self.STAY), self.stop_taking)
 
     def stop_taking(self) -> None:
         if self.port is not None:
@@ -272,61 +307,71 @@
         at an inherited one is the other process's to take."""
         self.port.stopReading()
         if self.run.inherited_descriptor is None:
-            self.port.accept_waiting(max(ClientListener.AT_ONCE, self.front.room()))
+            self.port.accept_waiting(
+                max(ClientListener.ACCEPTS_PER_TURN, self.client_server.available_capacity())
+            )
         self.port.connectionLost(Failure(ConnectionDone()))  # in this turn: later, more would have come
 
     def finish(self) -> None:
-        if self.requests or self.front.clients:
-            self.deadlines.at(self.now() + 10_000, self.finish)
+        if self.requests or self.client_server.connections:
+            self.deadlines.call_at(self.now() + 10_000, self.finish)
         else:
             logger.info("stop")
-            self.discovery.stop()
-            self.nodes.stop()
+            self.endpoint_watch.stop()
+            self.server_pools.mark_stopping()
             self.reactor.stop()
 
     # The operators' calls.
 
-    def serves(self) -> tuple[int, str]:
-        if self.ending or self.front.draining:
-            return 503, "draining"
-        return (200, "ready") if self.started and self.ready() else (503, "no cache node is ready")
-
-    def drain(self) -> tuple[int, str]:
-        if not self.ending and not self.front.draining:
-            logger.info("drain clients={} requests={}", len(self.front.clients), len(self.requests))
-            self.front.drain("drained", Front.SPREAD, Front.HALVES)
-        return 200, "draining"
-
-    def back(self) -> tuple[int, str]:
+    def serves(self) -> AdminResponse:
+        if self.ending or self.client_server.drain.code:
+            return AdminResponse(503, "draining")
+        if self.started and self.ready():
+            return AdminResponse(200, "ready")
+        return AdminResponse(503, "no cache node is ready")
+
+    def drain(self) -> AdminResponse:
+        if not self.ending and not self.client_server.drain.code:
+            logger.info(
+                "drain clients={} requests={}", len(self.client_server.connections), len(self.requests)
+            )
+            self.client_server.drain.start("drained", ClientDrain.SPREAD, ClientDrain.PARTIAL_COMMAND_GRACE)
+        return AdminResponse(200, "draining")
+
+    def back(self) -> AdminResponse:
         if self.ending:
-            return 409, "stopping: there is no way back"
-        if self.front.draining:
-            logger.info("drain over clients={}", len(self.front.clients))
-            self.front.keep()
-        return 200, "serving"
+            return AdminResponse(409, "stopping: there is no way back")
+        if self.client_server.drain.code:
+            logger.info("drain over clients={}", len(self.client_server.connections))
+            self.client_server.drain.stop()
+        return AdminResponse(200, "serving")
 
     def ready(self) -> bool:
         return any(node.state == ServerState.READY for node in self.balancer.servers.values())
 
     # Clients.
 
-    def admit(
-        self, reply, frame: Frame, method, wait: int, key: int, tenant, write, repeat,
-        upload: Upload | None, still_there,
-    ) -> int:  # fmt: skip
-        now = self.now()
+    def admit(self, client_request: ClientRequest) -> int:
+        now, upload, wait = self.now(), client_request.upload, client_request.timeout
         if self.ending:
             wait = max(0, min(wait, self.last_answer_at - now))
         arrives = now if upload is None else now + self.COMING
-        request = Request(method, arrives, arrives + wait, key, tenant, write, repeat)
-        held = Held(request, frame, reply, upload, wait, still_there)
+        request = Request(
+            client_request.request_class, arrives, arrives + wait, client_request.key, client_request.tenant,
+            client_request.is_write, client_request.is_client_retry,
+        )  # fmt: skip
+        held = Held(
+            request, client_request.frame, client_request.reply, upload, wait, client_request.is_connected
+        )
         if upload is not None:
-            upload.request, upload.through = request, self.through
-            upload.rest = max(1, (self.balancer.retry_policy.answer_deadline(request) - arrives) // 1000)
-        held.slot = self.requests.put(held)
+            upload.request, upload.on_sent = request, self.through
+            upload.server_timeout_ms = max(
+                1, (self.balancer.retry_policy.answer_deadline(request) - arrives) // 1000
+            )
+        held.slot = self.requests.add(held)
         self.held[request] = held
         # Guards against a request that failing decisions have lost: its client gets an answer all the same.
-        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
+        held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
         return held.slot
 
     def begin_on(self, slot: int) -> None:
@@ -339,7 +384,7 @@
             logger.exception("a request could not be begun")
             self.answer(request, Failed())
 
-    def through(self, upload: Upload) -> None:
+    def through(self, upload: RequestStream) -> None:
         """A long write's last byte has gone out: it is taken now, and the node can begin."""
         held = self.held.get(upload.request)
         if held is None:
@@ -348,11 +393,12 @@
         request.arrived_at, request.deadline = now, now + held.wait
         attempt = request.attempts[-1]
         attempt.sent_at, attempt.timeout_at = now, self.balancer.retry_policy.answer_deadline(request)
-        self.nodes.through(self.sendings[attempt], attempt.timeout_at)
-        self.deadlines.drop(held.last_call)
-        held.last_call = self.deadlines.at(request.deadline + self.LAST, self.last_answer, request)
+        self.server_pools.restart_timeout(self.in_flight[attempt], attempt.timeout_at)
+        if held.last_call is not None:
+            held.last_call.cancel()
+        held.last_call = self.deadlines.call_at(request.deadline + self.LAST, self.last_answer, request)
 
-    def cut(self, upload: Upload) -> None:
+    def cut(self, upload: RequestStream) -> None:
         """A long write will never come whole."""
         self.answer(upload.request, Failed())
         self.call_off(upload.request.outstanding())
@@ -374,10 +420,12 @@
 
     def close(self, held: Held) -> None:
         held.request.concluded = True
-        self.deadlines.drop(held.last_call)
-        self.deadlines.drop(held.place_by)
+        if held.last_call is not None:
+            held.last_call.cancel()
+        if held.place_by is not None:
+            held.place_by.cancel()
         del self.held[held.request]
-        self.requests.drop(held.slot)
+        self.requests.remove(held.slot)
 
     def answer(self, request: Request, reply: Reply) -> None:
         """The request's one final answer."""
@@ -391,7 +439,7 @@
     def last_answer(self, request: Request) -> None:
         """Its time is over and it has no answer: nor may it be sent on, where decisions failed."""
         self.answer(request, Failed())
-        self.call_off([attempt for attempt in request.attempts if attempt in self.sendings])
+        self.call_off([attempt for attempt in request.attempts if attempt in self.in_flight])
 
     def trace_answer(self, held: Held, reply: Reply) -> None:
         """Logs a request's final answer, and for a refusal or failure what had become of its attempts."""
@@ -404,7 +452,7 @@
         }
         if isinstance(reply, Rejected):
             fields["retry_after_ms"] = reply.retry_after_ms
-        trace.step(held.frame.ident, "answered", **fields)
+        trace.step(held.frame.request_id, "answered", **fields)
 
     # Decisions.
 
@@ -412,9 +460,9 @@
         """Does what is due, or decides on a request."""
         match action:
             case SendGossip(peer, datagram):
-                self.peers.say(peer, datagram)
+                self.gossip.send(peer, datagram)
             case CloseIdleConnections(server):
-                self.nodes.release(server.name)
+                self.server_pools.release(server.name)
             case request:
                 self.ask(request, now)
 
@@ -446,12 +494,13 @@
 
     def send(self, request: Request, server: Server, timeout_at: int) -> None:
         attempt, held = request.attempts[-1], self.held[request]
-        self.deadlines.drop(held.place_by)
-        sending = self.sendings[attempt] = Sending(attempt, held.frame, held.upload)
+        if held.place_by is not None:
+            held.place_by.cancel()
+        in_flight = self.in_flight[attempt] = InFlightAttempt(attempt, held.frame, held.upload)
         if trace.enabled:
             number, left = len(request.attempts), (timeout_at - self.now()) // 1000
-            trace.step(held.frame.ident, "attempt", number=number, node=server.name, left_ms=left)
-        self.nodes.send(sending, server.name, timeout_at)
+            trace.step(held.frame.request_id, "attempt", number=number, server=server.name, left_ms=left)
+        self.server_pools.send(in_flight, server.name, timeout_at)
 
     def wanted(self, request: Request) -> bool:
         """Whether the request's client is still there.  Asked before what goes out later than in the turn
@@ -459,30 +508,33 @@
         if len(request.attempts) <= 1 and self.now() - request.arrived_at < self.LOOK_AGAIN:
             return True
         held = self.held.get(request)
-        return held is not None and held.still_there() and request in self.held
+        return held is not None and held.is_connected() and request in self.held
 
     def seek(self, held: Held | None) -> None:
         """A long write's time has not begun: what the decisions give one to find a place is given here."""
-        if held is None or held.upload is None or held.upload.whole or held.request.partly_sent:
+        if held is None or held.upload is None or held.upload.sent or held.request.partly_sent:
             return
-        if held.place_by is None or held.place_by[2] is None:
-            held.place_by = self.deadlines.at(self.now() + held.wait // 8, self.no_place, held)
+        if held.place_by is None or not held.place_by.is_pending:
+            held.place_by = self.deadlines.call_at(self.now() + held.wait // 8, self.no_place, held)
 
     def no_place(self, held: Held) -> None:
         if all(attempt.outcome for attempt in held.request.attempts):
             self.answer(held.request, Rejected(-(-self.balancer.parameters.retry_after // 1000)))
 
-    def ended(self, sending: Sending, outcome: Outcome, value: bytes | None) -> None:
+    def ended(
+        self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None
+    ) -> None:
         """An attempt has ended; the client of a satisfied one gets its answer before all else."""
-        del self.sendings[sending.attempt]
+        del self.in_flight[in_flight.attempt]
         if outcome == Outcome.SUCCEEDED:
-            self.answer(sending.attempt.request, Value(value))
-        self.ends.append((sending.attempt, outcome, self.load(sending.report), sending.hit))
+            self.answer(in_flight.attempt.request, Value(value))
+        load = self.load(in_flight.load_report)
+        self.ends.append((in_flight.attempt, outcome, load, in_flight.cache_hit))
         self.settle()
 
     def load(self, report) -> dict[str, float]:
         """The figures of use in a node's load report; one that can't be read tells nothing, nor does harm."""
-        if not self.settings.columns or not isinstance(report, bytes) or len(report) > SHORT:
+        if not self.settings.columns or not isinstance(report, bytes) or len(report) > MAX_ARGUMENT:
             return {}
         try:
             return usable_figures(orjson.loads(report), self.settings.columns)
@@ -495,15 +547,15 @@
             follow_up = self.balancer.record_outcome(attempt, outcome, self.now(), load, hit)
         except Exception:
             logger.exception("decisions failed: record_outcome")
-            follow_up = OutcomeDecision(Fail(), [w for w in request.attempts if w in self.sendings])
+            follow_up = OutcomeDecision(Fail(), [w for w in request.attempts if w in self.in_flight])
         self.call_off(follow_up.cancel)
         if not request.concluded and follow_up.decision != Done():
             self.carry(request, follow_up.decision)
 
     def call_off(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            if attempt in self.sendings:
-                self.nodes.call_off(self.sendings[attempt])
+            if attempt in self.in_flight:
+                self.server_pools.cancel(self.in_flight[attempt])
 
     def settle(self) -> None:
         """Tells the decisions what has ended and asks them for all that is due, until there is nothing."""
@@ -528,9 +580,10 @@
             self.settling = False
         if wakeup.delay is not None:
             at = now + max(wakeup.delay, 1)
-            if self.alarm is None or self.alarm[2] is None or at < self.alarm[0]:
-                self.deadlines.drop(self.alarm)
-                self.alarm = self.deadlines.at(at, self.wake)
+            if self.alarm is None or not self.alarm.is_pending or at < self.alarm.due_at:
+                if self.alarm is not None:
+                    self.alarm.cancel()
+                self.alarm = self.deadlines.call_at(at, self.wake)
 
     def wake(self) -> None:
         self.alarm = None
@@ -538,7 +591,7 @@
 
     # News.
 
-    def listed(self, entries: list[dict], whole: bool) -> tuple[bool, bool]:
+    def listed(self, entries: list[dict], whole: bool) -> UpdateResult:
         """Takes the news.  Whether all of it could be used, and whether what could not is new to us."""
         nodes, useless, new = [], False, False
         settling, self.settling = self.settling, True  # what ends by the news is decided by all of it
@@ -554,12 +607,12 @@
                         logger.error("list: an entry that can't be used: {}: {}", type(fault).__name__, fault)
             self.balancer.update_endpoints(nodes, whole, self.now())
             for node in self.balancer.servers.values():
-                self.nodes.listed(node.name, node.state == ServerState.READY)
+                self.server_pools.set_ready(node.name, node.state == ServerState.READY)
         finally:
             self.settling = settling
-        self.nodes.keep(self.balancer.servers)
+        self.server_pools.forget_unlisted(self.balancer.servers)
         self.settle()
-        return not useless, new
+        return UpdateResult(not useless, new)
 
     def entry(self, entry: dict) -> Server:
         name, where = entry["instanceId"], entry.get("hostPort")
@@ -581,7 +634,7 @@
         ):  # one that leaves needs no parse_address: guards its drain against a spoilt one
             known = self.balancer.servers.get(name)
             restarted = known is not None and node.started_at > known.started_at
-            self.nodes.known(name, parse_address(where, "hostPort"), restarted)
+            self.server_pools.update_address(name, parse_address(where, "hostPort"), restarted)
         return node
 
     def told(self, words: bytes) -> None:
--- a/ivystack/settings.py
+++ b/ivystack/settings.py
@@ -161,7 +161,7 @@
                 setattr(ours, name, new)
             elif old.peers != new.peers:
                 old.peers = new.peers
-        if ours.slot_order:
+        if ours.slot_order and theirs.slot_order:
             ours.slot_order.own_number = theirs.slot_order.own_number
         if ours.gossip:
             ours.gossip.set_servers([*ours.servers.values()])
--- a/tests/test_told.py
+++ b/tests/test_endpoint_watch.py
@@ -9,8 +9,8 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
 
-from ivystack.net.discovery import Discovery
-from ivystack.net.tables import Deadlines
+from ivystack.net.endpoint_watch import EndpointWatch, UpdateResult
+from ivystack.net.deadlines import DeadlineQueue
 from ivystack.settings import Settings
 
 TOLD = 6 * S
@@ -81,14 +81,14 @@
     start = round(reactor.seconds() * S)
     rules = {"ask_within": 10**10, "stop_sending_within": grace * 10**6}
     settings = Settings(seed, {"discovery": mode, "rules": rules})
-    deadlines, news = Deadlines(reactor, lambda: round(reactor.seconds() * S)), []
+    deadlines, news = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S)), []
     agent = Agent(reactor, kinds, start + back_at)
-    made = Discovery(
+    made = EndpointWatch(
         reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1),
-        lambda entries, whole: news.append(deadlines.now() - start) or (True, False),
+        lambda entries, whole: news.append(deadlines.now() - start) or UpdateResult(True, False),
     )  # fmt: skip
     made.agent = agent
-    made.watch()
+    made.request_watch()
     for _ in range(200 * 30):
         if news:
             return news[0], [at - start for at in agent.calls]
@@ -132,11 +132,11 @@
     reactor, calls = Reactor(), []
     reactor.advance(1000)
     settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
-    deadlines = Deadlines(reactor, lambda: round(reactor.seconds() * S))
-    made = Discovery(reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1), None)
-    made.watch = lambda: calls.append(deadlines.now())
+    deadlines = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S))
+    made = EndpointWatch(reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1), None)
+    made.request_watch = lambda: calls.append(deadlines.now())
     silent = deadlines.now()
-    made.heard()
+    made.note_activity()
     for _ in range(1200):
         reactor.advance(0.005)
     assert calls and calls[0] <= silent + TOLD - 500 * MS
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -129,7 +129,7 @@
     """Both ends of a connection, not yet begun, caller first; `heard(end, kind, body)` is told messages."""
     from ivystack.mesh.keys import Keys
     from ivystack.mesh.mesh import Called, Calling, Mesh
-    from ivystack.net.tables import Deadlines
+    from ivystack.net.deadlines import DeadlineQueue
 
     clock = MemoryReactorClock()
     clock.advance(1000)
@@ -141,7 +141,7 @@
             return round(clock.seconds() * 1_000_000)
 
         mesh = Mesh(
-            clock, Deadlines(clock, now), now, Random(1), name, Keys({"k1": MESH_KEY}), 512, members, None
+            clock, DeadlineQueue(clock, now), now, Random(1), name, Keys({"k1": MESH_KEY}), 512, members, None
         )
         mesh.life = life
         for kind in mesh_bodies():
@@ -184,7 +184,7 @@
         consecutive_failures=1, connection_failed=True, next_probe_at=now + 2 * S, probes=3
     )
     made.balancer.limiter.common_share = 0.5
-    made.discovery.generation = 41
+    made.endpoint_watch.generation = 41
     return made
 
 
@@ -195,8 +195,8 @@
     run = told()
     run.inherited_descriptor, run.restart_folder = 3, str(folder)
     made = proxy(0, run=run)
-    made.discovery.watch = made.open = lambda: None
-    (folder / f"{made.handover.tag}-1.sock").write_text("")
+    made.endpoint_watch.request_watch = made.open = lambda: None
+    (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     path, factory = made.reactor.unixClients[-1][:2]
     assert Path(path).parent == folder
@@ -207,14 +207,14 @@
 
 def socket_name(made):
     """The name of a process's socket, up to the process's number."""
-    return made.handover.tag
+    return made.hot_restart.tag
 
 
-def handover_answer(made):
+def hot_restart_answer(made):
     """All that a process writes to one that has connected to its socket."""
-    from ivystack.net.handover import Telling
+    from ivystack.net.hot_restart import StateServerFactory
 
-    end = Telling(made.handover).buildProtocol(None)
+    end = StateServerFactory(made.hot_restart).buildProtocol(None)
     end.makeConnection(StringTransport())
     return end.transport.value()
 
@@ -431,7 +431,7 @@
     """What a new process knows once it was told this, by what it would tell the next one."""
     made, end = new_process(folder)
     end.dataReceived(line)
-    return {"told again": sorted_nodes(handover_answer(made)), "states": node_states(made)}
+    return {"told again": sorted_nodes(hot_restart_answer(made)), "states": node_states(made)}
 
 
 def sorted_nodes(line):
@@ -517,7 +517,7 @@
     keep("mesh", mesh_steps())
     keep("gossip", gossip())
     work.mkdir()
-    answer = handover_answer(old_process())
+    answer = hot_restart_answer(old_process())
     name = socket_name(old_process())
     keep("handover", {"socket": name, "answer": sorted_nodes(answer), "imported": imported(work, answer)})
     shutil.rmtree(work)
@@ -610,7 +610,7 @@
 def test_the_old_process_answers_as_recorded():
     known = recorded("handover")
     made = old_process()
-    assert sorted_nodes(handover_answer(made)) == known["answer"]
+    assert sorted_nodes(hot_restart_answer(made)) == known["answer"]
     assert socket_name(made) == known["socket"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -9,12 +9,13 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import FailureState, ServerState
-from ivystack.net.handover import State, Telling
+from ivystack.net.hot_restart import StateServerFactory
+from ivystack.net.hot_restart_state import ProcessState
 
 
 def asked(made):
     """What an old process answers one that asks."""
-    end = Telling(made.handover).buildProtocol(None)
+    end = StateServerFactory(made.hot_restart).buildProtocol(None)
     end.makeConnection(StringTransport())
     return end
 
@@ -24,11 +25,11 @@
     run = told()
     run.inherited_descriptor, run.restart_folder = 3, str(tmp_path)
     made = proxy(0, run=run)
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.begun = []
     made.open = lambda: made.begun.append(made.now())
     if leftover:
-        (tmp_path / f"{made.handover.tag}-1.sock").write_text("")
+        (tmp_path / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     return made
 
@@ -56,7 +57,7 @@
     read.attempt_times.extend([5, 6, 7])
     nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
     old.balancer.limiter.common_share = 0.5
-    old.discovery.generation = 41
+    old.endpoint_watch.generation = 41
     new = starting(tmp_path)
     assert new.begun == []
     end_of(new).dataReceived(asked(old).transport.value())
@@ -80,19 +81,23 @@
     )
     mine = new.settings.request_classes["read"]
     assert [*mine.attempt_times] == [5, 6, 7] and got["n3"].class_failures[mine].consecutive_failures == 2
-    assert new.balancer.limiter.common_share == 0.5 and new.discovery.generation == 41 and len(new.begun) == 1
-    assert new.nodes.places["n1"].address == old.nodes.places["n1"].address
+    assert (
+        new.balancer.limiter.common_share == 0.5
+        and new.endpoint_watch.generation == 41
+        and len(new.begun) == 1
+    )
+    assert new.server_pools.pools["n1"].address == old.server_pools.pools["n1"].address
 
 
 def test_a_list_newer_than_the_old_processs_stays(tmp_path):
     old = proxy(1)
     new = starting(tmp_path)
-    new.discovery.known({"generation": 9, "reset": True, "instances": entries(2)})
+    new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": entries(2)})
     end_of(new).dataReceived(asked(old).transport.value())
-    assert {*new.balancer.servers} == {"n0", "n1"} and new.discovery.generation == 9 and new.begun
+    assert {*new.balancer.servers} == {"n0", "n1"} and new.endpoint_watch.generation == 9 and new.begun
 
 
-GOOD = msgspec.json.decode(msgspec.json.encode(State(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
+GOOD = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
 
 
 @pytest.mark.parametrize(
@@ -122,7 +127,8 @@
     new.reactor.advance(0.49)
     assert not new.begun
     new.reactor.advance(0.02)
-    assert len(new.begun) == 1 and new.nodes.most == new.limits[0] // 6  # it is there all the same
+    # It is there all the same.
+    assert len(new.begun) == 1 and new.server_pools.max_connections == new.limits[0] // 6
 
 
 def test_a_killed_processs_socket_is_taken_away_and_without_one_there_is_no_wait(tmp_path):
@@ -136,15 +142,21 @@
 def test_without_an_inherited_socket_nobody_is_asked_or_listened_for():
     # On the large fleet's days there are no Unix sockets.
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     assert not made.reactor.unixClients and not made.reactor.unixServers and made.port is not None
 
 
 def test_two_processes_together_keep_within_the_bounds_of_one():
     made = proxy()
-    whole = made.nodes.most, made.front.most, made.front.held, made.nodes.pieces
-    made.front.most = 100
+    pools = made.server_pools
+    whole = (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        pools.relay_memory,
+    )
+    made.client_server.max_connections = 100
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
         one.dataReceived(get(b"%d" % number))
@@ -153,18 +165,27 @@
         one.dataReceived(hit())
     made.limits = 64, made.limits[1]
     end = asked(made)
-    assert (made.nodes.most, made.front.most, made.front.held) == (10, 8, whole[2] // 2)
+    assert (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+    ) == (10, 8, whole[2] // 2)
     counts = []
     for _ in range(30):
         made.reactor.advance(0.02)
         counts.append(len(left(asking)))
         for one in asking:
-            if one.transport.disconnecting and one.slot in made.front.clients:
+            if one.transport.disconnecting and one.slot in made.client_server.connections:
                 one.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
     made.limits = made.run.descriptors, made.run.memory_bytes
     end.connectionLost(Failure(ConnectionDone()))
-    assert (made.nodes.most, made.front.most, made.front.held, made.nodes.pieces) == whole
+    assert (
+        pools.max_connections,
+        made.client_server.max_connections,
+        made.client_server.max_value_bytes,
+        pools.relay_memory,
+    ) == whole
 
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
@@ -175,5 +196,5 @@
     links = [link(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(hit())
-    made.nodes.bound(6, 1 << 20)
+    made.server_pools.set_limits(6, 1 << 20)
     assert [one.code for one in links].count("no-room") == 2
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -22,7 +22,7 @@
 from ivystack.mesh.keys import KeyRing, read_key_file, write_key_file
 from ivystack.mesh.mesh import Mesh
 from ivystack.mesh.protocol import MAX_MESSAGE_BYTES, Handshake, encode
-from ivystack.net.tables import Deadlines
+from ivystack.net.deadlines import DeadlineQueue
 from ivystack.configuration.errors import ConfigurationError
 
 MEMBERS = {"a": ("127.0.0.1", 1), "b": ("127.0.0.2", 2)}
@@ -61,7 +61,7 @@
         self.received = []
         self.meshes = []
         for name, own in zip(names, keys, strict=True):
-            deadlines = Deadlines(self.clock, self.now)
+            deadlines = DeadlineQueue(self.clock, self.now)
             made = Mesh(self.clock, deadlines, self.now, Random(1), name, KeyRing(own), 512, MEMBERS, None)
             made.handlers["x"] = lambda peer, body, name=name: self.received.append((name, peer, body))
             self.meshes.append(made)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -17,9 +17,10 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import ServerState
-from ivystack.net.front import Client
+from ivystack.net.client_connection import ClientConnection
 from ivystack.net.listener import ClientListener
-from ivystack.net.resp import command
+from ivystack.net.server_pool import PoolSettings
+from ivystack.net.resp import encode_command
 from ivystack.settings import Settings
 
 PAY = b"c=pay,t=t,d=60000"
@@ -39,7 +40,7 @@
 
 
 def clients(of):
-    return [*of.proxy.front.clients.values()]
+    return [*of.proxy.client_server.connections.values()]
 
 
 # Clients that have left while their reqs waited: nothing of theirs is sent on.
@@ -47,10 +48,15 @@
 
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
-    of.until(lambda: not of.proxy.requests and not of.proxy.front.clients)
+    of.until(lambda: not of.proxy.requests and not of.proxy.client_server.connections)
     of.turn(of.proxy.listed, [Node("late").entry()], True)
     of.pass_by(20_000)
-    assert of.turn(lambda: not of.proxy.nodes.links and not of.proxy.sendings and not of.proxy.front.ids)
+    proxy = of.proxy
+    assert of.turn(
+        lambda: not proxy.server_pools.connections
+        and not proxy.in_flight
+        and not proxy.client_server.request_ids
+    )
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -60,11 +66,11 @@
     made = moment()
     asking = made.client()
     if state == "owed":
-        asking.send(gets(Client.MOST + 9))
-        made.until(lambda: len(made.proxy.requests) == Client.MOST)
+        asking.send(gets(ClientConnection.MAX_PENDING + 9))
+        made.until(lambda: len(made.proxy.requests) == ClientConnection.MAX_PENDING)
     elif state == "upload":
-        asking.send(command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
-        made.until(lambda: made.proxy.requests and clients(made)[0].upload.held)
+        asking.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
+        made.until(lambda: made.proxy.requests and clients(made)[0].upload.paused)
     else:
         asking.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
         made.until(lambda: len(made.proxy.requests) == 2)
@@ -74,7 +80,11 @@
     getattr(asking, how)()
     never_sent_on(made)
     if state != "read":
-        assert made.turn(lambda: made.proxy.front.ends.watched == made.proxy.front.ends.at == {})
+        assert made.turn(
+            lambda: made.proxy.client_server.hang_up_monitor.connections
+            == made.proxy.client_server.hang_up_monitor.descriptors
+            == {}
+        )
 
 
 def test_three_hundred_that_leave_within_one_turn_are_all_noticed(moment):
@@ -82,8 +92,8 @@
     made = moment()
     asking = [made.client() for _ in range(300)]
     for number, one in enumerate(asking):
-        one.send(gets(Client.MOST + 1, b"%d." % number))
-    made.until(lambda: len(made.proxy.requests) == 300 * Client.MOST)
+        one.send(gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
+    made.until(lambda: len(made.proxy.requests) == 300 * ClientConnection.MAX_PENDING)
     made.turn(lambda: [one.end() for one in asking])
     never_sent_on(made)
 
@@ -107,14 +117,14 @@
     # All that it is owed is known but not taken yet; 8 more commands lie unread, and its end behind them.
     made = moment()
     asking = made.client()
-    made.until(lambda: made.proxy.front.clients)
+    made.until(lambda: made.proxy.client_server.connections)
     (ours,) = clients(made)
     made.turn(ours.pauseProducing)  # the transport's call: the client takes no more for now
     asking.send(gets(8))
     asking.socket.shutdown(socket.SHUT_WR)
-    made.until(lambda: ours.deaf)
-    made.until(lambda: not made.proxy.front.clients)
-    assert made.turn(lambda: ours.asked) == 0 and ours.code == "client-left"
+    made.until(lambda: ours.input_closed)
+    made.until(lambda: not made.proxy.client_server.connections)
+    assert made.turn(lambda: ours.commands_received) == 0 and ours.code == "client-left"
 
 
 def test_reqs_of_one_client_that_are_due_in_the_turn_of_its_end_are_not_sent_on():
@@ -127,7 +137,7 @@
     made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
     made.balancer.retries.append(second)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert first.concluded and second.concluded and not made.requests and not made.sendings
+    assert first.concluded and second.concluded and not made.requests and not made.in_flight
     assert all(over for _, over in seen)
 
 
@@ -136,7 +146,7 @@
     node = Node("n0")
     node.door.listen(0)
     made = moment(begun=False)
-    made.run.connect_timeout_us = made.proxy.nodes.connect_timeout = 1 << 40
+    made.run.connect_timeout_us = made.proxy.server_pools.connect_timeout = 1 << 40
     full = []
     for _ in range(4):  # its table of connections that nobody took yet is full: further ones do not come up
         one = socket.socket()
@@ -146,10 +156,10 @@
     made.start(node)
     asking = made.client()
     asking.send(gets(1))
-    made.until(lambda: len(made.proxy.nodes.links) == 1)
-    assert made.turn(lambda: not made.proxy.nodes.links[0].up)
+    made.until(lambda: len(made.proxy.server_pools.connections) == 1)
+    assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
-    made.until(lambda: not made.proxy.requests and not made.proxy.sendings)
+    made.until(lambda: not made.proxy.requests and not made.proxy.in_flight)
     for one in full:
         one.close()
     node.door.listen(64)
@@ -159,8 +169,9 @@
             node.accept()
         except TimeoutError:
             break
-    made.until(lambda: made.proxy.nodes.links and made.proxy.nodes.links[0].up)
-    assert made.turn(lambda: made.proxy.nodes.links[0].carried) == 0
+    pools = made.proxy.server_pools
+    made.until(lambda: pools.connections and pools.connections[0].is_connected)
+    assert made.turn(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
 
 
 def test_one_id_is_used_again_right_after_its_client_has_left(moment):
@@ -188,9 +199,9 @@
 
     def last_turn():
         made.proxy.terminate()
-        for _ in range(3 * ClientListener.AT_ONCE):
+        for _ in range(3 * ClientListener.ACCEPTS_PER_TURN):
             came.append(made.client())
-            came[-1].send(command(b"PING"))
+            came[-1].send(encode_command(b"PING"))
         made.proxy.stop_taking()
 
     made.turn(last_turn)
@@ -206,13 +217,13 @@
     run.inherited_descriptor, run.restart_folder = os.dup(door.fileno()), str(tmp_path)
     made = moment(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
-    old.bind(str(tmp_path / f"{made.proxy.handover.tag}-1.sock"))
+    old.bind(str(tmp_path / f"{made.proxy.hot_restart.tag}-1.sock"))
     old.listen()
     made.start()
     word = old.accept()[0]
     made.turn(made.proxy.terminate)
     word.close()
-    made.until(lambda: made.proxy.handover.then is None)
+    made.until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
     made.pass_by(1)
     assert made.loop.stopped
@@ -224,7 +235,7 @@
     node = Node("n0")
     made = moment(node)
     asking = made.client()
-    asking.send(command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
+    asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
     node.accept().take()
     made.turn(made.proxy.terminate)
     made.pass_by(made.proxy.STAY)
@@ -233,7 +244,7 @@
     assert not made.loop.stopped
     made.pass_by(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
-    made.until(lambda: not made.proxy.front.clients)
+    made.until(lambda: not made.proxy.client_server.connections)
     made.pass_by(20_000)
     assert made.loop.stopped
 
@@ -319,17 +330,19 @@
     spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
     made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
-    made.until(lambda: made.proxy.discovery.body is None)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.pass_by(made.proxy.settings.pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
     agent.line(watch, 3, nodes[1].entry())
     made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
-    assert made.turn(lambda: made.proxy.discovery.body is not None and made.proxy.discovery.lacking)
+    assert made.turn(
+        lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
+    )
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
     made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
-    assert not made.proxy.discovery.lacking and made.proxy.discovery.generation == 4
+    assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
 
 
 def test_a_drain_counts_though_its_address_is_spoilt(moment):
@@ -352,7 +365,7 @@
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
     watch.close()
-    made.until(lambda: made.proxy.discovery.body is None)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.pass_by(made.proxy.settings.pauses[1] * 2)
     assert agent.call()[1] == 2
 
@@ -376,7 +389,7 @@
     node = Node("n0")
     patient = [one | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for one in METHODS]
     made = moment(node, run=told(methods=patient, streams_per_conn=10, may_duplicate=True))
-    asking = [made.client() for _ in range(made.proxy.nodes.FEW)]
+    asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
         one.send(gets(1, b"%d." % number))
         made.until(lambda number=number: len(made.proxy.requests) == number + 1)
@@ -384,18 +397,19 @@
     for wire in wires:
         wire.take()
     paying = made.client()
-    paying.send(command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
-    made.until(lambda: any(len(link.out) == 2 for link in made.proxy.nodes.links.values()))
-    shared = made.turn(lambda: next(link for link in made.proxy.nodes.links.values() if len(link.out) == 2))
-    reading, port = shared.out[0].frame.before, shared.transport.getHost().port
+    paying.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
+    links = made.proxy.server_pools.connections
+    made.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
+    shared = made.turn(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
+    reading, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
     assert wire.take()[0] == b"OBJ.SET"
-    made.turn(made.proxy.nodes.tune, 10_000_000, 250_000, 1)
+    made.turn(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
-    made.until(lambda: len(made.proxy.sendings) == len(asking))
-    before = made.turn(lambda: made.proxy.deadlines.count)
-    made.pass_by(made.proxy.nodes.LINGER)
-    assert made.turn(lambda: made.proxy.deadlines.count) - before < 20  # no round after round of nothing
+    made.until(lambda: len(made.proxy.in_flight) == len(asking))
+    before = made.turn(lambda: made.proxy.deadlines.scheduled)
+    made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
+    assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(hit(b"late") + hit(b"receipt"))
     assert paying.take() == b"receipt"
 
@@ -412,11 +426,11 @@
     kept.take()
     kept.send(hit())
     assert asking.take() == b"v"
-    made.until(lambda: made.proxy.nodes.resting)
+    made.until(lambda: made.proxy.server_pools.idle_connections)
 
     def turn():
         getattr(kept, how)()
-        clients(made)[0].dataReceived(command(b"OBJ.SET", b"7f", b"2", PAY, b"v"))
+        clients(made)[0].dataReceived(encode_command(b"OBJ.SET", b"7f", b"2", PAY, b"v"))
 
     made.turn(turn)
     if how == "reset":
@@ -424,7 +438,7 @@
         assert again.take()[2] == b"2"
         again.send(hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(lambda: not made.proxy.sendings and not made.proxy.requests)
+    assert made.turn(lambda: not made.proxy.in_flight and not made.proxy.requests)
 
 
 def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
@@ -436,19 +450,20 @@
     def turn():  # both within one turn: the connection is not up yet
         made.client_side = clients(made)[0]
         made.client_side.dataReceived(gets(1))
-        first = next(iter(made.proxy.sendings.values())).place
+        first = next(iter(made.proxy.in_flight.values())).pool
         left = next(one for one in (node, other) if one.name == first.name)
         made.proxy.listed([left.entry("DRAINING")], False)
         return left
 
-    made.until(lambda: made.proxy.front.clients)
+    made.until(lambda: made.proxy.client_server.connections)
     left = made.turn(turn)
     stays = other if left is node else node
     to_node = stays.accept()
     to_node.take()
     to_node.send(hit())
     assert asking.take() == b"v"
-    made.until(lambda: all(link.place.name == stays.name for link in made.proxy.nodes.links.values()))
+    links = made.proxy.server_pools.connections
+    made.until(lambda: all(link.pool.name == stays.name for link in links.values()))
     wire = left.accept()
     assert wire.take() is None  # ended by us with nothing on it
 
@@ -467,7 +482,7 @@
 
     made.turn(turn)
     assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
-    assert made.turn(lambda: not made.proxy.sendings)
+    assert made.turn(lambda: not made.proxy.in_flight)
 
 
 @pytest.mark.parametrize("streams", [1, 10])
@@ -482,13 +497,14 @@
     def turn():  # the answer is in the kernel when the deadline is due
         to_node.send(hit(b"late"))
         made.at += 1_000_000
-        made.proxy.deadlines.fire()
+        made.proxy.deadlines.run_due()
 
     made.turn(turn)
     assert asking.take() == "-BUSY"
     asking.send(gets(1, b"next"))
-    made.until(lambda: any(link.out and link.out[-1].frame for link in made.proxy.nodes.links.values()))
-    if made.turn(lambda: len(made.proxy.nodes.links)) > 1 or to_node.take() is None:
+    links = made.proxy.server_pools.connections
+    made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
+    if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
         to_node = node.accept()
         to_node.take()
     to_node.send(hit(b"own"))
@@ -510,10 +526,12 @@
 
         made.turn(turn)
         made.until(
-            lambda: not made.proxy.front.clients and not made.proxy.sendings and not made.proxy.requests
+            lambda: not made.proxy.client_server.connections
+            and not made.proxy.in_flight
+            and not made.proxy.requests
         )
-        assert not made.turn(lambda: made.proxy.front.ids)
-        made.turn(made.proxy.nodes.leave, made.proxy.nodes.places["n0"], "done")
+        assert not made.turn(lambda: made.proxy.client_server.request_ids)
+        made.turn(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
 
 
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
@@ -527,7 +545,7 @@
     to_node = node.accept()
     to_node.take()
     agent.line(watch, 2, whole=True)
-    made.until(lambda: made.proxy.discovery.generation == 2)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 2)
     to_node.send(hit())
     assert asking.take() == b"v" and to_node.take() is None
 
@@ -537,25 +555,26 @@
     made = moment(discovery=first)
     watch, _ = first.call()
     first.line(watch, 7, Node("n0").entry(), whole=True)
-    made.until(lambda: made.proxy.discovery.generation == 7)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
-    made.until(lambda: made.proxy.discovery.body is None)  # the pause: time stands still
-    made.turn(made.proxy.discovery.move, second.address)
+    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
+    made.turn(made.proxy.endpoint_watch.change_address, second.address)
     watch, since = second.call()
     assert since == 7
-    made.until(lambda: made.proxy.discovery.body is not None)
+    made.until(lambda: made.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
         nowhere = free.getsockname()
-    made.turn(made.proxy.discovery.move, nowhere)
-    made.until(lambda: made.proxy.discovery.call is None and made.proxy.discovery.body is None)
+    made.turn(made.proxy.endpoint_watch.change_address, nowhere)
+    made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
     second.line(watch, 9, Node("n0").entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
-    made.turn(made.proxy.discovery.move, hung.getsockname())
+    made.turn(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
     late.recv(65_536)
-    made.turn(made.proxy.discovery.move, first.address)  # amid the call, whose answer comes too late
+    # Amid the call, whose answer comes too late.
+    made.turn(made.proxy.endpoint_watch.change_address, first.address)
     watch, since = first.call()
     assert since == 7
     late.close()
     first.line(watch, 8, Node("n1").entry())
-    made.until(lambda: made.proxy.discovery.generation == 8 and len(made.proxy.balancer.servers) == 2)
+    made.until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,17 +5,18 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import Outcome, Request, ServerState
-from ivystack.net.front import Frame
-from ivystack.net.resp import VALUE, Resp, bulk, command
-from ivystack.net.tables import Deadlines, Slots
+from ivystack.net.request_frame import RequestFrame
+from ivystack.net.resp import MAX_BUFFERED_VALUE, RespProtocol, encode_bulk, encode_command
+from ivystack.net.deadlines import DeadlineQueue
+from ivystack.net.slot_table import SlotTable
 from ivystack.settings import Settings
 
 
-class Reader(Resp):
+class Reader(RespProtocol):
     def __init__(self):
         super().__init__()
         self.values, self.faults = [], []
-        self.received, self.malformed = self.values.append, self.faults.append
+        self.value_received, self.fail_protocol = self.values.append, self.faults.append
 
 
 def read(text, piece):
@@ -36,14 +37,17 @@
 def test_what_is_no_value_or_too_large_is_told():
     for text in (b"x", b"$x", b"*99", b"$-2", b"$3\r\nabcd", b"*2\r\n$1\r\na\r\n$2000", b""):
         assert read(text + b"\r\n", 99).faults
-    assert read(b"$%d\r\n" % (VALUE + 1), 99).faults and not read(b"$%d\r\n" % VALUE, 99).faults
+    assert (
+        read(b"$%d\r\n" % (MAX_BUFFERED_VALUE + 1), 99).faults
+        and not read(b"$%d\r\n" % MAX_BUFFERED_VALUE, 99).faults
+    )
     assert read(b"y" * 600, 600).faults
 
 
 def test_only_the_wait_is_rewritten():
     args = [b"OBJ.SET", b"7f", b"1", b"c=pay,d=480,k=d=9,size=3", b"value"]
-    told = b"".join(Frame(args, (8, 11)).telling(12))
-    assert told == command(*args[:3], args[3].replace(b"480", b"12"), args[4])
+    told = b"".join(RequestFrame(args, (8, 11)).encode(12))
+    assert told == encode_command(*args[:3], args[3].replace(b"480", b"12"), args[4])
 
 
 def test_a_req_is_answered_with_the_value_as_it_came():
@@ -55,7 +59,7 @@
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
     node.dataReceived(hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
-    assert not made.requests and not made.sendings and not made.held
+    assert not made.requests and not made.in_flight and not made.held
     asking.dataReceived(get(b"2"))  # the connection is used again
     assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
 
@@ -63,7 +67,7 @@
 def test_answers_go_out_in_the_order_of_the_commands():
     made = proxy()
     asking = client(made)
-    asking.dataReceived(get(b"1") + get(b"2") + command(b"PING"))
+    asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(hit(b"second"))
     assert asking.transport.took() == b""
@@ -74,10 +78,12 @@
 def test_ready_only_with_a_node_to_send_to():
     made = proxy(0)
     asking = client(made)
-    asking.dataReceived(command(b"PING"))
+    asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took().startswith(b"-ERR")
     made.listed(entries(1), True)
-    asking.dataReceived(command(b"PING") + command(b"HELLO", b"3") + command(b"SELECT", b"0"))
+    asking.dataReceived(
+        encode_command(b"PING") + encode_command(b"HELLO", b"3") + encode_command(b"SELECT", b"0")
+    )
     assert asking.transport.took() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
 
 
@@ -94,7 +100,7 @@
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
     made = proxy()
     asking = client(made)
-    for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), command(b"OBJ.GET", b"1")):
+    for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), encode_command(b"OBJ.GET", b"1")):
         asking.dataReceived(text)
         assert asking.transport.took().startswith(b"-ERR ")
     assert not asking.transport.disconnecting and not made.requests
@@ -104,22 +110,22 @@
     # Guards the memory against a client that asks faster than it can be answered.
     made = proxy(4)
     asking = client(made)
-    asking.dataReceived(b"".join(get(b"%d" % i) for i in range(asking.MOST + 5)))
-    assert asking.transport.producerState == "paused" and asking.asked == asking.MOST
+    asking.dataReceived(b"".join(get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
+    assert asking.transport.producerState == "paused" and asking.commands_received == asking.MAX_PENDING
 
 
 def test_values_in_hand_are_bounded():
     # Guards the memory: hundreds of clients may each have some values of 64 KiB open.
     made = proxy()
-    made.front.bytes = made.front.held + 1
+    made.client_server.value_bytes = made.client_server.max_value_bytes + 1
     asking = client(made)
     asking.dataReceived(get())
     assert asking.transport.took() == b"-BUSY\r\n"
-    made.front.bytes = 0
+    made.client_server.value_bytes = 0
     asking.dataReceived(get())
-    assert made.front.bytes > 0
+    assert made.client_server.value_bytes > 0
     link(made).dataReceived(hit())
-    assert made.front.bytes == 0
+    assert made.client_server.value_bytes == 0
 
 
 def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
@@ -137,7 +143,7 @@
 def test_without_a_descriptor_no_node_is_blamed():
     made = proxy()
     outcomes = []
-    made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     client(made).dataReceived(get())
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
     assert outcomes == [Outcome.OVERLOADED]
@@ -146,9 +152,9 @@
 def test_a_client_that_does_not_read_is_cut_off():
     made = proxy()
     asking = client(made)
-    asking.dataReceived(command(b"PING"))
+    asking.dataReceived(encode_command(b"PING"))
     asking.pauseProducing()  # as the transport does when it can't pass on more
-    made.reactor.advance(asking.PATIENCE / S + 1)
+    made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
     assert asking.transport.disconnected and asking.code == "slow-reader"
 
 
@@ -157,8 +163,8 @@
     asking = client(made)
     asking.pauseProducing()
     asking.resumeProducing()
-    made.reactor.advance(asking.PATIENCE / S + 1)
-    asking.dataReceived(command(b"PING"))
+    made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
+    asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took() == b"+PONG\r\n" and not asking.transport.disconnected
 
 
@@ -168,15 +174,15 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert not made.requests and not made.sendings and node.transport.disconnected
+    assert not made.requests and not made.in_flight and node.transport.disconnected
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
     made = proxy()
-    made.front.most = 2
+    made.client_server.max_connections = 2
     first, second = client(made), client(made)
     first.dataReceived(get(b"1"))
-    second.dataReceived(get(b"2") + command(b"PING"))
+    second.dataReceived(get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
         link(made, number).dataReceived(hit())
     client(made)
@@ -186,26 +192,26 @@
 def test_one_that_said_nothing_whole_makes_way_before_usual_clients():
     # Guards usual clients against hundreds that connect and say nothing, or half a command.
     made = proxy()
-    made.front.most = 3
+    made.client_server.max_connections = 3
     usual, silent, half = client(made), client(made), client(made)
     usual.dataReceived(get())
     link(made).dataReceived(hit())
     half.dataReceived(get()[:-2])
-    made.reactor.advance(made.front.YOUNG / S)
+    made.reactor.advance(made.client_server.MIN_SILENCE / S)
     client(made), client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
-    assert usual.asked == 1 and not usual.transport.disconnecting
+    assert usual.commands_received == 1 and not usual.transport.disconnecting
 
 
 def test_one_that_sends_slowly_makes_way_after_silent_ones():
     # Guards usual clients that need seconds for a command: they came before the silent ones.
     made = proxy()
-    made.front.most = 3
+    made.client_server.max_connections = 3
     slow = client(made)
     made.reactor.advance(1)
     silent, half = client(made), client(made)
     half.dataReceived(b"*")
-    made.reactor.advance(made.front.YOUNG / S)
+    made.reactor.advance(made.client_server.MIN_SILENCE / S)
     for at in range(0, 50, 10):
         slow.dataReceived(get()[at : at + 10])
     client(made), client(made)
@@ -217,19 +223,19 @@
 
 def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
     made = proxy(4, streams_per_conn=1, may_duplicate=True)
-    made.front.most = 96
+    made.client_server.max_connections = 96
     idle = [client(made) for _ in range(12)]
     for one in idle:
-        one.dataReceived(command(b"PING"))
-    made.reactor.advance(made.front.SOON / S)
+        one.dataReceived(encode_command(b"PING"))
+    made.reactor.advance(made.client_server.SHORT_IDLE_TIMEOUT / S)
     assert not any(one.transport.disconnecting for one in idle)
     for _ in range(40):
         one = client(made)
         one.dataReceived(b"*4")
-        one.owed.append([None, None, 0, None])
-        made.front.fresh.pop(one, None)
+        one.pending.add()
+        made.client_server.unused_connections.pop(one, None)
     last = client(made)
-    last.dataReceived(command(b"PING"))
+    last.dataReceived(encode_command(b"PING"))
     assert sum(one.code == "idle" for one in idle) >= 10
 
 
@@ -239,9 +245,9 @@
     silent, half, later, usual = (client(made) for _ in range(4))
     half.dataReceived(get()[:-3])
     for one in (later, usual):
-        one.dataReceived(command(b"PING"))
+        one.dataReceived(encode_command(b"PING"))
     later.dataReceived(b"*2")
-    made.reactor.advance(made.front.buildProtocol(None).WHOLE / S)
+    made.reactor.advance(made.client_server.buildProtocol(None).COMMAND_TIMEOUT / S)
     assert silent.transport.took() == b"" and silent.code == "silent" and silent.transport.disconnecting
     for one in (half, later):
         assert one.transport.took().endswith(b"-ERR half a command\r\n") and one.transport.disconnecting
@@ -258,7 +264,11 @@
         other.dataReceived(get(ident, key))
         assert other.transport.took().startswith(b"-ERR ")
     link(made).dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and other.transport.took() == b"" and not made.front.ids
+    assert (
+        asking.transport.took() == b"$1\r\nv\r\n"
+        and other.transport.took() == b""
+        and not made.client_server.request_ids
+    )
 
 
 def test_an_answer_out_of_time_is_given_up_with_its_connection():
@@ -269,7 +279,8 @@
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and node.transport.disconnected
     node.connectionLost(Failure(ConnectionDone()))
-    assert not made.nodes.links and node.ended(Failure(ConnectionDone()), "node") == "out-of-time"
+    assert not made.server_pools.connections
+    assert node.end_code(Failure(ConnectionDone()), "node") == "out-of-time"
 
 
 def test_a_connection_that_breaks_means_it_may_have_run():
@@ -291,7 +302,7 @@
 def test_a_connection_that_does_not_come_up_in_time_is_refused():
     made = proxy()
     ended = []
-    made.nodes.ended = lambda sending, outcome, value: ended.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
     client(made).dataReceived(get())
     made.reactor.advance(0.3)
     assert ended == [Outcome.CONNECTION_REFUSED]
@@ -302,10 +313,10 @@
     ended = []
     client(made).dataReceived(get())
     node = link(made)
-    sending = node.out[0]
-    made.nodes.ended = lambda sending, outcome, value: ended.append(outcome)
-    made.nodes.call_off(sending)
-    made.nodes.call_off(sending)
+    attempt = node.in_flight[0]
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
+    made.server_pools.cancel(attempt)
+    made.server_pools.cancel(attempt)
     node.connectionLost(Failure(ConnectionDone()))
     assert ended == [Outcome.CANCELLED]
 
@@ -318,11 +329,11 @@
     slow = link(made)
     made.reactor.advance(0.6)
     quick = link(made)
-    assert quick is not slow and quick.out
+    assert quick is not slow and quick.in_flight
     quick.dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.sendings
+    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.in_flight
     slow.dataReceived(hit(b"late"))  # nobody waits for it, and its connection is good again
-    assert asking.transport.took() == b"" and slow in made.nodes.resting
+    assert asking.transport.took() == b"" and slow in made.server_pools.idle_connections
 
 
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
@@ -335,7 +346,7 @@
     assert asking.transport.took() == b"-BUSY\r\n" and not node.transport.disconnected
     asking.dataReceived(get(b"2"))
     assert b"$1\r\n2\r\n" not in node.transport.took()
-    made.reactor.advance(made.nodes.LINGER / S)
+    made.reactor.advance(made.server_pools.ABANDONED_TIMEOUT / S)
     assert node.transport.disconnected and node.code == "out-of-time"
 
 
@@ -367,21 +378,22 @@
     node = link(made)
     node.dataReceived(hit())
     made.reactor.advance(8.1)
-    assert node.transport.disconnecting and node.code == "idle" and not made.nodes.places["n0"].idle
+    assert node.transport.disconnecting and node.code == "idle" and not made.server_pools.pools["n0"].idle
 
 
 def test_with_all_connections_taken_the_one_idle_longest_makes_way():
     made = proxy(2)
-    made.nodes.most = 1
+    pools = made.server_pools
+    pools.max_connections = 1
     asking = client(made)
     for key in range(40):  # until both nodes have been met
         asking.dataReceived(get(key=b"%x" % key))
-        if made.nodes.resting and any(place.waiting for place in made.nodes.places.values()):
+        if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
-        if made.reactor.tcpClients and not made.nodes.resting:
-            node = link(made) if not made.nodes.links[0].up else made.nodes.links[0]
+        if made.reactor.tcpClients and not pools.idle_connections:
+            node = link(made) if not pools.connections[0].is_connected else pools.connections[0]
             node.dataReceived(hit())
-    made.nodes.links[0].connectionLost(Failure(ConnectionDone()))
+    made.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
     assert len(made.reactor.tcpClients) == 2
 
 
@@ -411,7 +423,7 @@
 
 def test_after_sigterm_all_that_is_held_is_finished():
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     idle, asking = client(made), client(made)
     made.terminate()
@@ -428,21 +440,21 @@
 
 
 def test_slots_are_used_again_lowest_first():
-    slots = Slots()
-    assert [slots.put(what) for what in "abc"] == [0, 1, 2]
-    slots.drop(2)
-    slots.drop(0)
-    assert [slots.put(what) for what in "de"] == [0, 2] and slots[0] == "d"
+    slots = SlotTable()
+    assert [slots.add(what) for what in "abc"] == [0, 1, 2]
+    slots.remove(2)
+    slots.remove(0)
+    assert [slots.add(what) for what in "de"] == [0, 2] and slots[0] == "d"
 
 
 def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
     made = proxy()
     reactor, seen = made.reactor, []
-    deadlines = Deadlines(reactor, made.now)
+    deadlines = DeadlineQueue(reactor, made.now)
     for after in (3, 1, 2):
-        deadlines.at(made.now() + after * S, seen.append, after)
-    deadlines.drop(deadlines.at(made.now() + S, seen.append, "dropped"))
-    deadlines.at(made.now() + S, lambda: 1 / 0)
+        deadlines.call_at(made.now() + after * S, seen.append, after)
+    deadlines.call_at(made.now() + S, seen.append, "dropped").cancel()
+    deadlines.call_at(made.now() + S, lambda: 1 / 0)
     reactor.pump([0.5] * 7)
     assert seen == [1, 2, 3]
 
@@ -450,23 +462,23 @@
 def test_dropped_deadlines_do_not_pile_up():
     made = proxy()
     seen = []
-    deadlines = Deadlines(made.reactor, made.now)
-    kept = deadlines.at(made.now() + 2 * S, seen.append, 1)
-    for _ in range(5 * deadlines.MANY):
-        deadlines.drop(deadlines.at(made.now() + 60 * S, seen.append, 2))
-    assert len(deadlines.heap) < 2 * deadlines.MANY + 2
+    deadlines = DeadlineQueue(made.reactor, made.now)
+    kept = deadlines.call_at(made.now() + 2 * S, seen.append, 1)
+    for _ in range(5 * deadlines.MAX_CANCELLED):
+        deadlines.call_at(made.now() + 60 * S, seen.append, 2).cancel()
+    assert len(deadlines.heap) < 2 * deadlines.MAX_CANCELLED + 2
     made.reactor.pump([1.5, 1])
     assert seen == [1]
-    deadlines.drop(kept)  # one that is over counts no more
+    kept.cancel()  # one that is over counts no more
     made.reactor.advance(60)
-    assert deadlines.dropped == len(deadlines.heap) == 0
+    assert deadlines.cancelled == len(deadlines.heap) == 0
 
 
 def test_a_silent_watch_is_begun_anew():
     made = proxy()
     calls = []
-    made.discovery.watch = lambda: calls.append(made.now())
-    made.discovery.heard()
+    made.endpoint_watch.request_watch = lambda: calls.append(made.now())
+    made.endpoint_watch.note_activity()
     made.reactor.advance(4.9)
     assert not calls
     made.reactor.pump([0.2, 1])
@@ -476,11 +488,11 @@
 def test_lines_of_the_watch_are_news_and_bad_ones_begin_it_anew():
     made = proxy(0)
     calls = []
-    made.discovery.watch = lambda: calls.append(made.discovery.generation)
-    made.discovery.line(b'{"generation":7,"reset":true,"instances":[]}')
-    made.discovery.line(b"")
-    assert made.discovery.generation == 7 and not calls
-    made.discovery.line(b'{"generation":')
+    made.endpoint_watch.request_watch = lambda: calls.append(made.endpoint_watch.generation)
+    made.endpoint_watch.line_received(b'{"generation":7,"reset":true,"instances":[]}')
+    made.endpoint_watch.line_received(b"")
+    assert made.endpoint_watch.generation == 7 and not calls
+    made.endpoint_watch.line_received(b'{"generation":')
     made.reactor.advance(1)
     assert calls == [7]
 
@@ -488,10 +500,10 @@
 def test_words_of_strangers_and_wrong_words_do_nothing():
     made = proxy(peers=True)
     heard = []
-    made.peers.addresses, made.peers.senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
-    made.peers.told = heard.append
-    made.peers.datagramReceived(b"x", ("127.0.0.4", 9))
-    made.peers.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
+    made.gossip.peers, made.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
+    made.gossip.on_datagram = heard.append
+    made.gossip.datagramReceived(b"x", ("127.0.0.4", 9))
+    made.gossip.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
     assert not heard
     made.told(b"\xff" * 7)
     made.balancer.receive_gossip = None
@@ -517,13 +529,13 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     silent, quick = link(made, 0), link(made, 1)
     quick.dataReceived(hit())
-    made.reactor.pump([0.6, made.nodes.LINGER / S])
+    made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
     assert silent.transport.disconnected and quick.code == "suspect"
 
 
 def crowd(made):
     """Five reqs of one key, on two connections to the one node, and the client."""
-    made.nodes.FEW = 2
+    made.server_pools.PIPELINE_FROM = 2
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     links = [link(made, 0), link(made, 1)]
@@ -535,18 +547,20 @@
 def test_with_a_few_connections_up_attempts_go_behind_others():
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
-    assert len(made.reactor.tcpClients) == 2 and sorted(len(one.out) for one in links) == [2, 3]
+    assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
     for one in links:
         for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
             one.dataReceived(hit(ident))
-    assert not made.requests and asking.transport.took() == b"".join(bulk(b"%d" % i) for i in range(1, 6))
+    assert not made.requests and asking.transport.took() == b"".join(
+        encode_bulk(b"%d" % i) for i in range(1, 6)
+    )
 
 
 def test_a_break_ends_all_that_is_on_the_connection():
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     outcomes = []
-    made.nodes.ended = lambda sending, outcome, value: outcomes.append(outcome)
+    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     links[0].connectionLost(Failure(ConnectionLost()))
     assert outcomes == [
         Outcome.CONNECTION_LOST,
@@ -560,7 +574,7 @@
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     for one in links:
-        made.nodes.call_off(one.out[0])
+        made.server_pools.cancel(one.in_flight[0])
     asking.dataReceived(get(b"6"))
     assert len(made.reactor.tcpClients) == 3
 
@@ -643,11 +657,11 @@
         made.listed(entries(1, "DELETED", instanceId=f"x{number}"), False)
     made.listed(entries(2, "DRAINING"), False)
     made.listed(entries(2, "DELETED"), False)
-    assert [*made.balancer.servers] == [*made.nodes.places] == [busy.place.name]  # its attempt is still out
+    assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
     busy.dataReceived(hit())
     busy.connectionLost(Failure(ConnectionDone()))
     made.listed([], False)
-    assert not made.balancer.servers and not made.nodes.places
+    assert not made.balancer.servers and not made.server_pools.pools
 
 
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
@@ -657,7 +671,7 @@
     asking.dataReceived(get(b"1"))
     link(made).dataReceived(hit())
     asking.dataReceived(get(b"2"))
-    made.nodes.links[0].connectionLost(Failure(ConnectionLost()))
+    made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
     asking.dataReceived(get(b"3"))
     link(made).connectionLost(Failure(ConnectionLost()))
     assert (
@@ -681,14 +695,14 @@
 def test_idle_clients_beyond_a_part_are_closed_the_longest_idle_first():
     # Guards usual clients against those that ask once and keep their connection for good.
     made = proxy()
-    made.front.most = 2 * made.front.KEEP
+    made.client_server.max_connections = 2 * made.client_server.IDLE_DIVISOR
     asking = []
     for number in range(5):
         made.reactor.advance(1)
         asking.append(client(made))
         asking[-1].dataReceived(get(b"%d" % number))
-        for one in [*made.nodes.links.values()] or [link(made)]:
-            if one.out:
+        for one in [*made.server_pools.connections.values()] or [link(made)]:
+            if one.in_flight:
                 one.dataReceived(hit())
     assert [one.code for one in asking] == ["idle", "idle", None, None, None]
 
@@ -741,12 +755,12 @@
     # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
     made = proxy()
     waits = []
-    made.discovery.deadlines.at = lambda at, *_: waits.append(at - made.now())
+    made.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
     for mode in ("push", "ask"):
         settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
         made.settings.take(settings)
-        made.discovery.poll_backoff.failures = 0
-        made.discovery.broke("watch-ended")
+        made.endpoint_watch.backoff.failures = 0
+        made.endpoint_watch.connection_broke("watch-ended")
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
 
 
@@ -759,5 +773,5 @@
         ) or after(*values)
         asked = client(made)
         asked.dataReceived(get())
-        link(made).dataReceived(b"*3\r\n" + bulk(b"v") + bulk(word) + b"$-1\r\n")
+        link(made).dataReceived(b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n")
         assert seen == [told]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -103,20 +103,24 @@
 
 def test_settings_are_taken_up_in_a_drain_and_at_the_end():
     made = proxy()
-    made.discovery.watch = lambda: None
+    made.endpoint_watch.request_watch = lambda: None
     made.start()
     made.drain()
     made.reload(told(methods=[sheet("new")]))
-    assert made.front.draining == "drained" and [*made.front.methods] == [b"new"]
+    assert made.client_server.drain.code == "drained" and [*made.client_server.request_classes] == [b"new"]
     made.terminate()
     made.reload(told())
-    assert made.front.draining == "stopping" and [*made.front.methods] == [b"read", b"pay"]
+    assert made.client_server.drain.code == "stopping" and [*made.client_server.request_classes] == [
+        b"read",
+        b"pay",
+    ]
 
 
 def test_nodes_connections_follow_the_settings():
     made = proxy()
     made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
-    assert (made.nodes.deep, made.nodes.connect_timeout, made.nodes.idle) == (1, 100_000, 800_000)
+    pools = made.server_pools
+    assert (pools.max_in_flight, pools.connect_timeout, pools.idle_timeout) == (1, 100_000, 800_000)
     assert made.balancer.parameters.hedging_enabled and made.settings.hedging_enabled
 
 
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -19,7 +19,8 @@
 from ivystack.fleet.config import FleetConfig
 from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
 from ivystack.model import FailureState, Server
-from ivystack.net.handover import MOST, State
+from ivystack.net.hot_restart import MAX_STATE_BYTES
+from ivystack.net.hot_restart_state import ProcessState
 
 MANY = 1024
 
@@ -71,8 +72,8 @@
     for node in slots:  # each has been met, and failed a class
         made.balancer.outliers.record_failure(node.class_failures.setdefault(read, FailureState()), True, 5)
     words = msgspec.json.encode(made.state())
-    assert len(words) < MOST // 2
-    assert len(msgspec.json.decode(words, type=State).nodes) == MANY
+    assert len(words) < MAX_STATE_BYTES // 2
+    assert len(msgspec.json.decode(words, type=ProcessState).servers) == MANY
 
 
 def test_a_thousand_peers_are_told_and_heard():
@@ -82,7 +83,7 @@
     ))  # fmt: skip
     run.peers = [("127.0.0.1", 2000 + number) for number in range(MANY)]
     made = proxy(3, run=run)
-    assert len(made.peers.senders) == MANY and len(made.balancer.gossip.peers) == MANY - 1
+    assert len(made.gossip.allowed_senders) == MANY and len(made.balancer.gossip.peers) == MANY - 1
     for node in made.balancer.servers.values():
         made.balancer.gossip.note(node, GossipedOutcome.FAILED, 0)
     said = made.balancer.gossip.due(1 << 60)
@@ -91,13 +92,13 @@
 
 def test_more_nodes_than_descriptors_cost_a_try_never_the_process():
     made = proxy(300, sockets=64)
-    most = made.nodes.most
-    made.nodes.bound(64, 1 << 20)
-    client = made.front.buildProtocol(None)
+    most = made.server_pools.max_connections
+    made.server_pools.set_limits(64, 1 << 20)
+    client = made.client_server.buildProtocol(None)
     client.makeConnection(Transport())
     for number in range(30):
         client.dataReceived(get(b"%d" % number, b"%x" % (number * 7919)))
-    assert len(made.nodes.links) <= made.nodes.most < most
+    assert len(made.server_pools.connections) <= made.server_pools.max_connections < most
     made.reactor.advance(2)
     answers = client.transport.took()
     assert answers.count(b"-") + answers.count(b"$") == 30  # each has its one answer
