--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -33,12 +33,12 @@
 def consensus_record(kind, *values):
     """An entry, a snapshot or a list of members; values in the order on the wire, fields by name, so that
     fields that change places are seen."""
-    from ivystack.consensus import forms
+    from ivystack.consensus import messages
 
     kinds = {
-        "entry": (forms.Entry, "term kind data"),
-        "snapshot": (forms.Snapshot, "index term config data"),
-        "members": (forms.Config, "voters learners"),
+        "entry": (messages.Entry, "term kind data"),
+        "snapshot": (messages.Snapshot, "index term configuration data"),
+        "members": (messages.Configuration, "voters learners"),
     }
     made, names = kinds[kind]
     return made(**dict(zip(names.split(), values, strict=False)))
@@ -46,52 +46,57 @@
 
 def consensus_message(kind, *values):
     """A message by the letter that it has on the wire; values as above."""
-    from ivystack.consensus import forms
+    from ivystack.consensus import messages
 
     kinds = {
-        "v": (forms.Ask, "term index last pre handed"),
-        "V": (forms.Vote, "term yes pre"),
-        "a": (forms.Append, "term index last entries commit round"),
-        "A": (forms.Appended, "term yes index round last"),
-        "s": (forms.Install, "term snapshot round"),
-        "h": (forms.Hand, "term"),
-        "o": (forms.Older, "term"),
+        "v": (messages.RequestVote, "term last_log_index last_log_term pre_vote leadership_transfer"),
+        "V": (messages.VoteReply, "term granted pre_vote"),
+        "a": (
+            messages.AppendEntries,
+            "term prev_log_index prev_log_term entries leader_commit round",
+        ),
+        "A": (messages.AppendEntriesReply, "term success match_index round last_log_index"),
+        "s": (messages.InstallSnapshot, "term snapshot round"),
+        "h": (messages.TimeoutNow, "term"),
+        "o": (messages.DataLossDetected, "term"),
     }
     made, names = kinds[kind]
     return made(**dict(zip(names.split(), values, strict=False)))
 
 
 def encode_consensus(what):
-    from ivystack.consensus.forms import packed
+    from ivystack.consensus.messages import encode
 
-    return packed(what)
+    return encode(what)
 
 
 def decode_consensus(data):
     """A message as it arrives: any of them, told apart by its letter."""
-    from ivystack.consensus.forms import Message
+    from ivystack.consensus.messages import Message
 
     return msgspec.msgpack.decode(data, type=Message)
 
 
 def consensus_letters():
     """The letters of all messages that there are."""
-    from ivystack.consensus.forms import Message
+    from ivystack.consensus.messages import Message
 
     return {kind.__struct_config__.tag for kind in Message.__args__}
 
 
 def write_member(folder, saves):
     """Makes a member's directory in an empty folder by these writes, each in a commit of its own."""
-    from ivystack.consensus.core import Save
-    from ivystack.consensus.store import Store
+    from ivystack.consensus.records import WriteBatch
+    from ivystack.consensus.storage import Storage
 
     done, failed = queue.SimpleQueue(), []
-    store = Store(folder, lambda call, *values: call(*values), failed.append)
+    store = Storage(folder, lambda call, *values: call(*values), failed.append)
     store.open()
     store.start()
+    new_names = {"voted": "voted_for", "first": "first_index", "kept_from": "retained_from"}
     for save in saves:
-        store.save(Save(**save), done.put)
+        batch = WriteBatch(**{new_names.get(name, name): value for name, value in save.items()})
+        store.save(batch, done.put)
         assert done.get(timeout=20) == save["number"]
     store.stop()
     assert not failed
@@ -99,27 +104,28 @@
 
 def read_member(folder):
     """What the store finds in a directory, as plain data; ValueError with its code where it takes none."""
-    from ivystack.consensus.store import Store, UnfitError
+    from ivystack.consensus.errors import StorageError
+    from ivystack.consensus.storage import Storage
 
-    store = Store(folder, lambda call, *values: call(*values), None)
+    store = Storage(folder, lambda call, *values: call(*values), None)
     try:
         found = store.open()
-    except UnfitError as fault:
+    except StorageError as fault:
         raise ValueError(fault.code) from None
     finally:
         store.close()
     return {
-        "life": found.life, "term": found.term, "voted": found.voted, "begun": found.begun,
+        "life": found.incarnation, "term": found.term, "voted": found.voted_for, "begun": found.was_member,
         "snapshot": plain(found.snapshot), "entries": plain(found.entries),
     }  # fmt: skip
 
 
 def agreed_state(snapshot, commands):
     """What commands answer after a snapshot of the agreed state (empty: the beginning), and its snapshot."""
-    from ivystack.consensus.machine import Machine
-    from ivystack.duties.leases import Leases
+    from ivystack.consensus.state_machine import StateMachine
+    from ivystack.duties.lease_table import LeaseTable
 
-    machine = Machine(duty=Leases())
+    machine = StateMachine(duty=LeaseTable())
     machine.load(snapshot)
     answers = [machine.apply(command) for command in commands]
     return answers, machine.dump()
@@ -127,8 +133,8 @@
 
 def mesh_pair(heard):
     """Both ends of a connection, not yet begun, caller first; `heard(end, kind, body)` is told messages."""
-    from ivystack.mesh.keys import Keys
-    from ivystack.mesh.mesh import Called, Calling, Mesh
+    from ivystack.mesh.keys import KeyRing
+    from ivystack.mesh.mesh import AcceptFactory, DialFactory, Mesh
     from ivystack.net.tables import Deadlines
 
     clock = MemoryReactorClock()
@@ -141,23 +147,23 @@
             return round(clock.seconds() * 1_000_000)
 
         mesh = Mesh(
-            clock, Deadlines(clock, now), now, Random(1), name, Keys({"k1": MESH_KEY}), 512, members, None
+            clock, Deadlines(clock, now), now, Random(1), name, KeyRing({"k1": MESH_KEY}), 512, members, None
         )
-        mesh.life = life
+        mesh.incarnation = life
         for kind in mesh_bodies():
-            mesh.takers[kind] = lambda peer, body, name=name, kind=kind: heard(name, kind, body)
+            mesh.handlers[kind] = lambda peer, body, name=name, kind=kind: heard(name, kind, body)
         meshes.append(mesh)
-    caller = Calling(meshes[0], "b").buildProtocol(None)
-    called = Called(meshes[1]).buildProtocol(type("Address", (), {"host": "127.0.0.1"}))
+    caller = DialFactory(meshes[0], "b").buildProtocol(None)
+    called = AcceptFactory(meshes[1]).buildProtocol(type("Address", (), {"host": "127.0.0.1"}))
     for link, nonce, host in zip((caller, called), NONCES, ("127.0.0.2", "127.0.0.1"), strict=True):
-        link.nonces[0] = nonce
+        link.own_nonce = nonce
         link.wire = Wire(host)
     return caller, called
 
 
 def mesh_write(link, kind, body):
     """Says it on this very connection; an empty kind is the beat."""
-    link.write(kind, body)
+    link.send(kind, body)
 
 
 def old_process():
