--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -49,10 +49,13 @@
         list_ = entries(count)
         method = made.settings.request_classes["read"]
         print(f"{count} nodes, {count} peers")
-        print("  a whole list      ", timed(lambda _, made=made, list_=list_: made.listed(list_, True), 9))
+        print(
+            "  a whole list      ",
+            timed(lambda _, made=made, list_=list_: made.endpoints.update(list_, True), 9),
+        )
         print(
             "  one node's news   ",
-            timed(lambda n, made=made, list_=list_: made.listed(list_[n : n + 1], False), 50),
+            timed(lambda n, made=made, list_=list_: made.endpoints.update(list_[n : n + 1], False), 50),
         )
 
         def choose(turn: int, made=made, method=method) -> None:
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -34,7 +34,9 @@
 StateCallback = Callable[[ProcessState | None], None]
 
 
-def adopt_listening_socket(reactor: Any, descriptor: int, factory: ServerFactory) -> Any:
+def adopt_listening_socket(
+    reactor: Any, descriptor: int, factory: listener.ClientFactory
+) -> listener.ClientListener:
     """Accept clients at a listening socket that was inherited as this descriptor, and return the port.
 
     :raises OSError: if it is no descriptor or no socket.
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -30,6 +30,8 @@
 from twisted.internet import main, tcp
 from twisted.python.failure import Failure
 
+from .deadlines import DeadlineQueue
+
 NOTHING_TO_READ = frozenset({EAGAIN, EWOULDBLOCK})  # of recv
 TRANSIENT = frozenset({*NOTHING_TO_READ, EINTR, ENOMEM, ENOBUFS})  # of recv and send: try again
 EXHAUSTED = frozenset({EMFILE, ENFILE, ENOBUFS, ENOMEM})  # of accept: the connection goes on waiting
@@ -155,17 +157,10 @@
         return None
 
 
-class DeadlineScheduler(Protocol):
-    """What the listener needs of the deadlines."""
-
-    def call_at(self, due_at: int, call: Callable[..., None], *arguments: Any) -> Any:
-        """Have a call made at a time in microseconds."""
-
-
 class ClientFactory(Protocol):
     """What the listener needs of the clients' server."""
 
-    deadlines: DeadlineScheduler
+    deadlines: DeadlineQueue
     now: Callable[[], int]
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
--- /dev/null
+++ b/ivystack/net/request_handler.py
@@ -0,0 +1,394 @@
+"""The requests that are active, and every call to the balancer that concerns them.
+
+The balancer decides; the handler carries its decisions out.  Each request gets one answer at most, and an
+exception raised by the balancer ends only the request for which it was called.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from typing import cast
+
+import orjson
+from loguru import logger
+
+from ..model import (
+    Attempt,
+    CloseIdleConnections,
+    Decision,
+    Done,
+    Fail,
+    Outcome,
+    OutcomeDecision,
+    Reject,
+    Request,
+    Send,
+    SendGossip,
+    Server,
+    Wait,
+    Wakeup,
+    usable_figures,
+)
+from ..settings import Settings
+from .active_request import ActiveRequest
+from .client_server import ClientRequest
+from .deadlines import Deadline, DeadlineQueue
+from .gossip_socket import GossipSocket
+from .in_flight_attempt import InFlightAttempt
+from .reply import Failed, Rejected, Reply, Value
+from .resp import MAX_ARGUMENT
+from .server_pools import ServerPools
+from .slot_table import SlotTable
+from .streams import RequestStream, ResponseStream
+from .trace import trace
+
+UPLOAD_TIMEOUT_US = 60_000_000  # for a long write to arrive; the client's timeout counts from its last byte
+ANSWER_GRACE_US = 2_000  # after its deadline a request fails whatever the balancer does; that acts first
+CLIENT_CHECK_AGE_US = 20_000  # of a request, from which on its client is looked for before each attempt
+BALANCER_RETRY_DELAY_US = 50_000  # after `next_wakeup` has raised
+PLACEMENT_TIMEOUT_DIVISOR = 8  # a long write may wait for a server for one in so many of its timeout
+MICROSECONDS_PER_MILLISECOND = 1_000
+
+
+@dataclass(frozen=True, slots=True)
+class EndedAttempt:
+    """An attempt's outcome that the balancer has not been notified of."""
+
+    attempt: Attempt
+    outcome: Outcome
+    load: dict[str, float]  # the usable figures of the server's load report
+    cache_hit: bool
+
+
+class RequestHandler:
+    """Admits requests, has the balancer decide on them, carries that out and answers the clients.
+
+    Call `connect` before anything else.
+    """
+
+    server_pools: ServerPools
+    gossip: GossipSocket
+
+    def __init__(self, settings: Settings, deadlines: DeadlineQueue, now: Callable[[], int]) -> None:
+        self.settings, self.balancer = settings, settings.balancer
+        self.deadlines, self.now = deadlines, now
+        self.requests: SlotTable[ActiveRequest] = SlotTable()
+        self.active: dict[Request, ActiveRequest] = {}  # the same ones
+        self.in_flight: dict[Attempt, InFlightAttempt] = {}
+        self.answer_by: int | None = None  # microseconds: once terminating, when all must be answered
+        self._ended: deque[EndedAttempt] = deque()
+        self._is_running = False  # `run_due` is, or is held off
+        self._wakeup: Deadline | None = None
+
+    def connect(self, server_pools: ServerPools, gossip: GossipSocket) -> None:
+        """Set where attempts and gossip are sent."""
+        self.server_pools, self.gossip = server_pools, gossip
+
+    def latest_deadline(self) -> int:
+        """Return the latest deadline of the active requests in microseconds, 0 without any."""
+        return max((active.request.deadline for active in self.active.values()), default=0)
+
+    # Clients.
+
+    def admit(self, client_request: ClientRequest) -> int:
+        """Add a request to the table and return its slot; nothing is decided yet."""
+        now, upload, timeout = self.now(), client_request.upload, client_request.timeout
+        if self.answer_by is not None:
+            timeout = max(0, min(timeout, self.answer_by - now))
+        arrives = now if upload is None else now + UPLOAD_TIMEOUT_US
+        request = Request(
+            client_request.request_class,
+            arrives,
+            arrives + timeout,
+            client_request.key,
+            client_request.tenant,
+            client_request.is_write,
+            client_request.is_client_retry,
+        )
+        active = ActiveRequest(
+            request, client_request.frame, client_request.reply, upload, timeout, client_request.is_connected
+        )
+        if upload is not None:
+            upload.request, upload.on_sent = request, self.upload_sent
+            server_timeout = self.balancer.retry_policy.answer_deadline(request) - arrives
+            upload.server_timeout_ms = max(1, server_timeout // MICROSECONDS_PER_MILLISECOND)
+        active.slot = self.requests.add(active)
+        self.active[request] = active
+        self._start_answer_deadline(active)
+        return active.slot
+
+    def begin(self, slot: int) -> None:
+        """Decide on an admitted request; whatever fails here, its answer deadline stays."""
+        active = self.requests[slot]
+        request = active.request
+        try:
+            self.decide(request, request.arrived_at if active.upload is None else self.now())
+            self.run_due()
+        except Exception:  # the client's connection and its other requests go on
+            logger.exception("a request could not be begun")
+            self.answer(request, Failed())
+
+    def upload_sent(self, upload: RequestStream) -> None:
+        """Start the timeouts of a long write: its last byte was sent, and the server can begin."""
+        active = None if upload.request is None else self.active.get(upload.request)
+        if active is None:
+            return
+        request, now = active.request, self.now()
+        request.arrived_at, request.deadline = now, now + active.client_timeout
+        attempt = request.attempts[-1]
+        attempt.sent_at, attempt.timeout_at = now, self.balancer.retry_policy.answer_deadline(request)
+        self.server_pools.restart_timeout(self.in_flight[attempt], attempt.timeout_at)
+        if active.answer_deadline is not None:
+            active.answer_deadline.cancel()
+        self._start_answer_deadline(active)
+
+    def upload_aborted(self, upload: RequestStream) -> None:
+        """Fail a long write that will never be complete."""
+        request = cast(Request, upload.request)  # set when it was admitted
+        self.answer(request, Failed())
+        self.cancel(request.outstanding())
+
+    def abandon(self, slots: list[int]) -> None:
+        """Drop the requests in these slots, whose client has gone.
+
+        All are closed first: to cancel the attempts of one runs what is due, and none of the others may be
+        forwarded by that.
+        """
+        abandoned = [self.requests[slot] for slot in slots]
+        for active in abandoned:
+            self._close(active)
+        for request in (active.request for active in abandoned if active.request.attempts):
+            try:
+                attempts = self.balancer.client_gone(request)
+            except Exception:
+                logger.exception("decisions failed: a client went away")
+                attempts = request.outstanding()
+            self.cancel(attempts)
+        self.run_due()
+
+    def answer(self, request: Request, reply: Reply) -> None:
+        """Give a request its one final answer; one that is not active any more is left alone."""
+        active = self.active.get(request)
+        if active is not None:
+            if trace.enabled:
+                self._trace_answer(active, reply)
+            self._close(active)
+            active.reply(reply)
+
+    def client_is_waiting(self, request: Request) -> bool:
+        """Return whether the request's client is still there.
+
+        Asked before what is sent later than in the turn that read the request: after a stall the client's
+        end may lie unread behind what is acted on.
+        """
+        if len(request.attempts) <= 1 and self.now() - request.arrived_at < CLIENT_CHECK_AGE_US:
+            return True
+        active = self.active.get(request)
+        # To look for the client may read its end, and so abandon the request.
+        return active is not None and active.is_connected() and request in self.active
+
+    def _start_answer_deadline(self, active: ActiveRequest) -> None:
+        """Have the request answered in any case, also where the balancer has lost it."""
+        request = active.request
+        due_at = request.deadline + ANSWER_GRACE_US
+        active.answer_deadline = self.deadlines.call_at(due_at, self._answer_deadline_expired, request)
+
+    def _answer_deadline_expired(self, request: Request) -> None:
+        self.answer(request, Failed())
+        self.cancel([attempt for attempt in request.attempts if attempt in self.in_flight])
+
+    def _close(self, active: ActiveRequest) -> None:
+        active.request.concluded = True
+        active.cancel_deadlines()
+        del self.active[active.request]
+        self.requests.remove(active.slot)
+
+    def _trace_answer(self, active: ActiveRequest, reply: Reply) -> None:
+        """Log the answer and the outcomes of the request's attempts."""
+        attempts = active.request.attempts
+        outcomes = ",".join(str(attempt.outcome or "in-flight") for attempt in attempts) or "none"
+        fields: dict[str, object] = {
+            "answer": type(reply).__name__.lower(),
+            "after_ms": (self.now() - active.request.arrived_at) // MICROSECONDS_PER_MILLISECOND,
+            "attempts": outcomes,
+        }
+        if isinstance(reply, Rejected):
+            fields["retry_after_ms"] = reply.retry_after_ms
+        trace.step(active.frame.request_id, "answered", **fields)
+
+    # Decisions.
+
+    def decide(self, request: Request, now: int) -> None:
+        """Have the balancer route a request, and apply its decision."""
+        decision: Decision
+        try:
+            decision = self.balancer.route(request, now)
+        except Exception:  # it is unknown whether an attempt was executed, so it is not rejected
+            logger.exception("decisions failed: route")
+            decision = Fail()
+        self.apply_decision(request, decision)
+
+    def apply_decision(self, request: Request, decision: Decision) -> None:
+        """Carry out a decision for a request."""
+        match decision:
+            case Send() if not self.client_is_waiting(request):
+                self._ended.append(EndedAttempt(request.attempts[-1], Outcome.NOT_SENT, {}, False))
+                self.run_due()
+            case Send(server, timeout_at):
+                self.send(request, server, timeout_at)
+            case Wait():
+                self.start_placement_timeout(self.active.get(request))
+            case Reject(retry_after):
+                self.answer(request, rejected(retry_after))
+            case Fail():
+                self.answer(request, Failed())
+            case Done() if request in self.active:
+                logger.error("decisions failed: a request was let go without an answer")
+                self.answer(request, Failed())
+
+    def send(self, request: Request, server: Server, timeout_at: int) -> None:
+        """Send the request's last attempt to a server, which has until `timeout_at` (microseconds)."""
+        attempt, active = request.attempts[-1], self.active[request]
+        if active.placement_deadline is not None:
+            active.placement_deadline.cancel()
+        in_flight = self.in_flight[attempt] = InFlightAttempt(attempt, active.frame, active.upload)
+        if trace.enabled:
+            number = len(request.attempts)
+            left_ms = (timeout_at - self.now()) // MICROSECONDS_PER_MILLISECOND
+            trace.step(active.frame.request_id, "attempt", number=number, server=server.name, left_ms=left_ms)
+        self.server_pools.send(in_flight, server.name, timeout_at)
+
+    def start_placement_timeout(self, active: ActiveRequest | None) -> None:
+        """Limit the time for which a long write waits for a server.
+
+        The balancer limits that of other requests; a long write's time has not begun for it.
+        """
+        if active is None or active.upload is None or active.upload.sent or active.request.partly_sent:
+            return
+        if active.placement_deadline is None or not active.placement_deadline.is_pending:
+            due_at = self.now() + active.client_timeout // PLACEMENT_TIMEOUT_DIVISOR
+            active.placement_deadline = self.deadlines.call_at(due_at, self.placement_timed_out, active)
+
+    def placement_timed_out(self, active: ActiveRequest) -> None:
+        """Reject a long write, unless an attempt is in flight."""
+        if all(attempt.outcome for attempt in active.request.attempts):
+            self.answer(active.request, rejected(self.balancer.parameters.retry_after))
+
+    def cancel(self, attempts: list[Attempt]) -> None:
+        """Cancel those of the attempts that are in flight."""
+        for attempt in attempts:
+            if attempt in self.in_flight:
+                self.server_pools.cancel(self.in_flight[attempt])
+
+    # Outcomes.
+
+    def attempt_ended(
+        self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None
+    ) -> None:
+        """Take an attempt's outcome; the client of one that succeeded gets its answer before all else."""
+        del self.in_flight[in_flight.attempt]
+        if outcome == Outcome.SUCCEEDED:
+            self.answer(in_flight.attempt.request, Value(cast("bytes | ResponseStream", value)))
+        load = self._usable_load(in_flight.load_report)
+        self._ended.append(EndedAttempt(in_flight.attempt, outcome, load, in_flight.cache_hit))
+        self.run_due()
+
+    def record_outcome(self, ended: EndedAttempt) -> None:
+        """Notify the balancer of an attempt's outcome, and carry out what it decides on that."""
+        request = ended.attempt.request
+        try:
+            follow_up = self.balancer.record_outcome(
+                ended.attempt, ended.outcome, self.now(), ended.load, ended.cache_hit
+            )
+        except Exception:
+            logger.exception("decisions failed: record_outcome")
+            in_flight = [attempt for attempt in request.attempts if attempt in self.in_flight]
+            follow_up = OutcomeDecision(Fail(), in_flight)
+        self.cancel(follow_up.cancel)
+        if not request.concluded and follow_up.decision != Done():
+            self.apply_decision(request, follow_up.decision)
+
+    def receive_gossip(self, datagram: bytes) -> None:
+        """Pass on a datagram, which may be from a stranger in a peer's place, to the balancer."""
+        try:
+            self.balancer.receive_gossip(datagram, self.now())
+        except Exception:
+            logger.exception("decisions failed: a peer's words")
+        self.run_due()
+
+    def _usable_load(self, report: bytes | None) -> dict[str, float]:
+        """Return the usable figures of a server's load report, none of one that can't be parsed."""
+        if not self.settings.columns or not isinstance(report, bytes) or len(report) > MAX_ARGUMENT:
+            return {}
+        try:
+            return usable_figures(orjson.loads(report), self.settings.columns)
+        except (ValueError, AttributeError):  # no JSON, no object
+            return {}
+
+    # What is due.
+
+    @contextmanager
+    def hold_off(self) -> Iterator[None]:
+        """Keep `run_due` from running meanwhile: outcomes are recorded by the next call of it."""
+        was_running, self._is_running = self._is_running, True
+        try:
+            yield
+        finally:
+            self._is_running = was_running
+
+    def run_due(self) -> None:
+        """Notify the balancer of outcomes and do what it says is due, until nothing is left of both."""
+        if self._is_running:
+            return
+        self._is_running = True
+        try:
+            while True:
+                while self._ended:
+                    self.record_outcome(self._ended.popleft())
+                now = self.now()
+                wakeup = self._next_wakeup(now)
+                if not wakeup.due:
+                    break
+                for action in wakeup.due:
+                    self._run(action, now)
+        finally:
+            self._is_running = False
+        if wakeup.delay is not None:
+            self._schedule_wakeup(now + max(wakeup.delay, 1))
+
+    def _next_wakeup(self, now: int) -> Wakeup:
+        try:
+            return self.balancer.next_wakeup(now)
+        except Exception:
+            logger.exception("decisions failed: next_wakeup")
+            return Wakeup(BALANCER_RETRY_DELAY_US, [])
+
+    def _run(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
+        match action:
+            case SendGossip(peer, datagram):
+                self.gossip.send(peer, datagram)
+            case CloseIdleConnections(server):
+                self.server_pools.release(server.name)
+            case request:
+                self.decide(request, now)
+
+    def _schedule_wakeup(self, due_at: int) -> None:
+        """Have `run_due` called at a time in microseconds, unless it is scheduled earlier already."""
+        wakeup = self._wakeup
+        if wakeup is not None and wakeup.is_pending and due_at >= wakeup.due_at:
+            return
+        if wakeup is not None:
+            wakeup.cancel()
+        self._wakeup = self.deadlines.call_at(due_at, self._wakeup_due)
+
+    def _wakeup_due(self) -> None:
+        self._wakeup = None
+        self.run_due()
+
+
+def rejected(retry_after: int) -> Rejected:
+    """Return the reply that rejects a request, to be retried after so many microseconds, rounded up to ms."""
+    return Rejected(-(-retry_after // MICROSECONDS_PER_MILLISECOND))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -227,7 +227,7 @@
     reactor.advance(1000)
     made = Proxy(run or told(reporting, **limits), reactor, lambda: round(reactor.seconds() * S))
     made.listen = listen
-    made.listed(entries(count), True)
+    made.endpoints.update(entries(count), True)
     return made
 
 
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -125,7 +125,7 @@
     def start(self, *nodes):
         in_reactor(self.proxy.start)
         if nodes:
-            self.turn(self.proxy.listed, [node.entry() for node in nodes], True)
+            self.turn(self.proxy.endpoints.update, [node.entry() for node in nodes], True)
         return self
 
     def turn(self, call, *values):
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -67,9 +67,10 @@
     def served(self) -> str:
         """Whether the request gets the value made for it; what became of it otherwise."""
         self.moment.until(
-            lambda: self.proxy.requests or self.ours not in self.client_server.connections.values()
+            lambda: self.proxy.request_handler.requests
+            or self.ours not in self.client_server.connections.values()
         )
-        if not self.moment.turn(lambda: bool(self.proxy.requests)):
+        if not self.moment.turn(lambda: bool(self.proxy.request_handler.requests)):
             return f"closed, code={self.ours.code}"
         value, took = self.answer(), self.asking.take()
         return "served" if took == value else f"got {took!r}"
@@ -145,7 +146,7 @@
     case.asking.send(gets(1, b"first"))
     case.to_node = case.node.accept()
     case.to_node.take()
-    case.moment.turn(case.proxy.drain)
+    case.moment.turn(case.proxy.start_draining)
 
     def answered() -> None:
         (link,) = case.proxy.server_pools.connections.values()
@@ -295,15 +296,19 @@
 def test_a_request_whose_client_goes_while_it_is_taken_goes_nowhere():
     made = proxy(0)  # no node: it waits
     asking = client(made)
-    true_settle = made.settle
+    true_run_due = made.request_handler.run_due
 
     def leaves() -> None:  # as where another's ending cuts short what this client is being passed on
-        made.settle = true_settle
+        made.request_handler.run_due = true_run_due
         made.client_server.abandon_pending(asking)
 
-    made.settle = leaves
+    made.request_handler.run_due = leaves
     asking.dataReceived(get(b"1"))
-    assert not made.requests and not made.held and not made.client_server.request_ids
+    assert (
+        not made.request_handler.requests
+        and not made.request_handler.active
+        and not made.client_server.request_ids
+    )
 
 
 def test_calls_of_operators_that_came_together_are_all_answered():
@@ -336,8 +341,8 @@
     made.reactor.advance(1.2)
     asking = client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,t=t,d=900"))
-    (held,) = made.requests.values()
-    assert held.request.deadline < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
+    (active,) = made.request_handler.requests.values()
+    assert active.request.deadline < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
 
 
 def test_the_last_look_reads_to_the_end_though_reads_are_short_and_fail(monkeypatch):
@@ -417,7 +422,7 @@
 
         made.turn(asks_and_goes)
         made.until(lambda: made.proxy.port.sessionno and not made.proxy.client_server.connections)
-        assert sent == [] and not made.proxy.requests
+        assert sent == [] and not made.proxy.request_handler.requests
     finally:
         made.stop()
 
@@ -442,7 +447,11 @@
     first = link(made)
     assert len(made.reactor.tcpClients) == 1
     first.dataReceived(b"-ERR failed\r\n")
-    assert len(made.reactor.tcpClients) == 1 and not made.requests and not made.in_flight
+    assert (
+        len(made.reactor.tcpClients) == 1
+        and not made.request_handler.requests
+        and not made.request_handler.in_flight
+    )
     assert all(node.in_flight == 0 for node in made.balancer.servers.values())
 
 
@@ -452,4 +461,8 @@
     asking.dataReceived(get(b"1"))
     made.reactor.advance(0.1)
     assert link(made).transport.took() == b""
-    assert not made.requests and not made.in_flight and made.balancer.in_flight == 0
+    assert (
+        not made.request_handler.requests
+        and not made.request_handler.in_flight
+        and made.balancer.in_flight == 0
+    )
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -182,8 +182,8 @@
 
     made = proxy(5)
     now, nodes = made.now(), made.balancer.servers
-    made.listed(entries(1, "DRAINING"), False)
-    made.listed([entries(3, "DELETED")[2]], False)
+    made.endpoints.update(entries(1, "DRAINING"), False)
+    made.endpoints.update([entries(3, "DELETED")[2]], False)
     nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
         3,
         now + S,
@@ -209,7 +209,7 @@
     run = told()
     run.inherited_descriptor, run.restart_folder = 3, str(folder)
     made = proxy(0, run=run)
-    made.endpoint_watch.request_watch = made.open = lambda: None
+    made.endpoint_watch.request_watch = made.open_sockets = lambda: None
     (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
     path, factory = made.reactor.unixClients[-1][:2]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -27,7 +27,7 @@
     made = proxy(0, run=run)
     made.endpoint_watch.request_watch = lambda: None
     made.begun = []
-    made.open = lambda: made.begun.append(made.now())
+    made.open_sockets = lambda: made.begun.append(made.now())
     if leftover:
         (tmp_path / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
@@ -45,8 +45,10 @@
     old = proxy(5)
     now = old.now()
     nodes = old.balancer.servers
-    old.listed(entries(1, "DRAINING"), False)  # its slot goes to the last node: no order of start times
-    old.listed([entries(3, "DELETED")[2]], False)  # crashed: its slot is kept
+    old.endpoints.update(
+        entries(1, "DRAINING"), False
+    )  # its slot goes to the last node: no order of start times
+    old.endpoints.update([entries(3, "DELETED")[2]], False)  # crashed: its slot is kept
     nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
         3,
         now + S,
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -48,13 +48,13 @@
 
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
-    of.until(lambda: not of.proxy.requests and not of.proxy.client_server.connections)
-    of.turn(of.proxy.listed, [Node("late").entry()], True)
+    of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
+    of.turn(of.proxy.endpoints.update, [Node("late").entry()], True)
     of.pass_by(20_000)
     proxy = of.proxy
     assert of.turn(
         lambda: not proxy.server_pools.connections
-        and not proxy.in_flight
+        and not proxy.request_handler.in_flight
         and not proxy.client_server.request_ids
     )
 
@@ -67,13 +67,13 @@
     asking = made.client()
     if state == "owed":
         asking.send(gets(ClientConnection.MAX_PENDING + 9))
-        made.until(lambda: len(made.proxy.requests) == ClientConnection.MAX_PENDING)
+        made.until(lambda: len(made.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
     elif state == "upload":
         asking.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
-        made.until(lambda: made.proxy.requests and clients(made)[0].upload.paused)
+        made.until(lambda: made.proxy.request_handler.requests and clients(made)[0].upload.paused)
     else:
         asking.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
-        made.until(lambda: len(made.proxy.requests) == 2)
+        made.until(lambda: len(made.proxy.request_handler.requests) == 2)
         if state == "stuck":  # the transport's call, where more is written than the client takes
             made.turn(clients(made)[0].pauseProducing)
     assert made.turn(lambda: clients(made)[0].paused) is (state != "read")
@@ -93,7 +93,7 @@
     asking = [made.client() for _ in range(300)]
     for number, one in enumerate(asking):
         one.send(gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
-    made.until(lambda: len(made.proxy.requests) == 300 * ClientConnection.MAX_PENDING)
+    made.until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
     made.turn(lambda: [one.end() for one in asking])
     never_sent_on(made)
 
@@ -108,7 +108,7 @@
     assert to_node.take()[0] == b"OBJ.GET"
     made.turn(clients(made)[0].pauseProducing)
     to_node.send(hit())
-    made.until(lambda: not made.proxy.requests)
+    made.until(lambda: not made.proxy.request_handler.requests)
     asking.socket.shutdown(socket.SHUT_WR)
     assert asking.take() == b"v"
 
@@ -132,12 +132,17 @@
     made = proxy(3)
     asking = client(made)
     asking.dataReceived(gets(2))
-    first, second = made.held
+    first, second = made.request_handler.active
     seen, where = [], made.balancer.route
     made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
     made.balancer.retries.append(second)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert first.concluded and second.concluded and not made.requests and not made.in_flight
+    assert (
+        first.concluded
+        and second.concluded
+        and not made.request_handler.requests
+        and not made.request_handler.in_flight
+    )
     assert all(over for _, over in seen)
 
 
@@ -159,7 +164,7 @@
     made.until(lambda: len(made.proxy.server_pools.connections) == 1)
     assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
-    made.until(lambda: not made.proxy.requests and not made.proxy.in_flight)
+    made.until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
     for one in full:
         one.close()
     node.door.listen(64)
@@ -181,7 +186,7 @@
     first.send(gets(1))
     node.accept().take()
     first.reset()
-    made.until(lambda: not made.proxy.requests)
+    made.until(lambda: not made.proxy.request_handler.requests)
     second.send(gets(1))
     to_node = node.accept()
     to_node.take()
@@ -202,7 +207,7 @@
         for _ in range(3 * ClientListener.ACCEPTS_PER_TURN):
             came.append(made.client())
             came[-1].send(encode_command(b"PING"))
-        made.proxy.stop_taking()
+        made.proxy.stop_accepting()
 
     made.turn(last_turn)
     assert [one.take() for one in came] == ["-ERR draining"] * len(came)
@@ -238,9 +243,9 @@
     asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
     node.accept().take()
     made.turn(made.proxy.terminate)
-    made.pass_by(made.proxy.STAY)
+    made.pass_by(made.proxy.STOP_ACCEPTING_DELAY_US)
     made.turn(made.proxy.terminate)
-    made.turn(made.proxy.drain)
+    made.turn(made.proxy.start_draining)
     assert not made.loop.stopped
     made.pass_by(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
@@ -257,14 +262,16 @@
     made.until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
     asking.send(gets(1))
-    made.until(lambda: made.proxy.requests)
+    made.until(lambda: made.proxy.request_handler.requests)
     made.turn(made.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
     made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
     late.send(gets(1, b"late"))
-    made.until(lambda: len(made.proxy.requests) == 2)
-    assert made.turn(lambda: [len(held.request.attempts) for held in made.proxy.requests.values()]) == [1, 0]
+    made.until(lambda: len(made.proxy.request_handler.requests) == 2)
+    assert made.turn(
+        lambda: [len(active.request.attempts) for active in made.proxy.request_handler.requests.values()]
+    ) == [1, 0]
 
 
 def test_a_sighup_during_the_start_is_not_lost(tmp_path):
@@ -392,7 +399,7 @@
     asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
         one.send(gets(1, b"%d." % number))
-        made.until(lambda number=number: len(made.proxy.requests) == number + 1)
+        made.until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
     wires = [node.accept() for _ in asking]
     for wire in wires:
         wire.take()
@@ -406,7 +413,7 @@
     assert wire.take()[0] == b"OBJ.SET"
     made.turn(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
-    made.until(lambda: len(made.proxy.in_flight) == len(asking))
+    made.until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
     before = made.turn(lambda: made.proxy.deadlines.scheduled)
     made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
@@ -438,7 +445,9 @@
         assert again.take()[2] == b"2"
         again.send(hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(lambda: not made.proxy.in_flight and not made.proxy.requests)
+    assert made.turn(
+        lambda: not made.proxy.request_handler.in_flight and not made.proxy.request_handler.requests
+    )
 
 
 def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
@@ -450,9 +459,9 @@
     def turn():  # both within one turn: the connection is not up yet
         made.client_side = clients(made)[0]
         made.client_side.dataReceived(gets(1))
-        first = next(iter(made.proxy.in_flight.values())).pool
+        first = next(iter(made.proxy.request_handler.in_flight.values())).pool
         left = next(one for one in (node, other) if one.name == first.name)
-        made.proxy.listed([left.entry("DRAINING")], False)
+        made.proxy.endpoints.update([left.entry("DRAINING")], False)
         return left
 
     made.until(lambda: made.proxy.client_server.connections)
@@ -482,7 +491,7 @@
 
     made.turn(turn)
     assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
-    assert made.turn(lambda: not made.proxy.in_flight)
+    assert made.turn(lambda: not made.proxy.request_handler.in_flight)
 
 
 @pytest.mark.parametrize("streams", [1, 10])
@@ -527,8 +536,8 @@
         made.turn(turn)
         made.until(
             lambda: not made.proxy.client_server.connections
-            and not made.proxy.in_flight
-            and not made.proxy.requests
+            and not made.proxy.request_handler.in_flight
+            and not made.proxy.request_handler.requests
         )
         assert not made.turn(lambda: made.proxy.client_server.request_ids)
         made.turn(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -59,7 +59,11 @@
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
     node.dataReceived(hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
-    assert not made.requests and not made.in_flight and not made.held
+    assert (
+        not made.request_handler.requests
+        and not made.request_handler.in_flight
+        and not made.request_handler.active
+    )
     asking.dataReceived(get(b"2"))  # the connection is used again
     assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
 
@@ -80,7 +84,7 @@
     asking = client(made)
     asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took().startswith(b"-ERR")
-    made.listed(entries(1), True)
+    made.endpoints.update(entries(1), True)
     asking.dataReceived(
         encode_command(b"PING") + encode_command(b"HELLO", b"3") + encode_command(b"SELECT", b"0")
     )
@@ -92,7 +96,7 @@
     made = proxy()
     asking = client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
-    assert asking.transport.took() == b"" and len(made.requests) == 1
+    assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
     link(made).dataReceived(hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
 
@@ -103,7 +107,7 @@
     for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), encode_command(b"OBJ.GET", b"1")):
         asking.dataReceived(text)
         assert asking.transport.took().startswith(b"-ERR ")
-    assert not asking.transport.disconnecting and not made.requests
+    assert not asking.transport.disconnecting and not made.request_handler.requests
 
 
 def test_a_client_with_many_open_commands_is_not_read_on():
@@ -174,7 +178,11 @@
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
-    assert not made.requests and not made.in_flight and node.transport.disconnected
+    assert (
+        not made.request_handler.requests
+        and not made.request_handler.in_flight
+        and node.transport.disconnected
+    )
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
@@ -331,7 +339,7 @@
     quick = link(made)
     assert quick is not slow and quick.in_flight
     quick.dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.in_flight
+    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
     slow.dataReceived(hit(b"late"))  # nobody waits for it, and its connection is good again
     assert asking.transport.took() == b"" and slow in made.server_pools.idle_connections
 
@@ -354,7 +362,7 @@
     made = proxy()
     asking = client(made)
     asking.dataReceived(get())
-    made.listed(entries(1, "DRAINING"), False)
+    made.endpoints.update(entries(1, "DRAINING"), False)
     node = link(made)
     assert node.transport.took() == b"" and node.transport.disconnecting
     made.reactor.advance(0.5)
@@ -366,7 +374,7 @@
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
-    made.listed(entries(1, "DRAINING"), False)
+    made.endpoints.update(entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
     node.dataReceived(hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and node.code == "unlisted"
@@ -400,7 +408,7 @@
 def test_an_entry_that_cannot_be_used_does_not_hide_the_others():
     made = proxy(0)
     strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
-    made.listed([*strange, *entries(1), *entries(2, "NEW-WORD")[1:]], True)
+    made.endpoints.update([*strange, *entries(1), *entries(2, "NEW-WORD")[1:]], True)
     assert {name: node.state for name, node in made.balancer.servers.items()} == {
         "n0": ServerState.READY,
         "n1": ServerState.DRAINING,
@@ -418,7 +426,7 @@
     made.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
     asking.dataReceived(get(b"2"))
     made.reactor.pump([0.05] * 12)
-    assert asking.transport.took() != b"" and not made.requests
+    assert asking.transport.took() != b"" and not made.request_handler.requests
 
 
 def test_after_sigterm_all_that_is_held_is_finished():
@@ -505,9 +513,9 @@
     made.gossip.datagramReceived(b"x", ("127.0.0.4", 9))
     made.gossip.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
     assert not heard
-    made.told(b"\xff" * 7)
+    made.request_handler.receive_gossip(b"\xff" * 7)
     made.balancer.receive_gossip = None
-    made.told(b"")
+    made.request_handler.receive_gossip(b"")
 
 
 def test_a_satisfied_req_earns_the_decisions_their_outcome():
@@ -551,7 +559,7 @@
     for one in links:
         for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
             one.dataReceived(hit(ident))
-    assert not made.requests and asking.transport.took() == b"".join(
+    assert not made.request_handler.requests and asking.transport.took() == b"".join(
         encode_bulk(b"%d" % i) for i in range(1, 6)
     )
 
@@ -653,14 +661,14 @@
     client(made).dataReceived(get())
     busy = link(made)
     for number in range(50):
-        made.listed(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
-        made.listed(entries(1, "DELETED", instanceId=f"x{number}"), False)
-    made.listed(entries(2, "DRAINING"), False)
-    made.listed(entries(2, "DELETED"), False)
+        made.endpoints.update(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
+        made.endpoints.update(entries(1, "DELETED", instanceId=f"x{number}"), False)
+    made.endpoints.update(entries(2, "DRAINING"), False)
+    made.endpoints.update(entries(2, "DELETED"), False)
     assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
     busy.dataReceived(hit())
     busy.connectionLost(Failure(ConnectionDone()))
-    made.listed([], False)
+    made.endpoints.update([], False)
     assert not made.balancer.servers and not made.server_pools.pools
 
 
@@ -733,7 +741,7 @@
         asking.dataReceived(get())
         link(made).dataReceived(hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
-        assert made.balancer.servers["n0"].load == 0 and not made.requests
+        assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = proxy(1)  # nor is one read that the settings do not name
     client(made).dataReceived(get())
     link(made).dataReceived(hit(report=b'{"active":50}'))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -70,7 +70,9 @@
 def test_a_long_answer_goes_out_as_it_comes_and_the_last_of_it_once_it_proves_whole():
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG[:1000])
-    assert asking.transport.took() == b"$%d\r\n" % len(LONG) + LONG[:1000] and not made.requests
+    assert (
+        asking.transport.took() == b"$%d\r\n" % len(LONG) + LONG[:1000] and not made.request_handler.requests
+    )
     for at in range(1000, len(LONG), 65_536):
         node.dataReceived(LONG[at : at + 65_536])
     node.dataReceived(TAIL[:2])
@@ -134,7 +136,7 @@
     quick.dataReceived(HEAD + LONG[:10])
     slow.dataReceived(hit(LONG))
     quick.dataReceived(LONG[10:] + TAIL)
-    assert asking.transport.took() == encode_bulk(LONG) and not made.in_flight
+    assert asking.transport.took() == encode_bulk(LONG) and not made.request_handler.in_flight
     assert {slow, quick} == {*made.server_pools.idle_connections}
 
 
@@ -151,7 +153,7 @@
         got = asking.transport.took()
         assert encode_bulk(LONG).startswith(got) and got != encode_bulk(LONG)
         asking.connectionLost(Failure(ConnectionDone()))
-        assert not made.requests and not made.in_flight
+        assert not made.request_handler.requests and not made.request_handler.in_flight
 
 
 def test_what_is_owed_behind_one_that_is_cut_short_is_not_sent_on():
@@ -162,10 +164,14 @@
     node = link(made)
     node.dataReceived(HEAD + LONG[:9000])
     asking.dataReceived(get(b"2", b"80") + get(b"3", b"81"))  # their connections do not come up
-    assert len(made.requests) == 2 and len(made.reactor.tcpClients) > 1
+    assert len(made.request_handler.requests) == 2 and len(made.reactor.tcpClients) > 1
     node.connectionLost(Failure(ConnectionLost()))
     assert asking.transport.disconnecting and asking.code == "cut-short"
-    assert not made.requests and not made.in_flight and not made.client_server.request_ids
+    assert (
+        not made.request_handler.requests
+        and not made.request_handler.in_flight
+        and not made.client_server.request_ids
+    )
     for number in range(1, len(made.reactor.tcpClients)):
         assert link(made, number).transport.value() == b""
     assert not asking.pending and made.client_server.value_bytes == 0
@@ -254,7 +260,7 @@
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     node.dataReceived(HEAD + LONG[:1000])
-    made.drain()
+    made.start_draining()
     made.reactor.pump([0.1] * 40)
     assert not asking.transport.disconnecting
     node.dataReceived(LONG[1000:] + TAIL)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -50,7 +50,7 @@
     asking = ask(made, b"1")
     first = link(made)
     made.reload(told(methods=[sheet("read", now, 10**8)]))
-    req = next(iter(made.held))
+    req = next(iter(made.request_handler.active))
     assert (
         req.request_class.idempotency == (Idempotency.IDEMPOTENT if again else Idempotency.NOT_IDEMPOTENT)
         and req.request_class.latency_objective == S
@@ -68,7 +68,7 @@
     made = proxy(3)
     made.reload(told(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")]))
     asking = ask(made, b"1")
-    assert next(iter(made.held)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
+    assert next(iter(made.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
     before = len(made.reactor.tcpClients)
     link(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
@@ -98,14 +98,16 @@
         made.reload(told(methods=[sheet("read", budget=budget)]))
     assert old in node.class_failures and made.settings.request_classes["read"] in node.class_failures
     made.reactor.advance(2)
-    assert [*node.class_failures] == [made.settings.request_classes["read"]] and not made.held
+    assert [*node.class_failures] == [
+        made.settings.request_classes["read"]
+    ] and not made.request_handler.active
 
 
 def test_settings_are_taken_up_in_a_drain_and_at_the_end():
     made = proxy()
     made.endpoint_watch.request_watch = lambda: None
     made.start()
-    made.drain()
+    made.start_draining()
     made.reload(told(methods=[sheet("new")]))
     assert made.client_server.drain.code == "drained" and [*made.client_server.request_classes] == [b"new"]
     made.terminate()
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -75,7 +75,7 @@
     pass_by(made, 49)  # 300 ms since the first was decided
     link(made)
     assert written(made) == b"" and asking.transport.took().startswith(answer)
-    assert not made.in_flight and not made.requests
+    assert not made.request_handler.in_flight and not made.request_handler.requests
 
 
 def test_a_retry_whose_connection_comes_up_within_the_window_is_sent():
@@ -120,9 +120,13 @@
     made = proxy(1, run=once(idempotency="side_effect"))
     asking = client(made)
     asking.dataReceived(put())
-    waits = next(iter(made.in_flight))
-    made.listed(entries(1, startedAtMs=999_999), True)
-    assert waits.outcome == Outcome.NOT_SENT and len(made.in_flight) == 1 and waits not in made.in_flight
+    waits = next(iter(made.request_handler.in_flight))
+    made.endpoints.update(entries(1, startedAtMs=999_999), True)
+    assert (
+        waits.outcome == Outcome.NOT_SENT
+        and len(made.request_handler.in_flight) == 1
+        and waits not in made.request_handler.in_flight
+    )
     assert not asking.transport.value()
 
 
@@ -269,7 +273,7 @@
     made = proxy(3, run=once(before[1], before[2], before[0]))
     asking = client(made)
     asking.dataReceived(put())
-    (request,) = made.held
+    (request,) = made.request_handler.active
     made.reload(once(now[1], now[2], now[0]))
     assert (
         request.request_class.idempotency,
@@ -277,7 +281,7 @@
         request.request_class.dedup_window,
     ) == held
     asking.dataReceived(put(b"2"))
-    fresh = next(one for one in made.held if one is not request)
+    fresh = next(one for one in made.request_handler.active if one is not request)
     semantics = {
         "pure": Idempotency.IDEMPOTENT,
         "token": Idempotency.KEYED,
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -199,7 +199,11 @@
             made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
         asks = client(made)
         asks.dataReceived(get(fields=b"c=other,t=t,d=500"))
-        assert asks.transport.took().startswith(b"-ERR") and not made.requests and made.ready()
+        assert (
+            asks.transport.took().startswith(b"-ERR")
+            and not made.request_handler.requests
+            and made.has_ready_server()
+        )
 
 
 @pytest.mark.parametrize("overload, fall", [(4.0, S), (2.0, 3 * S // 2)])
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -56,7 +56,7 @@
     agreed = b"".join(marks)
     taker = proxy(0)
     named = zip(entries(32), [*rest, *pair], strict=True)
-    taker.listed([{**one, "instanceId": node.name} for one, node in named], True)
+    taker.endpoints.update([{**one, "instanceId": node.name} for one, node in named], True)
     assert SlotOrder(taker).adopt(agreed) is None
     assert SlotOrder(taker).adopt(agreed + 2 * server_hash(pair[0])) == OrderFault.MALFORMED
     assert len(agreed) == 32 * MARK_BYTES
@@ -71,7 +71,7 @@
     read = made.settings.request_classes["read"]
     for node in slots:  # each has been met, and failed a class
         made.balancer.outliers.record_failure(node.class_failures.setdefault(read, FailureState()), True, 5)
-    words = msgspec.json.encode(made.state())
+    words = msgspec.json.encode(made.export_state())
     assert len(words) < MAX_STATE_BYTES // 2
     assert len(msgspec.json.decode(words, type=ProcessState).servers) == MANY
 
@@ -102,7 +102,7 @@
     made.reactor.advance(2)
     answers = client.transport.took()
     assert answers.count(b"-") + answers.count(b"$") == 30  # each has its one answer
-    assert made.ready()
+    assert made.has_ready_server()
 
 
 def test_the_agreed_state_of_a_thousand_proxies_fits_one_message():
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -36,7 +36,11 @@
     asking.dataReceived(TAIL[1:])
     assert node.transport.took() == TAIL
     node.dataReceived(hit(b"receipt"))
-    assert asking.transport.took() == encode_bulk(b"receipt") and not made.requests and not made.in_flight
+    assert (
+        asking.transport.took() == encode_bulk(b"receipt")
+        and not made.request_handler.requests
+        and not made.request_handler.in_flight
+    )
     asking.dataReceived(get(b"2"))  # both connections are good for more
     node.dataReceived(hit())
     assert asking.transport.took() == encode_bulk(b"v")
@@ -51,7 +55,9 @@
     made.reactor.advance(0.8)
     assert asking.transport.took() == b""
     made.reactor.advance(0.2)
-    assert asking.transport.took() == b"-ERR failed\r\n" and not made.requests  # it may have run
+    assert (
+        asking.transport.took() == b"-ERR failed\r\n" and not made.request_handler.requests
+    )  # it may have run
     assert [*made.settings.request_classes["pay"].attempt_times] == [
         1_000_000
     ]  # none of the seconds in which it came
@@ -64,7 +70,7 @@
         node.connectionLost(Failure(ConnectionLost()))
         assert asking.transport.took() == answer and len(made.reactor.tcpClients) == 1
         asking.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + get(b"2"))  # the rest is thrown away
-        assert made.held and not asking.transport.disconnecting
+        assert made.request_handler.active and not asking.transport.disconnecting
 
 
 def test_while_no_piece_has_gone_out_it_goes_to_another_node():
@@ -82,8 +88,8 @@
     asking.connectionLost(Failure(ConnectionDone()))
     assert (
         node.transport.disconnected
-        and not made.requests
-        and not made.in_flight
+        and not made.request_handler.requests
+        and not made.request_handler.in_flight
         and not made.client_server.request_ids
     )
     assert not made.balancer.servers["n0"].health.consecutive_failures  # that was not the node's doing
@@ -103,7 +109,11 @@
         asking.dataReceived(LONG[1000 + at : 1001 + at])
     assert not asking.transport.disconnecting
     made.reactor.advance(2.6)
-    assert asking.code == "malformed: half a command" and node.transport.disconnected and not made.requests
+    assert (
+        asking.code == "malformed: half a command"
+        and node.transport.disconnected
+        and not made.request_handler.requests
+    )
 
 
 def test_the_client_is_read_no_further_than_the_node_takes():
@@ -161,12 +171,14 @@
     made.reactor.pump([0.01] * 12)
     assert asking.transport.took() == b"-BUSY\r\n"
     asking.dataReceived(LONG[1000:] + TAIL + encode_command(b"PING"))
-    assert asking.transport.took() == b"+PONG\r\n" and not made.requests
+    assert asking.transport.took() == b"+PONG\r\n" and not made.request_handler.requests
 
 
 def test_what_is_under_way_to_a_node_that_drains_is_finished():
     made, asking, node = begun()
-    made.listed([{"instanceId": "n0", "hostPort": "127.0.0.9:7000", "lifecycle": "DRAINING"}], False)
+    made.endpoints.update(
+        [{"instanceId": "n0", "hostPort": "127.0.0.9:7000", "lifecycle": "DRAINING"}], False
+    )
     asking.dataReceived(LONG[1000:] + TAIL)
     node.dataReceived(hit())
     assert asking.transport.took() == encode_bulk(b"v") and node.code == "unlisted"
