--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -43,7 +43,7 @@
         sheet = {"limits": {"peers": True, "most_write_outs": 3}, "n_instances": count, "slot_no": 0,
                  "methods": [{"name": "read", "semantics": "pure", "latency_budget": 10**9, "give_up": 10**9,
                               "criticality": 1.0}]}  # fmt: skip
-        run.settings = type(run.settings)(1, msgspec.convert(sheet, type(run.settings.sheet)))
+        run.settings = type(run.settings)(1, msgspec.convert(sheet, type(run.settings.settings)))
         run.peers = [("127.0.0.1", 2000 + number) for number in range(count)]
         made = proxy(0, run=run)
         list_ = entries(count)
--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -30,7 +30,7 @@
             from .fleet.config import load_config as load_fleet
 
             fleet = load_fleet(path, run.name)
-            run.descriptors = fleet.reserve_links(run.descriptors, run.settings.sheet.n_instances or 1)
+            run.descriptors = fleet.reserve_links(run.descriptors, run.settings.settings.n_instances or 1)
     except ConfigurationError as fault:
         print(fault, file=sys.stderr)
         return 2
--- a/ivystack/configuration/process.py
+++ b/ivystack/configuration/process.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from ..model import Idempotency
-from ..settings import Settings
 from .errors import ConfigurationError
+from .instance import InstanceConfiguration
 from .schema import ConfigurationFile, MachineLimits, convert, parse_address
 from .validation import START_ONLY_KEYS, check_reload, check_settings
 
@@ -55,8 +55,8 @@
         limits = file.limits or MachineLimits()
         self.descriptors = limits.sockets or DEFAULT_DESCRIPTORS
         self.memory_bytes = int((limits.memory_mb or DEFAULT_MEMORY_MB) * BYTES_PER_MB)
-        self.settings = Settings(self.seed, file.settings)
-        self.idle_timeout_us = self.settings.idle or DEFAULT_IDLE_TIMEOUT_US
+        self.settings = InstanceConfiguration(self.seed, file.settings)
+        self.idle_timeout_us = self.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_US
         self.connect_timeout_us = self.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US
 
     def changed_fixed_keys(self, other: ProcessConfiguration) -> list[str]:
--- a/ivystack/drill/wire.py
+++ b/ivystack/drill/wire.py
@@ -21,7 +21,7 @@
     ServerState,
     usable_figures,
 )
-from ..settings import Settings
+from ..configuration.instance import InstanceConfiguration
 from ..configuration.schema import microseconds
 
 ENDINGS = {
@@ -59,14 +59,14 @@
 
     def __init__(self, name: str, seed: int, config: dict, now: int):
         self.name = name
-        self.settings = Settings(seed, config)
+        self.settings = InstanceConfiguration(seed, config)
         self.balancer = self.settings.balancer
         self.requests: dict[int, Request] = {}
         self.refs: dict[Request, int] = {}
         self.timer_at: int | None = None
         self.out: list[list] = []
         self.calling = False  # a call for the list is out
-        self.poll_backoff = self.settings.poll_backoff if self.settings.sheet.discovery == "ask" else None
+        self.poll_backoff = self.settings.poll_backoff if self.settings.settings.discovery == "ask" else None
         if self.poll_backoff:
             self.poll_backoff.next_at = now
 
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -262,7 +262,7 @@
         for key in self.run.changed_fixed_keys(run):
             logger.warning("configuration: a new `{}` counts from the next start on", key)
         self.warn(run)
-        former = self.settings.take(run.settings)
+        former = self.settings.apply(run.settings)
         run.settings, self.run = self.settings, run
         self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
         self.server_pools.configure(self.pool_settings(run))
@@ -273,13 +273,13 @@
         if former:
             last = max((held.request.deadline for held in self.held.values()), default=0)
             over = max(last, self.now()) + 2 * self.LAST  # by then none of their requests is left
-            self.deadlines.call_at(over, self.settings.forget, former)
+            self.deadlines.call_at(over, self.settings.discard, former)
         self.gossip.set_peers(run.peers)
         self.endpoint_watch.change_address(run.discovery)
         self.settle()
 
     def pool_settings(self, run: ProcessConfiguration) -> PoolSettings:
-        max_in_flight = self.settings.streams if self.settings.hedging_enabled else 1
+        max_in_flight = self.settings.streams_per_connection if self.settings.hedging_enabled else 1
         cache_aside = self.balancer.parameters.origin_kind >= 0
         return PoolSettings(run.idle_timeout_us, run.connect_timeout_us, max_in_flight, cache_aside)
 
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -35,7 +35,7 @@
     Server,
     ServerState,
 )
-from ..settings import Settings
+from ..configuration.instance import InstanceConfiguration
 
 S = 1_000_000
 ORIGIN = "origin"  # its name in lists, where proxies ask it
@@ -194,7 +194,7 @@
 
     def __init__(self, swarm: Swarm, number: int, nodes: list[Server], now: int):
         self.swarm, self.number = swarm, number
-        settings = Settings(swarm.rng.getrandbits(60), swarm.sheet(number))
+        settings = InstanceConfiguration(swarm.rng.getrandbits(60), swarm.sheet(number))
         self.balancer: Balancer = settings.balancer
         self.request_classes, self.tenants = settings.request_classes, settings.tenants
         self.alarm: int | None = None
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -11,7 +11,7 @@
 
 from ivystack.net.endpoint_watch import EndpointWatch, UpdateResult
 from ivystack.net.deadlines import DeadlineQueue
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 
 TOLD = 6 * S
 MS = 1000
@@ -80,7 +80,7 @@
     reactor.advance(1000)
     start = round(reactor.seconds() * S)
     rules = {"ask_within": 10**10, "stop_sending_within": grace * 10**6}
-    settings = Settings(seed, {"discovery": mode, "rules": rules})
+    settings = InstanceConfiguration(seed, {"discovery": mode, "rules": rules})
     deadlines, news = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S)), []
     agent = Agent(reactor, kinds, start + back_at)
     made = EndpointWatch(
@@ -131,7 +131,9 @@
     # It is heard for the last time up to an empty line before it falls silent.
     reactor, calls = Reactor(), []
     reactor.advance(1000)
-    settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
+    settings = InstanceConfiguration(
+        1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}}
+    )
     deadlines = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S))
     made = EndpointWatch(reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1), None)
     made.request_watch = lambda: calls.append(deadlines.now())
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -61,9 +61,9 @@
         "doubts": [line.replace("no request of", "no req of") for line in run.warnings()],
         "kinds": settings.kinds,
         "columns": sorted(settings.columns),
-        "pauses": settings.pauses,
+        "pauses": settings.poll_pauses,
         "hedging": settings.hedging_enabled,
-        "streams": settings.streams,
+        "streams": settings.streams_per_connection,
         "longest_wait": settings.longest_wait(),
         "classes": {
             name: [
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -57,7 +57,7 @@
     assert made["settings"]["reporting"] == {"how": "answers", "columns": ["active", "waiting"]}
     assert made["known"] == OLD["known"] and made["settings"]["methods"] == OLD["settings"]["methods"]
     settings = load({"LB_CONFIG": str(new)}).settings
-    assert settings.balancer.load.enabled and settings.streams == 1
+    assert settings.balancer.load.enabled and settings.streams_per_connection == 1
 
 
 def test_what_cannot_be_carried_over_is_listed_with_its_key(move, capsys):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -21,7 +21,7 @@
 from ivystack.net.listener import ClientListener
 from ivystack.net.server_pool import PoolSettings
 from ivystack.net.resp import encode_command
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 
 PAY = b"c=pay,t=t,d=60000"
 
@@ -331,7 +331,7 @@
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
     made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.pauses[1] * 2)
+    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
@@ -366,18 +366,20 @@
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
     watch.close()
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.pauses[1] * 2)
+    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
     assert agent.call()[1] == 2
 
 
 def test_no_pause_between_calls_comes_near_the_grace_of_a_drain():
     # What the agent gets at its return counts as told at once: the next call comes well within the grace.
     for grace in (1_000, 600, 250, 40):
-        made = Settings(1, {"rules": {"stop_sending_within": grace * 1_000_000}})
+        made = InstanceConfiguration(1, {"rules": {"stop_sending_within": grace * 1_000_000}})
         pauses = [made.poll_backoff.record_failure(0) for _ in range(300)]
         assert max(pauses) < grace * 1_000 / 2, grace
-    asked = Settings(1, {"discovery": "ask", "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}})
-    assert asked.pauses == (750_000, 6_000_000)  # one service for all: its calls cost the fleet
+    asked = InstanceConfiguration(
+        1, {"discovery": "ask", "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}}
+    )
+    assert asked.poll_pauses == (750_000, 6_000_000)  # one service for all: its calls cost the fleet
 
 
 # Attempts and connections to nodes.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 from ivystack.net.resp import MAX_BUFFERED_VALUE, RespProtocol, encode_bulk, encode_command
 from ivystack.net.deadlines import DeadlineQueue
 from ivystack.net.slot_table import SlotTable
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 
 
 class Reader(RespProtocol):
@@ -757,8 +757,8 @@
     waits = []
     made.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
     for mode in ("push", "ask"):
-        settings = Settings(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
-        made.settings.take(settings)
+        settings = InstanceConfiguration(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
+        made.settings.apply(settings)
         made.endpoint_watch.backoff.failures = 0
         made.endpoint_watch.connection_broke("watch-ended")
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from ivystack.model import Idempotency
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 from ivystack.configuration.process import ProcessConfiguration
 from ivystack.configuration.schema import (
     ConfigurationFile,
@@ -216,9 +216,9 @@
         for name in way:
             inner = inner[name]
         inner[last] = value
-        ours, fresh = Settings(7, FULL), Settings(7, values)
+        ours, fresh = InstanceConfiguration(7, FULL), InstanceConfiguration(7, values)
         assert says(ours) != says(fresh), "it counts for nothing: the test shows nothing"
-        ours.take(Settings(7, values))
+        ours.apply(InstanceConfiguration(7, values))
         for one in (ours, fresh):  # kinds keep their numbers, since nodes name them by these
             names = {place: name for name, place in one.kinds.items()}
             one.balancer.parameters.origin_kind = names.get(one.balancer.parameters.origin_kind)
@@ -228,10 +228,10 @@
 
 def test_two_instances_side_by_side_keep_nothing_of_each_other():
     # Signing's figures may not show in another's process, nor one instance's in its neighbour.
-    before = says(Settings(7, FULL))
-    other = Settings(7, {"methods": [{"name": "b", "semantics": "pure", "give_up": 10**7}]})
-    other.take(Settings(7, FULL))
-    other.take(Settings(7, {}))
-    assert says(Settings(7, FULL)) == before
+    before = says(InstanceConfiguration(7, FULL))
+    other = InstanceConfiguration(7, {"methods": [{"name": "b", "semantics": "pure", "give_up": 10**7}]})
+    other.apply(InstanceConfiguration(7, FULL))
+    other.apply(InstanceConfiguration(7, {}))
+    assert says(InstanceConfiguration(7, FULL)) == before
     other.kinds = {}  # the nodes' that have them keep their numbers
-    assert says(other) == says(Settings(7, {}))
+    assert says(other) == says(InstanceConfiguration(7, {}))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ivystack.model import Idempotency, FailureState, Server
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 from ivystack.configuration.errors import ConfigurationError
 from ivystack.configuration.process import DEFAULT_IDLE_TIMEOUT_US, ProcessConfiguration, load
 from ivystack.configuration.schema import ConfigurationFile, convert
@@ -66,7 +66,7 @@
 
 
 def test_what_is_absent_or_null_gets_its_default():
-    settings = Settings(1, {"limits": None, "methods": [{"name": "m", "give_up": 5_000}]})
+    settings = InstanceConfiguration(1, {"limits": None, "methods": [{"name": "m", "give_up": 5_000}]})
     assert (
         settings.balancer.parameters.max_attempts == 1
         and settings.request_classes["m"].latency_objective == 5
@@ -140,7 +140,7 @@
 
 
 def test_what_was_seen_stays_and_what_a_class_says_is_new():
-    running = Settings(1, TUNED | {"parties": [{"name": "t", "allowance_per_s": 5}]})
+    running = InstanceConfiguration(1, TUNED | {"parties": [{"name": "t", "allowance_per_s": 5}]})
     old, tenant = running.request_classes["m"], running.tenants["t"]
     kept = running.request_classes["w"]
     node = Server("n", class_failures={old: FailureState(consecutive_failures=2)})
@@ -148,8 +148,8 @@
     old.attempt_times.append(7)
     tenant.recent_requests = 3
     sheet = TUNED | {"methods": [CLASS | {"semantics": "side_effect"}, TUNED["methods"][1]]}
-    more = Settings(1, sheet | {"parties": [{"name": "t", "allowance_per_s": 8}, {"name": "u"}]})
-    assert running.take(more) == [old]
+    more = InstanceConfiguration(1, sheet | {"parties": [{"name": "t", "allowance_per_s": 8}, {"name": "u"}]})
+    assert running.apply(more) == [old]
     new = running.request_classes["m"]
     assert (
         old.idempotency == new.idempotency == Idempotency.NOT_IDEMPOTENT
@@ -157,23 +157,23 @@
     )  # the stricter
     assert running.request_classes["w"] is kept and running.tenants["t"] is tenant and tenant.quota == 8
     assert node.class_failures[new] is node.class_failures[old] and node in running.balancer.placement.slots
-    running.forget([old])
+    running.discard([old])
     assert [*node.class_failures] == [new]
 
 
 def test_a_kind_that_stays_keeps_its_number():
-    running = Settings(1, {"kinds": ["a", "b"], "specifics": {"origin_kind": 1}})
-    running.take(Settings(1, {"kinds": ["b", "c"], "specifics": {"origin_kind": 0}}))
+    running = InstanceConfiguration(1, {"kinds": ["a", "b"], "specifics": {"origin_kind": 1}})
+    running.apply(InstanceConfiguration(1, {"kinds": ["b", "c"], "specifics": {"origin_kind": 0}}))
     assert running.kinds == {"a": 0, "b": 1, "c": 2} and running.balancer.parameters.origin_kind == 1
 
 
 def test_the_tail_of_the_blend_is_read_and_checked_and_absent_ones_leave_all_as_it_was():
-    assert Settings(1, {"blend": {"whole": 0.7}}).sheet.blend.tail_part is None
-    blend = Settings(1, {"blend": {"tail_part": 0.2, "miss_share": 0.02}}).sheet.blend
+    assert InstanceConfiguration(1, {"blend": {"whole": 0.7}}).settings.blend.tail_part is None
+    blend = InstanceConfiguration(1, {"blend": {"tail_part": 0.2, "miss_share": 0.02}}).settings.blend
     assert (blend.tail_part, blend.miss_share) == (0.2, 0.02)
     for key, value in (("tail_part", -1), ("miss_share", 1.5), ("miss_share", "2%")):
         with pytest.raises(ConfigurationError, match=f"blend.{key}"):
-            Settings(1, {"blend": {key: value}})
+            InstanceConfiguration(1, {"blend": {key: value}})
 
 
 @pytest.mark.parametrize("window, connect, words", [
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -11,7 +11,7 @@
 from ivystack.balancing.tenant_quotas import TenantQuotas
 from ivystack.model import Outcome, Request, Send, Tenant
 from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, work
-from ivystack.settings import Settings
+from ivystack.configuration.instance import InstanceConfiguration
 from ivystack.configuration.errors import ConfigurationError
 
 
@@ -173,7 +173,7 @@
 def test_a_worth_that_is_none_is_one_clear_line(worth, word):
     sheet = {"methods": [MIX[0].sheet() | {"criticality": worth}]}
     with pytest.raises(ConfigurationError, match="criticality") as fault:
-        Settings(1, sheet)
+        InstanceConfiguration(1, sheet)
     assert word in str(fault.value) and "\n" not in str(fault.value)
 
 
@@ -181,7 +181,7 @@
 def test_classes_of_no_worth_or_one_worth_all_find_a_place_under_strain(worths):
     sheet = {"methods": [MIX[0].sheet() | {"name": name, "criticality": worth}
                          for name, worth in zip("ab", worths, strict=True)]}  # fmt: skip
-    made = Settings(1, sheet)
+    made = InstanceConfiguration(1, sheet)
     shares, methods = made.balancer.shedder, made.request_classes
     parts = {name: [] for name in methods}
     for turn in range(600):
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -79,7 +79,7 @@
 def test_a_thousand_peers_are_told_and_heard():
     run = told(peers=True)
     run.settings = type(run.settings)(1, msgspec.convert(
-        {"limits": {"peers": True}, "n_instances": MANY, "slot_no": MANY - 1}, type(run.settings.sheet)
+        {"limits": {"peers": True}, "n_instances": MANY, "slot_no": MANY - 1}, type(run.settings.settings)
     ))  # fmt: skip
     run.peers = [("127.0.0.1", 2000 + number) for number in range(MANY)]
     made = proxy(3, run=run)
