--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from ivystack.drill.wire import Wire
+from ivystack.simulator.adapter import SimulatorAdapter
 
 DATA = Path(__file__).parent / "data" / "decisions"
 MS, SECOND = 1_000_000, 1_000_000_000  # nanoseconds
@@ -26,12 +26,12 @@
 
 
 def new_engine():
-    return Wire()
+    return SimulatorAdapter()
 
 
 def give(engine, line: bytes) -> bytes | None:
     """Hands one input line over; what is answered, if anything is."""
-    return engine.line(line)
+    return engine.handle_line(line)
 
 
 # --- The toy model ---
