--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -1,6 +1,6 @@
-"""The proxy's start: reads the configuration, sets up the log and signals, runs until it is told to end.
+"""Start the proxy: read the configuration, set up logging and signals, and run the reactor until SIGTERM.
 
-Owns the process.  It must never serve anything itself, or go on with a configuration that has a fault.
+Exit codes: 0 ended as asked; 1 it could not start; 2 the configuration has a fault.
 """
 
 from __future__ import annotations
@@ -12,31 +12,44 @@
 import signal
 import sys
 import time
+from typing import TYPE_CHECKING, Any
 
 from loguru import logger
 
 from .configuration.errors import ConfigurationError
 from .configuration.process import load
 
+if TYPE_CHECKING:
+    from .fleet.services import FleetServices
+    from .net.proxy import Proxy
+
+ACCEPT_NAMESPACE = "twisted.internet.tcp.Port"  # under which Twisted logs accepts that failed
 
-ACCEPTING = "twisted.internet.tcp.Port"  # the library's name for what it logs of accepts that fail
+# By default a collection runs each 700 new objects: many a second under load, though requests leave few
+# reference cycles.
+GC_THRESHOLDS = (10_000, 20, 20)
+
+EXIT_NOT_STARTED = 1
+EXIT_FAULT = 2
 
 
 def main() -> int:
+    """Run the proxy; return the exit code."""
     try:
         run = load(os.environ)
-        path, fleet = os.environ.get("LB_FLEET"), None
-        if path:  # else nothing of it is loaded
+        path, fleet = os.environ.get("LB_FLEET", ""), None
+        if path:  # otherwise the fleet package is not even imported
             from .fleet.config import load_config as load_fleet
 
             fleet = load_fleet(path, run.name)
             run.descriptors = fleet.reserve_links(run.descriptors, run.settings.settings.n_instances or 1)
-    except ConfigurationError as fault:
-        print(fault, file=sys.stderr)
-        return 2
-    from twisted.internet import reactor
+    except ConfigurationError as error:
+        print(error, file=sys.stderr)
+        return EXIT_FAULT
+    from twisted.internet import reactor as default_reactor
 
-    # Guards all deadlines: the library's own clock is the wall's, and set back by hours it stops every timer.
+    reactor: Any = default_reactor
+    # Twisted's own clock is wall time: set back by hours, it would stop every timer.
     reactor.seconds = time.monotonic
     from twisted.python.log import startLoggingWithObserver
 
@@ -44,7 +57,7 @@
 
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", diagnose=False)
-    startLoggingWithObserver(tell, setStdout=False)
+    startLoggingWithObserver(log_twisted_event, setStdout=False)
     proxy = Proxy(run, reactor)
     fleet_services = None
     if fleet is not None:
@@ -52,65 +65,69 @@
 
         fleet_services = FleetServices(proxy, path, fleet)
     for name in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(name, lambda *_: reactor.callFromThread(end, proxy, fleet_services))
+        signal.signal(name, lambda *_: reactor.callFromThread(terminate, proxy, fleet_services))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, fleet_services))
     reactor.callWhenRunning(start, proxy, reactor, fleet_services)
-    # A SIGHUP may have come after the configuration was read: that of the new one is not to be lost.
+    # A SIGHUP may have come after the configuration was read; it asks for a newer one.
     if early_signals.received_hangups:
         reactor.callWhenRunning(reload, proxy, fleet_services)
     reactor.run(installSignalHandlers=False)
-    return 0 if proxy.started else 1
+    return 0 if proxy.started else EXIT_NOT_STARTED
 
 
-def start(proxy, reactor, fleet_services=None) -> None:
+def start(proxy: Proxy, reactor: Any, fleet_services: FleetServices | None = None) -> None:
+    """Open the sockets; stop the reactor if that fails."""
     try:
         proxy.start()
         if fleet_services is not None:
             fleet_services.start()
-    except Exception as fault:
-        logger.error("could not start: {}", fault)
+    except Exception as error:
+        logger.error("could not start: {}", error)
         reactor.stop()
     gc.collect()
-    gc.freeze()  # what is there now stays: later rounds need not look at it
-    gc.set_threshold(10_000, 20, 20)  # reqs leave few rings; each 700 objects is many rounds a second
+    gc.freeze()  # what exists now lives as long as the process: later collections need not visit it
+    gc.set_threshold(*GC_THRESHOLDS)
+
 
+def terminate(proxy: Proxy, fleet_services: FleetServices | None = None) -> None:
+    """Begin the graceful shutdown (SIGTERM, SIGINT).
 
-def end(proxy, fleet_services=None) -> None:
-    """SIGTERM.  First the proxy's own end, which nothing of the fleet's may keep from beginning; in the same
-    turn what it holds for the fleet is handed on."""
+    The proxy's own comes first, so that nothing of the fleet's can keep it from beginning; the leases are
+    handed on in the same turn of the reactor.
+    """
     proxy.terminate()
     if fleet_services is not None:
         fleet_services.prepare_shutdown()
 
 
-def reload(proxy, fleet_services=None) -> None:
-    """SIGHUP: the configuration is read again; one with a fault is told and the old one stays."""
+def reload(proxy: Proxy, fleet_services: FleetServices | None = None) -> None:
+    """Read the configuration again and apply it (SIGHUP); one with a fault is logged and ignored."""
     try:
         run = load(os.environ, proxy.run)
-    except ConfigurationError as fault:
-        logger.error("configuration not taken: {}", fault)
+    except ConfigurationError as error:
+        logger.error("configuration not taken: {}", error)
     else:
         proxy.reload(run)
     if fleet_services is not None:
         fleet_services.reload()
 
 
-def tell(event: dict) -> None:
-    """Twisted's own troubles, among them what a connection's callback raised, and accepts that failed."""
+def log_twisted_event(event: dict[str, Any]) -> None:
+    """Log Twisted's errors, among them exceptions of callbacks, and accepts that failed."""
     from twisted.logger import formatEvent
 
     if event.get("isError"):
         failure = event.get("failure")
         logger.error("twisted: {}", failure.getTraceback() if failure else event.get("message"))
-    elif event.get("log_namespace") == ACCEPTING:
+    elif event.get("log_namespace") == ACCEPT_NAMESPACE:
         logger.warning("accept: {}", formatEvent(event))
 
 
 if __name__ == "__main__":
-    if len(sys.argv) > 1:  # a command: its packages are none of the proxy's
+    if len(sys.argv) > 1:  # a command; the proxy itself never imports the command line's packages
         from .cli import main as commands
 
-        if sys.argv[1] != "serve":  # a closed terminal ends them, as it does any command
+        if sys.argv[1] != "serve":  # a closed terminal ends it, as it does any command
             signal.signal(signal.SIGHUP, signal.SIG_DFL)
         commands(prog_name="ivystack", obj=main)
     sys.exit(main())
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -12,7 +12,7 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from ivystack.__main__ import end
+from ivystack.__main__ import terminate
 from ivystack.fleet.config import check_file, load_config
 from ivystack.fleet.services import FleetServices
 from ivystack.mesh import drop_log, send_queue
@@ -373,7 +373,7 @@
     made = proxy()
     made.port = None
     with pytest.raises(ZeroDivisionError):
-        end(made, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
+        terminate(made, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
     assert made.ending
 
 
