--- a/ivystack/net/endpoint_list.py
+++ b/ivystack/net/endpoint_list.py
@@ -10,7 +10,7 @@
 
 from ..configuration.schema import parse_address
 from ..model import Server, ServerState
-from ..settings import Settings
+from ..configuration.instance import InstanceConfiguration
 from .endpoint_watch import UpdateResult
 from .hot_restart_state import UNKNOWN_KIND
 from .request_handler import RequestHandler
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: InstanceConfiguration,
         server_pools: ServerPools,
         request_handler: RequestHandler,
         now: Callable[[], int],
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -114,7 +114,7 @@
 
     def pool_settings(self, run: ProcessConfiguration) -> PoolSettings:
         """Return what a configuration tells of the connections to servers."""
-        max_in_flight = self.settings.streams if self.settings.hedging_enabled else 1
+        max_in_flight = self.settings.streams_per_connection if self.settings.hedging_enabled else 1
         cache_aside = self.balancer.parameters.origin_kind >= 0
         return PoolSettings(run.idle_timeout_us, run.connect_timeout_us, max_in_flight, cache_aside)
 
@@ -249,7 +249,7 @@
         for key in self.run.changed_fixed_keys(run):
             logger.warning("configuration: a new `{}` counts from the next start on", key)
         self._log_warnings(run)
-        former = self.settings.take(run.settings)
+        former = self.settings.apply(run.settings)
         run.settings, self.run = self.settings, run
         self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
         self.server_pools.configure(self.pool_settings(run))
@@ -261,7 +261,7 @@
         )
         if former:  # forgotten once none of their requests is left
             last_deadline = max(self.request_handler.latest_deadline(), self.now())
-            self.deadlines.call_at(last_deadline + 2 * ANSWER_GRACE_US, self.settings.forget, former)
+            self.deadlines.call_at(last_deadline + 2 * ANSWER_GRACE_US, self.settings.discard, former)
         self.gossip.set_peers(run.peers)
         self.endpoint_watch.change_address(run.discovery)
         self.request_handler.run_due()
--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -32,7 +32,7 @@
     Wakeup,
     usable_figures,
 )
-from ..settings import Settings
+from ..configuration.instance import InstanceConfiguration
 from .active_request import ActiveRequest
 from .client_server import ClientRequest
 from .deadlines import Deadline, DeadlineQueue
@@ -72,7 +72,8 @@
     server_pools: ServerPools
     gossip: GossipSocket
 
-    def __init__(self, settings: Settings, deadlines: DeadlineQueue, now: Callable[[], int]) -> None:
+    def __init__(self, settings: InstanceConfiguration, deadlines: DeadlineQueue, now: Callable[[], int]) ->
+    None:
         self.settings, self.balancer = settings, settings.balancer
         self.deadlines, self.now = deadlines, now
         self.requests: SlotTable[ActiveRequest] = SlotTable()
