--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -72,8 +72,9 @@
     server_pools: ServerPools
     gossip: GossipSocket
 
-    def __init__(self, settings: InstanceConfiguration, deadlines: DeadlineQueue, now: Callable[[], int]) ->
-    None:
+    def __init__(
+        self, settings: InstanceConfiguration, deadlines: DeadlineQueue, now: Callable[[], int]
+    ) -> None:
         self.settings, self.balancer = settings, settings.balancer
         self.deadlines, self.now = deadlines, now
         self.requests: SlotTable[ActiveRequest] = SlotTable()
