--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -98,7 +98,7 @@
             return self.retry_policy.give_up(request)
         outstanding = request.outstanding()
         is_retry = bool(request.attempts) and is_possibly_executed(request.attempts[-1])
-        if not self._may_send(request, now, deadline, outstanding, is_retry):
+        if not self._has_time_and_budget(request, now, deadline, outstanding, is_retry):
             return self._await_or_give_up(request, now, deadline, outstanding)
         server = self.select_server(request, now)
         if server is None:
@@ -175,7 +175,7 @@
                 self.gossip.note(attempt.server, GossipedOutcome.SLOW_HIT, now)
 
     def _rank(self, request: Request, now: int, deadline: int) -> bool:
-        """Rank a new request; return False if it has hardly a chance to be answered in time.
+        """Rank a new request, record its key and set its draws; return whether it has a chance to be in time.
 
         A few still go out, which show when there is hope.
         """
@@ -185,7 +185,7 @@
         request.limit_fraction = self.shedder.limit_fraction(request, now, chance)
         return chance >= HOPELESS_CHANCE or request.warm_up_draw <= MIN_SHARE
 
-    def _may_send(
+    def _has_time_and_budget(
         self, request: Request, now: int, deadline: int, outstanding: list[Attempt], is_retry: bool
     ) -> bool:
         """Return whether time, attempts and retry budget are left, and no forbidden hedge would be sent."""
@@ -216,7 +216,7 @@
     def _send(
         self, request: Request, server: Server, now: int, deadline: int, outstanding: list[Attempt]
     ) -> Send:
-        timeout_at = self.retry_policy.attempt_timeout(request, server, now, deadline)
+        timeout_at = self.retry_policy.attempt_timeout_at(request, server, now, deadline)
         send_by = self.retry_policy.retry_send_by(request)
         ejection = self.outliers.ejection(server, request.request_class)
         attempt = Attempt(
@@ -262,12 +262,14 @@
             return OutcomeDecision(Fail(), outstanding)
         if outstanding:
             return OutcomeDecision(Wait(), [])
-        if now >= self.retry_policy.answer_deadline(request) or not self.retry_policy.may_retry(request, now):
+        if now >= self.retry_policy.answer_deadline(request) or not self.retry_policy.may_send_attempt(
+            request, now
+        ):
             return OutcomeDecision(self.retry_policy.give_up(request), [])
         self.retries.append(request)
         return OutcomeDecision(Wait(), [])
 
-    # News.
+    # Endpoint updates and gossip.
 
     def update_endpoints(self, servers: list[Server], is_complete: bool, now: int) -> None:
         """Take news of the endpoint list; a server that was known before keeps its object.
@@ -285,7 +287,7 @@
             if server.kind == self.parameters.origin_kind and server.state is ServerState.READY
         ]
         if self.placement.live_weights and self.load.update_weights(caches, now):
-            self.placement.located.clear()
+            self.placement.location_cache.clear()
         self.placement.update(caches, now)
         self._forget_gone_servers()
         if self.gossip:
--- a/ivystack/balancing/concurrency_limit.py
+++ b/ivystack/balancing/concurrency_limit.py
@@ -15,7 +15,7 @@
 MIN_SHARE = 0.02  # of the requests still goes out, else a server could never show that it has recovered
 # Below a limit of one, attempts are this part of the latency objective over the limit apart.
 PACING_FRACTION = 0.125
-DEFAULT_PACING_US = 1e5
+DEFAULT_PACING_US = 1e5  # where the caller states no pacing of its request class
 SMALL_LIMIT_GROWTH = 0.1  # of the limit, an answer, times the answers on time in a row
 FAST_GROWTH = 4  # attempts a limit's worth of answers, while no share has fallen; else 1
 LATER_SUCCESS_DECREASE = 0.25  # attempts: a lost connection, or long work, no queue
@@ -26,7 +26,7 @@
 SLOW_ANSWER_FACTOR = 0.92  # of both shares is left after slow answers
 SLOW_HIT_SHARE_FACTOR = 0.7  # of a server's share is left after a slow cache hit: it has queued
 SHARE_INCREASE = 0.15  # of a server's share, an answer
-COMMON_SHARE_INCREASE = 0.02
+COMMON_SHARE_INCREASE = 0.02  # of the common share, an answer; smaller, as all servers' answers raise it
 # Parts of the latency objective beyond which an answer is slow: of a cache that answers misses at once, of
 # one that fetches them itself, and of a hit there.
 SLOW_FRACTION_CACHE_ASIDE, SLOW_FRACTION_READ_THROUGH, SLOW_HIT_FRACTION = 0.5, 0.75, 0.4
@@ -74,8 +74,9 @@
         share = server.admitted_share
         # A server with a low load is as good as one heard from: others' strain is not its own.
         rests = server.load <= RESTING_LOAD and load_is_recent(server, now)
-        heard = (now < server.last_outcome_at + RECENT_OUTCOME_US or rests) and server.concurrency_limit >= 1
-        if not heard:
+        has_own_sign = now < server.last_outcome_at + RECENT_OUTCOME_US or rests
+        uses_own_share = has_own_sign and server.concurrency_limit >= 1
+        if not uses_own_share:
             share = min(share, self.common_share)
         if share < max(1 - limit_fraction, required_share):
             return False
@@ -101,7 +102,7 @@
             server.concurrency_limit = min(MAX_LIMIT, limit + growth)
 
     def record_overload(
-        self, server: Server, is_healthy: bool, heard_recently: bool, sent_at: int, now: int
+        self, server: Server, is_healthy: bool, has_recent_outcome: bool, sent_at: int, now: int
     ) -> None:
         """Note an attempt that timed out, or was rejected by a full server that reports no load.
 
@@ -114,7 +115,7 @@
         if sent_at < server.limit_lowered_at:
             return
         server.limit_lowered_at = now
-        lower_admitted_share(server, RECENT_SHARE_FACTOR if heard_recently else SHARE_FACTOR)
+        lower_admitted_share(server, RECENT_SHARE_FACTOR if has_recent_outcome else SHARE_FACTOR)
         if is_healthy:
             self.lower_common_share(COMMON_SHARE_FACTOR)
         server.concurrency_limit = max(MIN_LIMIT, server.concurrency_limit * LIMIT_FACTOR)
--- a/ivystack/balancing/load_shedding.py
+++ b/ivystack/balancing/load_shedding.py
@@ -17,7 +17,7 @@
 # as long as a strain lasts.
 BORROWED_RANK_CHANCE = 0.75
 MISS_PRIORITY_FACTOR = 0.2  # a likely cache miss costs the origin, and holds a place while it is fetched
-MIN_PRIORITY = 1e-9
+MIN_PRIORITY = 1e-9  # above zero: classes of weight 0 are still parted by chance and tie break
 TIE_BREAK = 0.01  # of the priority, at random: equals are parted by chance
 # Chance of an answer in time below which hardly any request is sent: shown by twenty answers.
 HOPELESS_CHANCE = 0.05
@@ -52,15 +52,17 @@
         if len(self.cached_keys) > CACHED_KEYS:
             self.cached_keys.popitem(last=False)
 
-    def limit_fraction(self, request: Request, now: int, success_chance: float = 1.0) -> float:
-        """Return the fraction of a server's concurrency limit that the request may use, and note the request.
+    def limit_fraction(self, request: Request, now: int, chance: float = 1.0) -> float:
+        """Record the request and return the fraction of a server's concurrency limit that it may use.
 
         Also sets the request's required share, if it is beyond its tenant's quota.
+
+        :param chance: of an answer in time, as `success_chance` returns it.
         """
         priority = self._weight(request, now)
         if request.key not in self.cached_keys:
             priority *= MISS_PRIORITY_FACTOR
-        priority = max(priority, MIN_PRIORITY) * success_chance * (1 + TIE_BREAK * self.rng.random())
+        priority = max(priority, MIN_PRIORITY) * chance * (1 + TIE_BREAK * self.rng.random())
         below = bisect_left(self.sorted_priorities, priority)
         self.recent_priorities.append(priority)
         self.sorted_priorities.insert(below, priority)
--- a/ivystack/balancing/origin_limit.py
+++ b/ivystack/balancing/origin_limit.py
@@ -53,12 +53,12 @@
             in_use = min(limit, server.in_flight + 1)
             server.concurrency_limit = max(MIN_ORIGIN_LIMIT, in_use * DELAY_FACTOR)
 
-    def record_overload(self, server: Server, heard_recently: bool, sent_at: int, now: int) -> None:
+    def record_overload(self, server: Server, has_recent_outcome: bool, sent_at: int, now: int) -> None:
         """Halve what is in use for a timed out or refused attempt, unless sent before the last decrease."""
         server.consecutive_on_time = 0
         if sent_at < server.limit_lowered_at:
             return
         server.limit_lowered_at = now
-        lower_admitted_share(server, RECENT_SHARE_FACTOR if heard_recently else SHARE_FACTOR)
+        lower_admitted_share(server, RECENT_SHARE_FACTOR if has_recent_outcome else SHARE_FACTOR)
         in_use = min(server.concurrency_limit, server.in_flight + 1)
         server.concurrency_limit = max(MIN_ORIGIN_LIMIT, in_use * OVERLOAD_FACTOR)
--- a/ivystack/balancing/outcomes.py
+++ b/ivystack/balancing/outcomes.py
@@ -20,9 +20,9 @@
 from .parameters import NO_ORIGIN, BalancerParameters
 from .server_load import RESTING_LOAD, load_is_recent
 
-ANSWERS = (Outcome.SUCCEEDED, Outcome.CACHE_MISS)
+ANSWERED_OUTCOMES = (Outcome.SUCCEEDED, Outcome.CACHE_MISS)
 # Outcomes that show whether the server's zone can be reached.
-ZONE_OUTCOMES = (*ANSWERS, Outcome.TIMED_OUT, Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST)
+ZONE_OUTCOMES = (*ANSWERED_OUTCOMES, Outcome.TIMED_OUT, Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST)
 ON_TIME_FRACTION = 0.5  # of the latency objective: a later answer counts against its zone
 
 
@@ -49,11 +49,11 @@
         if report and self.load.enabled:
             self.load.record_report(server, report, now)
         # One that is heard from often shows soon whether an outcome was chance.
-        heard_recently = now < server.last_outcome_at + RECENT_OUTCOME_US
+        has_recent_outcome = now < server.last_outcome_at + RECENT_OUTCOME_US
         server.last_outcome_at = now
         self._record_for_zone(attempt, outcome, now)
         if outcome is Outcome.SUCCEEDED or outcome is Outcome.CACHE_MISS:
-            return self._record_answer(attempt, outcome, now, heard_recently, is_hit)
+            return self._record_answer(attempt, outcome, now, has_recent_outcome, is_hit)
         if outcome is Outcome.CANCELLED or outcome is Outcome.NOT_SENT:
             return None
         if outcome is Outcome.OVERLOADED:
@@ -61,13 +61,13 @@
                 # The server's table is full of idle connections: no strain, here or at peers.
                 self.connections.record_rejected(server, now)
                 return None
-            self._record_rejection(attempt, now, heard_recently)
+            self._record_rejection(attempt, now, has_recent_outcome)
         elif outcome is Outcome.TIMED_OUT:
-            self._record_timeout(attempt, now, heard_recently)
+            self._record_timeout(attempt, now, has_recent_outcome)
         elif outcome is Outcome.ERROR:
             self._record_error(attempt, now)
         elif outcome is Outcome.CONNECTION_REFUSED or outcome is Outcome.CONNECTION_LOST:
-            self._record_connection_failure(attempt, outcome, now, heard_recently)
+            self._record_connection_failure(attempt, outcome, now, has_recent_outcome)
         return GossipedOutcome.FAILED
 
     def is_origin(self, server: Server) -> bool:
@@ -82,10 +82,10 @@
         if outcome in ZONE_OUTCOMES:
             objective = attempt.request.request_class.latency_objective
             in_time = now - attempt.sent_at <= ON_TIME_FRACTION * objective
-            self.zone_outliers.record(attempt.server.zone, in_time and outcome in ANSWERS)
+            self.zone_outliers.record(attempt.server.zone, in_time and outcome in ANSWERED_OUTCOMES)
 
     def _record_answer(
-        self, attempt: Attempt, outcome: Outcome, now: int, heard_recently: bool, is_hit: bool
+        self, attempt: Attempt, outcome: Outcome, now: int, has_recent_outcome: bool, is_hit: bool
     ) -> GossipedOutcome:
         server, request_class = attempt.server, attempt.request.request_class
         response_time = now - attempt.sent_at
@@ -97,7 +97,7 @@
             self.outliers.record_success(server.class_failures[request_class])
         server.latest_success_sent_at = max(server.latest_success_sent_at, attempt.sent_at)
         request_class.attempt_times.append(response_time)
-        gossiped = self._limit_after_answer(attempt, response_time, now, heard_recently, is_hit)
+        gossiped = self._limit_after_answer(attempt, response_time, now, has_recent_outcome, is_hit)
         if outcome is Outcome.SUCCEEDED:
             request_class.success_times.append(response_time)
             self.retry_budget.deposit()
@@ -105,7 +105,7 @@
         return gossiped
 
     def _limit_after_answer(
-        self, attempt: Attempt, response_time: int, now: int, heard_recently: bool, is_hit: bool
+        self, attempt: Attempt, response_time: int, now: int, has_recent_outcome: bool, is_hit: bool
     ) -> GossipedOutcome:
         """Adjust the server's limit and share to an answer's time."""
         server, objective = attempt.server, attempt.request.request_class.latency_objective
@@ -116,11 +116,11 @@
         last_was_slow, is_slow = server.last_was_slow, response_time > slow_fraction * objective
         server.last_was_slow = is_slow
         # A busy process in a small fleet sees queues by its own concurrency limits.
-        sees_queues = heard_recently and not self.connections.is_large_fleet
+        sees_queues = has_recent_outcome and not self.connections.is_large_fleet
         is_slow_hit = is_hit and not is_cache_aside and response_time > SLOW_HIT_FRACTION * objective
         counts_as_slow_hit = is_slow_hit and not sees_queues
         if response_time > objective and server.load > RESTING_LOAD and load_is_recent(server, now):
-            self._record_overload(attempt, True, heard_recently, now)
+            self._record_overload(attempt, True, has_recent_outcome, now)
         elif self.is_origin(server):
             self.origin_limiter.record_success(server, response_time, objective, attempt.sent_at, now)
         elif counts_as_slow_hit:
@@ -131,7 +131,7 @@
             self.limiter.record_success(server)
         return GossipedOutcome.SLOW_HIT if counts_as_slow_hit else GossipedOutcome.ON_TIME
 
-    def _record_timeout(self, attempt: Attempt, now: int, heard_recently: bool) -> None:
+    def _record_timeout(self, attempt: Attempt, now: int, has_recent_outcome: bool) -> None:
         server, request_class = attempt.server, attempt.request.request_class
         elapsed = now - attempt.sent_at
         if 2 * (attempt.timeout_at - attempt.sent_at) < request_class.latency_objective:
@@ -139,7 +139,7 @@
         if self.is_origin(server) and elapsed < 2 * shortest_response_time(server):
             return  # too short a time for the way there: the origin may be well, but far away or cut off
         later_succeeded = later_attempt_succeeded(attempt)
-        if later_succeeded or (heard_recently and not server.health.consecutive_failures):
+        if later_succeeded or (has_recent_outcome and not server.health.consecutive_failures):
             if not (attempt.suspected or later_succeeded):
                 server.health.consecutive_failures += 1
             self.limiter.record_late_after_success(server)
@@ -147,7 +147,7 @@
         if not attempt.suspected:
             self.outliers.record_failure(server.health, False, now)
         request_class.attempt_times.append(elapsed)
-        self._record_overload(attempt, self.outliers.is_healthy(server.health), heard_recently, now)
+        self._record_overload(attempt, self.outliers.is_healthy(server.health), has_recent_outcome, now)
 
     def _record_error(self, attempt: Attempt, now: int) -> None:
         server, request_class = attempt.server, attempt.request.request_class
@@ -159,26 +159,28 @@
         self.outliers.record_failure(failures, False, now)
 
     def _record_connection_failure(
-        self, attempt: Attempt, outcome: Outcome, now: int, heard_recently: bool
+        self, attempt: Attempt, outcome: Outcome, now: int, has_recent_outcome: bool
     ) -> None:
         server = attempt.server
         if not attempt.suspected:
             self.outliers.record_failure(server.health, outcome is Outcome.CONNECTION_REFUSED, now)
         if self.is_origin(server):  # full of all processes' requests, and there is no other
-            self.origin_limiter.record_overload(server, heard_recently, attempt.sent_at, now)
+            self.origin_limiter.record_overload(server, has_recent_outcome, attempt.sent_at, now)
 
-    def _record_rejection(self, attempt: Attempt, now: int, heard_recently: bool) -> None:
+    def _record_rejection(self, attempt: Attempt, now: int, has_recent_outcome: bool) -> None:
         server = attempt.server
         if not self.load.enabled:
-            self._record_overload(attempt, self.outliers.is_healthy(server.health), heard_recently, now)
+            self._record_overload(attempt, self.outliers.is_healthy(server.health), has_recent_outcome, now)
             return
         # Where loads are reported a rejection shows that moment alone, and nothing of other servers; but what
         # a warming server rejects counts towards its collapse.
         is_warming = self.slow_start.warm_fraction(server, now) < 1
         lower_admitted_share(server, SHARE_FACTOR if is_warming else RECENT_SHARE_FACTOR)
 
-    def _record_overload(self, attempt: Attempt, is_healthy: bool, heard_recently: bool, now: int) -> None:
+    def _record_overload(
+        self, attempt: Attempt, is_healthy: bool, has_recent_outcome: bool, now: int
+    ) -> None:
         if self.is_origin(attempt.server):
-            self.origin_limiter.record_overload(attempt.server, heard_recently, attempt.sent_at, now)
+            self.origin_limiter.record_overload(attempt.server, has_recent_outcome, attempt.sent_at, now)
         else:
-            self.limiter.record_overload(attempt.server, is_healthy, heard_recently, attempt.sent_at, now)
+            self.limiter.record_overload(attempt.server, is_healthy, has_recent_outcome, attempt.sent_at, now)
--- a/ivystack/balancing/placement.py
+++ b/ivystack/balancing/placement.py
@@ -3,8 +3,9 @@
 The placement is that of Schwarz, Corderí, Long, Pâris, "Simple, Exact Placement of Data in Containers" ("the
 paper"), sections III to V.
 
-Slots are servers in order of first start.  A key's hash is expanded into one digit a slot, and the digits fix
-the key's k replicas.  docs/design.md says what differs from the paper.
+A slot is a server's place in the order of first start, not a range of keys; a replica of a key is a server
+that answers for it.  A key's hash is expanded into one digit a slot, and the digits fix the key's k replicas.
+docs/design.md says what differs from the paper.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 DIGIT_PARTS = 64
 # Digits that one hash block of 512 bits gives: 32 use up under 400 bits while slots stay below 4096, 16 in 64
 # parts under 300, so each digit is even to within 2^-100.
-DIGITS_A_BLOCK = 32
-DIGITS_A_BLOCK_IN_PARTS = 16
+DIGITS_PER_BLOCK = 32
+DIGITS_PER_BLOCK_IN_PARTS = 16
 
 
 def factorial_digits(number: int, count: int, first_radix: int = 1, parts: int = 1) -> list[int]:
@@ -46,7 +47,7 @@
     The hash is the same in every process, which Python's own is not.
     """
     digits: list[int] = []
-    step = DIGITS_A_BLOCK if parts == 1 else DIGITS_A_BLOCK_IN_PARTS
+    step = DIGITS_PER_BLOCK if parts == 1 else DIGITS_PER_BLOCK_IN_PARTS
     for block in range(0, count, step):
         number = int.from_bytes(blake2b(b"%d/%d" % (key, block)).digest(), "little")
         digits += factorial_digits(number, min(step, count - block), block + 1, parts)
@@ -89,7 +90,9 @@
         self.weighted, self.live_weights = weighted or live_weights, live_weights
         self.parts = DIGIT_PARTS if live_weights else 1
         self.slots: list[Server] = []
-        self.located: OrderedDict[tuple[int, int], list[Server]] = OrderedDict()  # by key and k, oldest first
+        self.location_cache: OrderedDict[tuple[int, int], list[Server]] = (
+            OrderedDict()
+        )  # by key and k, oldest first
 
     def update(self, servers: list[Server], now: int) -> None:
         """Follow the endpoint list: the last slot's server takes a freed slot, new servers go last."""
@@ -99,7 +102,7 @@
         self._fill_placeholders(ready)
         self.slots += sorted(ready - {*self.slots}, key=first_started)
         if self.slots != before:
-            self.located.clear()
+            self.location_cache.clear()
 
     def _free_slots(self, ready: set[Server], now: int) -> None:
         for slot in range(len(self.slots) - 1, -1, -1):
@@ -144,7 +147,7 @@
             )
 
         self.slots = [by_hash[one].pop() if by_hash.get(one) else placeholder(one.hex()) for one in hashes]
-        self.located.clear()
+        self.location_cache.clear()
         self.update(servers, now)
 
     def replicas(self, key: int, k: int) -> list[Server]:
@@ -160,15 +163,15 @@
 
     def replicas_and_spares(self, key: int, k: int) -> list[Server]:
         """Return the key's k replicas in order, then its spares."""
-        servers = self.located.get((key, k))
+        servers = self.location_cache.get((key, k))
         if servers is None:
             digits = key_digits(key, len(self.slots), self.parts)
             if self.weighted:
                 digits = self.weighted_digits(digits)
             servers = [self.slots[slot] for slot in replica_slots(digits, k)[: max(k, MAX_LOCATIONS)]]
-            self.located[key, k] = servers
-            if len(self.located) > CACHED_LOCATIONS:
-                self.located.popitem(last=False)
+            self.location_cache[key, k] = servers
+            if len(self.location_cache) > CACHED_LOCATIONS:
+                self.location_cache.popitem(last=False)
         return servers
 
     def weighted_digits(self, digits: list[int]) -> list[int]:
@@ -183,7 +186,7 @@
             weight = self.slots[slot].weight
             total += weight
             share = weight / total if total else 1 / (slot + 1)
-            due = min(share, 1 / REPLICAS)
+            replica_share = min(share, 1 / REPLICAS)
             uniform = (digit + 0.5) / (self.parts * (slot + 1))
-            quasi_digits.append(int(uniform / due) if due else REPLICAS + 1)
+            quasi_digits.append(int(uniform / replica_share) if replica_share else REPLICAS + 1)
         return quasi_digits
--- a/ivystack/balancing/poll_backoff.py
+++ b/ivystack/balancing/poll_backoff.py
@@ -5,7 +5,7 @@
 from random import Random
 
 MIN_PAUSE_US = 20_000  # a call that fails at once is not made in a loop
-MAX_DOUBLINGS = 8
+MAX_DOUBLINGS = 8  # of the pause; bounds the power of two, `max_pause` bounds the pause itself
 
 
 class PollBackoff:
--- a/ivystack/balancing/retry_policy.py
+++ b/ivystack/balancing/retry_policy.py
@@ -22,14 +22,16 @@
 )
 from .parameters import BalancerParameters
 
-# Outcomes that prove that the server has not executed the request, as the protocol states.
+# Outcomes that prove that the server has not executed the request, as the protocol states.  A cache that
+# reports a miss has looked the key up and done no more.  CANCELLED and TIMED_OUT end our wait, not the
+# server's work, and an ERROR may come after the request took effect: they prove nothing.
 NEVER_EXECUTED = frozenset(
     {Outcome.OVERLOADED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT, Outcome.CACHE_MISS}
 )
-TOKENS_A_SUCCESS = 0.15  # retries and hedged requests earned by each answered request
+TOKENS_PER_SUCCESS = 0.15  # retries and hedged requests earned by each answered request
 MAX_TOKENS = 20.0  # enough for what a dying server had in flight
-HEDGE_FACTOR = 3  # times what nine in ten attempts took, until a hedge is sent
-MIN_HEDGE_SAMPLES = 8
+HEDGE_FACTOR = 3  # times the 90th percentile of attempt times before a hedge is sent
+MIN_HEDGE_SAMPLES = 8  # attempt times; fewer give no usable percentile
 
 
 class RetryBudget:
@@ -48,7 +50,7 @@
 
     def deposit(self) -> None:
         """Earn a part of one, for an answered request."""
-        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_A_SUCCESS)
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_SUCCESS)
 
 
 def is_possibly_executed(attempt: Attempt) -> bool:
@@ -105,7 +107,7 @@
             deadline = min(deadline, request.arrived_at + request_class.latency_objective)
         return deadline - self.parameters.clock_margin
 
-    def may_retry(self, request: Request, now: int) -> bool:
+    def may_send_attempt(self, request: Request, now: int) -> bool:
         """Return whether the request may be sent now, for the first time or again."""
         return (
             not request.partly_sent
@@ -145,8 +147,8 @@
         missed = any(attempt.outcome is Outcome.CACHE_MISS for attempt in request.attempts)
         return missed and not request.is_write and server.kind == self.parameters.origin_kind
 
-    def attempt_timeout(self, request: Request, server: Server, now: int, deadline: int) -> int:
-        """Return until when the next attempt, sent now, may take.
+    def attempt_timeout_at(self, request: Request, server: Server, now: int, deadline: int) -> int:
+        """Return the moment (microseconds) until which the next attempt, sent now, may take.
 
         :param deadline: the request's answer deadline.
         """
@@ -162,5 +164,8 @@
         return now + hedge_delay(request.request_class, deadline - now)
 
     def give_up(self, request: Request) -> Reject | Fail:
-        """Return the final answer of a request that is not sent again: a rejection where that is true."""
+        """Return the final answer of a request that is not sent again.
+
+        Reject where the client may safely retry, else Fail.
+        """
         return Reject(self.parameters.retry_after) if can_reject(request) else Fail()
--- a/ivystack/balancing/server_load.py
+++ b/ivystack/balancing/server_load.py
@@ -1,7 +1,7 @@
 """Servers' loads and sizes, from endpoint list weights that fall with load and from load reports in answers.
 
-A weight that moves with load is size / (1 + requests in flight a core).  Loads are in requests in flight a
-core.
+A weight that moves with load is size / (1 + requests in flight per core).  Loads are in
+requests in flight per core.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from ..model import Server
 
-STEPS_A_DOUBLING = 4  # sizes are rounded to quarter doublings, so that noise moves no key
+STEPS_PER_DOUBLING = 4  # sizes are rounded to quarter doublings, so that noise moves no key
 LOAD_MAX_AGE_US = 3_000_000  # a load counts in full when reported and not at all so much later
-RESTING_LOAD = 1.0  # requests in flight a core: none waits there
+RESTING_LOAD = 1.0  # requests in flight per core: none waits there
 
 
 class LoadEstimator:
@@ -35,8 +35,8 @@
         """Set each server's weight to the size of its kind; return whether any weight changed."""
         before = [server.weight for server in servers]
         for server in servers:
-            steps = round(log2(self.max_weights.get(server.kind, 1.0)) * STEPS_A_DOUBLING)
-            server.weight = 2 ** (steps / STEPS_A_DOUBLING)
+            steps = round(log2(self.max_weights.get(server.kind, 1.0)) * STEPS_PER_DOUBLING)
+            server.weight = 2 ** (steps / STEPS_PER_DOUBLING)
         self.mean_load = sum(self.load(server, now) for server in servers) / max(1, len(servers))
         return before != [server.weight for server in servers]
 
--- a/ivystack/balancing/server_selection.py
+++ b/ivystack/balancing/server_selection.py
@@ -26,8 +26,8 @@
 FIRST_REPLICA_STEP_UP, FIRST_REPLICA_STEP_DOWN = 0.05, -0.005
 MIN_WAIT_SAMPLES = 8  # attempt times of a class
 # Outcomes after which the same server may be asked again, where no loads are reported and where they are.
-REPEATABLE_HERE = (Outcome.NOT_SENT, Outcome.OVERLOADED)
-REPEATABLE_HERE_WITH_LOADS = (Outcome.NOT_SENT,)
+SAME_SERVER_RETRY_OUTCOMES = (Outcome.NOT_SENT, Outcome.OVERLOADED)
+SAME_SERVER_RETRY_OUTCOMES_WITH_LOADS = (Outcome.NOT_SENT,)
 
 
 @dataclass(eq=False, slots=True)
@@ -40,7 +40,7 @@
     key: int
     replicas: list[Server]  # in the order in which they are asked, the first one drawn at random
     nearby: list[Server]  # the same in their own order, then the key's spares
-    tried: list[Server]  # not to be asked again by this request
+    excluded: list[Server]  # not to be asked again by this request
 
 
 class ServerSelector:
@@ -65,7 +65,7 @@
         :param origins: the origin's servers that are ready.
         :param total_in_flight: this process's attempts in flight at all servers.
         """
-        if not self.policy.may_retry(request, now):
+        if not self.policy.may_send_attempt(request, now):
             return None
         pacing = PACING_FRACTION * request.request_class.latency_objective
         if self._goes_to_origin(request):
@@ -119,9 +119,11 @@
         nearby = self.placement.replicas_and_spares(key, k)
         replicas = nearby[:k]
         first = self._draw_first(replicas)
-        repeatable = REPEATABLE_HERE_WITH_LOADS if self.load.enabled else REPEATABLE_HERE
-        tried = [attempt.server for attempt in request.attempts if attempt.outcome not in repeatable]
-        return Selection(request, now, pacing, key, replicas[first:] + replicas[:first], nearby, tried)
+        repeatable = (
+            SAME_SERVER_RETRY_OUTCOMES_WITH_LOADS if self.load.enabled else SAME_SERVER_RETRY_OUTCOMES
+        )
+        excluded = [attempt.server for attempt in request.attempts if attempt.outcome not in repeatable]
+        return Selection(request, now, pacing, key, replicas[first:] + replicas[:first], nearby, excluded)
 
     def _draw_first(self, replicas: list[Server]) -> int:
         """Return the index of the replica that is asked first."""
@@ -213,7 +215,7 @@
     def _is_available(self, selection: Selection, server: Server) -> bool:
         """Return whether the server is ready, healthy and warm enough, and the request may go there."""
         request, now = selection.request, selection.now
-        if server.state is not ServerState.READY or server in selection.tried:
+        if server.state is not ServerState.READY or server in selection.excluded:
             return False
         if self.outliers.ejection(server, request.request_class) is not None:
             return False
--- a/ivystack/balancing/tenant_quotas.py
+++ b/ivystack/balancing/tenant_quotas.py
@@ -36,8 +36,8 @@
         rate = len(self.recent) * 1_000_000 / max(1, now - self.recent[0][1])
 
         def rate_over_quota(one: Tenant) -> float:
-            requests_a_quota = one.recent_requests / one.quota + PRIOR_REQUESTS / total_quota
-            return requests_a_quota / (len(self.recent) + PRIOR_REQUESTS) * rate
+            requests_per_quota = one.recent_requests / one.quota + PRIOR_REQUESTS / total_quota
+            return requests_per_quota / (len(self.recent) + PRIOR_REQUESTS) * rate
 
         rates = sorted(rate_over_quota(one) for one in self.tenants if one.quota)
         median = rates[len(rates) // 2]
--- a/ivystack/model.py
+++ b/ivystack/model.py
@@ -15,7 +15,7 @@
 
 
 class Idempotency(enum.Enum):
-    """What a request class bears, from the loosest to the strictest."""
+    """Whether a request may be executed more than once, from always to never."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"  # servers drop a repeat with the same key, within a group and a window
@@ -93,7 +93,7 @@
     connection_rejected_at: int = LONG_AGO  # when it last rejected a new connection of ours
     concurrency_limit: float = 0.0  # own attempts; 0: not set yet
     response_times: tuple[int, ...] = ()  # an origin's last
-    load: float = 0.0  # requests in flight a core, as last reported
+    load: float = 0.0  # requests in flight per core, as last reported
     load_reported_at: int = LONG_AGO
     admitted_share: float = 1.0  # of the requests that would go there: those of highest priority
 
@@ -134,7 +134,7 @@
     is_write: bool = False
     is_client_retry: bool = False
     concluded: bool = False  # it has its final answer, or its client has gone
-    is_ranked: bool = False  # the three draws below are made
+    is_ranked: bool = False  # `limit_fraction`, `required_share` and `warm_up_draw` are set
     limit_fraction: float = 1.0  # of a server's concurrency limit that it may use, by its priority
     required_share: float = 0.0  # the admitted share that a server must have to be sent this one
     warm_up_draw: float = 0.0  # uniform in [0, 1): a server that is warmed up at least so far may take it
--- a/ivystack/net/hot_restart_state.py
+++ b/ivystack/net/hot_restart_state.py
@@ -143,7 +143,7 @@
     placement = balancer.placement
     order = [balancer.servers[name] for name in dict.fromkeys(names) if name in balancer.servers]
     placement.slots = [server for server in order if server.kind != balancer.parameters.origin_kind]
-    placement.located.clear()
+    placement.location_cache.clear()
     placement.update(balancer.cache_servers(), now)
     if balancer.slot_order:  # the order is known: no peer is to be asked
         balancer.slot_order.stop_asking(now)
--- a/ivystack/settings.py
+++ b/ivystack/settings.py
@@ -172,7 +172,7 @@
         if (old.weighted, old.parts) != (new.weighted, new.parts):
             for name in ("weighted", "live_weights", "parts"):
                 setattr(old, name, getattr(new, name))
-            old.located.clear()
+            old.location_cache.clear()
         if ours.load.enabled != theirs.load.enabled:
             ours.load.reset(theirs.load.enabled)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -113,7 +113,7 @@
     first = placement.replicas(0, 2)
     for key in range(1, CACHED_LOCATIONS + 1):
         placement.replicas(key, 2)
-    assert len(placement.located) == CACHED_LOCATIONS and (0, 2) not in placement.located
+    assert len(placement.location_cache) == CACHED_LOCATIONS and (0, 2) not in placement.location_cache
     assert placement.replicas(0, 2) == first
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -167,7 +167,8 @@
 CARRIED = {"zone", "zones"}  # checked; no decision rests on them
 AT_START = {"listen", "admin_addr", "name", "limits", "peer_listen", "seed", "known"}
 AT_ONCE = {"settings", "discovery", "peers"}
-SEEN = ("cached_keys", "slots", "located", "rng", "idle_time")  # what a part has learned, not been told
+# What a part has learned, not been told.
+SEEN = ("cached_keys", "slots", "location_cache", "rng", "idle_time")
 
 
 def says(of, deep=0):
