--- a/ivystack/net/client_drain.py
+++ b/ivystack/net/client_drain.py
@@ -19,10 +19,12 @@
     """
 
     INTERVAL = 20_000  # between batches
-    # Microseconds over which idle connections are closed where the operators call for it, and after which
-    # commands that have not arrived completely are given up.  It ends well before the 4 s at which no client
-    # may be left; at 2 s, after which no client may send a request, such a command has no time left.
-    SPREAD, PARTIAL_COMMAND_GRACE = 1_000_000, 900_000
+    # Over which idle connections are closed where the operators call for it: it ends well before the 4 s at
+    # which no client may be left.
+    SPREAD = 1_000_000
+    # After which commands that have not arrived completely are given up: at 2 s, after which no client may
+    # send a request, such a command has no time left.
+    PARTIAL_COMMAND_GRACE = 900_000
 
     def __init__(self, server: ClientServer) -> None:
         self.server = server
--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -79,10 +79,10 @@
     noisy = False
     VALUE_MEMORY_DIVISOR = 8  # one byte in so many of the memory may be of values in hand
     IDLE_DIVISOR = 7  # one in so many of the connections may be idle for long
-    # Microseconds.  Idle connections beyond that are closed after the first; beyond twice as many, or where
-    # busy ones hold most of the part that clients may have, after the second: hundreds a second ask once and
-    # stay.
-    IDLE_TIMEOUT, SHORT_IDLE_TIMEOUT = 2_000_000, 50_000
+    IDLE_TIMEOUT = 2_000_000  # microseconds after which idle connections beyond that are closed
+    # The same beyond twice as many, or where busy ones hold most of the part that clients may have: hundreds
+    # of clients a second send one request and stay connected.
+    SHORT_IDLE_TIMEOUT = 50_000
     MIN_SILENCE = 100_000  # microseconds by which a usual client's first request has arrived
     SHORT_MIN_SILENCE = 20_000  # nearly as surely; where no other connection could make way
     EXTRA_CONNECTIONS = 16  # beyond the bound for as long as others make way
@@ -152,14 +152,14 @@
     def close_idle(self, now: int) -> None:
         """Close connections that are idle for too long or too many.
 
-        Usual clients, who may hold only a part of the descriptors, need those of clients that ask once and
-        stay connected for good.
+        Idle clients would otherwise use up the descriptors that active ones need.
         """
         busy = len(self.connections) - len(self.unused_connections) - len(self.idle_connections)
-        # Clients may hold no more than a third of the descriptors for requests.
-        third = (self.max_connections + self.RESERVED_DESCRIPTORS) // 2
+        # A third of the process's descriptors may be for clients' requests, as many as are for connections to
+        # servers (`ServerPools.SOCKETS_PER_CONNECTION`): the bound and the reserved ones are the other two.
+        client_share = (self.max_connections + self.RESERVED_DESCRIPTORS) // 2
         most = self.max_connections // self.IDLE_DIVISOR
-        kept = min(most, max(2, third // 2 - busy))
+        kept = min(most, max(2, client_share // 2 - busy))
         while len(self.idle_connections) > kept:
             oldest = next(iter(self.idle_connections))
             relaxed = kept == most and len(self.idle_connections) <= 2 * kept
@@ -178,8 +178,7 @@
     def evict_for_capacity(self, least: int = 0) -> int:
         """Close connections beyond the bound, at least so many if there are any; return how many.
 
-        Of those that asked for nothing of use the one silent for longest goes first, then the one idle for
-        longest.  A slow sender is not silent, and one that has just connected is kept: the next one waits.
+        Connections without a request go first, the longest silent before the others, then the longest idle.  A slow sender is not silent, and one that has just connected is kept: the next one waits.
         """
         wanted = max(least, len(self.connections) - len(self.closing_connections) - self.max_connections)
         for evicted in range(wanted):
--- a/ivystack/net/deadlines.py
+++ b/ivystack/net/deadlines.py
@@ -30,7 +30,7 @@
 
 
 class Deadline:
-    """A call scheduled by `DeadlineQueue.call_at`."""
+    """A scheduled, cancellable call (a timer), not a request's deadline; made by `DeadlineQueue.call_at`."""
 
     __slots__ = ("due_at", "_call", "_arguments", "_queue")
 
--- a/ivystack/net/endpoint_watch.py
+++ b/ivystack/net/endpoint_watch.py
@@ -75,9 +75,9 @@
     After an entry that could not be used it requests the whole list: only that shows that all is known.
     """
 
-    SILENCE_TIMEOUT = 5_000_000  # two empty lines missed, and some
-    # A change is due 6 s after the service had it and could be reached, whatever came of our requests: it may
-    # have been so from when we last heard anything, or requested in vain.  Half a second is for the answer.
+    SILENCE_TIMEOUT = 5_000_000  # microseconds: two keep-alive lines (2 s each) missed, plus 1 s
+    # Microseconds from the last activity to the next request at the latest: changes must be known within 6 s,
+    # 0.5 s is kept for the answer.
     UPDATE_WITHIN = 5_500_000
 
     def __init__(
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -255,7 +255,7 @@
     def _may_be_duplicate_busy(self, in_flight: InFlightAttempt) -> bool:
         """Note a -BUSY; return whether it proves nothing of the attempt that it came for.
 
-        It may be a duplicate of the one before, and nothing in it tells.
+        It may be a duplicate of the one before: a duplicate can't be recognized.
         """
         last_at, self.busy_at = self.busy_at, self.pools.now()
         is_close = self.busy_at - last_at < DUPLICATE_BUSY_WINDOW
@@ -282,7 +282,7 @@
     def _finish_reading(self) -> None:
         """All that came has been read: only now may it carry the next attempt.
 
-        That one's answer could not be told from what came too much before it.
+        Surplus bytes would be taken for the next attempt's answer.
         """
         if self.in_flight:
             return
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -33,7 +33,8 @@
     An attempt whose bytes were handed to an open connection is never reported as not sent.
     """
 
-    MAX_CONNECTIONS_PER_SERVER = 16  # some times what is in flight at once, a part of a server's table
+    # Several times the usual concurrency, and a small part of a server's connection table.
+    MAX_CONNECTIONS_PER_SERVER = 16
     SOCKETS_PER_CONNECTION = 3  # of the process's sockets, one in so many is for servers
     IDLE_TIMEOUT_FRACTION = 0.8  # we close before the server does: its close may cross an attempt
     PIPELINE_FROM = 6  # connections to a server, from which on an attempt goes behind others
@@ -96,7 +97,7 @@
         elif pool.address != address or restarted:
             pool.address = address
             self.close_idle(pool, "moved")
-            self._unsend_waiting(pool)
+            self._return_waiting_attempts(pool)
 
     def set_ready(self, name: str, is_ready: bool) -> None:
         """Note whether a server takes new attempts; one that does not keeps no idle connection.
@@ -109,7 +110,7 @@
         pool.is_ready = is_ready
         if not is_ready:
             self.close_idle(pool, "unlisted")
-            self._unsend_waiting(pool)
+            self._return_waiting_attempts(pool)
 
     def forget_unlisted(self, listed: Container[str]) -> None:
         """Drop the pools of servers that are not listed any more and have nothing open or waiting."""
@@ -136,7 +137,7 @@
             self._take_from_idle(connection)
             connection.close(code)
 
-    def _unsend_waiting(self, pool: ServerPool) -> None:
+    def _return_waiting_attempts(self, pool: ServerPool) -> None:
         for in_flight in [*pool.waiting]:
             self.finish(in_flight, Outcome.NOT_SENT)
 
@@ -247,7 +248,7 @@
             self.finish(in_flight, Outcome.NOT_SENT)
         elif in_flight.pool.connecting:
             self.finish(in_flight, Outcome.CONNECTION_REFUSED)
-        else:  # our own limit kept it from being opened: the server is not to blame
+        else:  # counts as overload of the server, although our own limit caused it
             self.finish(in_flight, Outcome.OVERLOADED)
 
     def _abandon(self, in_flight: InFlightAttempt, outcome: Outcome) -> None:
@@ -260,7 +261,8 @@
             return
         is_cancelled = outcome is Outcome.CANCELLED
         connection, code = in_flight.connection, "called-off" if is_cancelled else "out-of-time"
-        if connection is None or in_flight.has_unsent_bytes():  # it never ran
+        if connection is None or in_flight.has_unsent_bytes():
+            # CONNECTION_REFUSED, although it timed out: that outcome proves that nothing ran.
             self.finish(in_flight, Outcome.NOT_SENT if is_cancelled else Outcome.CONNECTION_REFUSED)
             if connection is not None:
                 connection.abort(code)
@@ -339,6 +341,7 @@
         if not connection.only_abandoned_attempts:
             self._finish_lost(connection)
         if connect_failed and code != CONNECT_TIMEOUT_CODE and pool.waiting:  # attempts time out themselves
+            # Counts as overload of the server, although this process lacks the descriptor.
             lacks_descriptor = code == NO_DESCRIPTOR_CODE
             self.finish(
                 pool.waiting[0], Outcome.OVERLOADED if lacks_descriptor else Outcome.CONNECTION_REFUSED
@@ -353,7 +356,7 @@
         """
         connection.pool.consecutive_losses += 1
         for in_flight in [*connection.in_flight]:
-            if in_flight.has_unsent_bytes():  # it never ran
+            if in_flight.has_unsent_bytes():  # both outcomes prove that nothing ran
                 kept = connection.was_kept_alive
                 self.finish(in_flight, Outcome.NOT_SENT if kept else Outcome.CONNECTION_REFUSED)
         kept = connection.was_kept_alive
--- a/ivystack/net/slot_table.py
+++ b/ivystack/net/slot_table.py
@@ -1,4 +1,7 @@
-"""A table whose keys are the smallest numbers that are free, so that they stay short in log lines."""
+"""A table whose keys are the smallest numbers that are free, so that they stay short in log lines.
+
+A slot is here the number of a value, such as a connection, not a server's place in the placement of keys.
+"""
 
 from __future__ import annotations
 
--- a/ivystack/net/streams.py
+++ b/ivystack/net/streams.py
@@ -23,17 +23,17 @@
     """A long response, from the server's connection to the client's once it is that response's turn.
 
     :param size: bytes of the value
-    :param window: bytes that are read from the server's connection at once
+    :param read_size: bytes that are read from the server's connection at once
     """
 
-    def __init__(self, server_connection: Any, size: int, window: int) -> None:
+    def __init__(self, server_connection: Any, size: int, read_size: int) -> None:
         self.server_connection, self.size = server_connection, size
         self.client: ClientConnection | None = None  # None: the rest is discarded
         self.started = False  # its turn has come: the client has been written its header
         self.ended = False  # nothing more of it arrives
         self.received_bytes = 0
         self.buffered: list[bytes] = []  # pieces that arrived before its turn
-        self.window = server_connection.transport.bufferSize = window
+        self.read_size = server_connection.transport.bufferSize = read_size
 
     # Called by the server's side.
 
@@ -68,7 +68,7 @@
         """Begin to write: all responses before this one have been written."""
         assert self.client is not None
         self.started = True
-        self.client.transport.bufferSize = self.window
+        self.client.transport.bufferSize = self.read_size
         self.client.transport.writeSequence([b"$%d\r\n" % self.size, *self.buffered])
         self.buffered.clear()
         if not self.client.write_blocked:
@@ -100,12 +100,12 @@
     It is the producer that a server's transport pauses while it takes no more.
 
     :param size: bytes of the value
-    :param window: bytes that are read from the client's connection at once
+    :param read_size: bytes that are read from the client's connection at once
     """
 
-    def __init__(self, client: ClientConnection, size: int, window: int) -> None:
-        self.client, self.size, self.window = client, size, window
-        client.transport.bufferSize = window
+    def __init__(self, client: ClientConnection, size: int, read_size: int) -> None:
+        self.client, self.size, self.read_size = client, size, read_size
+        client.transport.bufferSize = read_size
         self.server_connection: Any = None
         self.request: Request | None = None  # set once it is admitted
         self.server_timeout_ms = 0  # the time that the server is given
@@ -153,7 +153,7 @@
     def send_to(self, server_connection: Any) -> None:
         """Pass on to this connection what has arrived and what still arrives."""
         self.server_connection = server_connection
-        server_connection.transport.bufferSize = self.window
+        server_connection.transport.bufferSize = self.read_size
         server_connection.transport.registerProducer(self, True)
         while self.buffered:
             self._write(self.buffered.pop(0))
