--- a/ivystack/configuration/schema.py
+++ b/ivystack/configuration/schema.py
@@ -30,50 +30,50 @@
     """One entry of `settings.methods`."""
 
     name: str
-    semantics: Literal["pure", "token", "side_effect"] | None = None
-    latency_budget: Nanoseconds = None
-    give_up: Nanoseconds = None
-    criticality: Figure = None
-    tardy_criticality: Figure = None
-    group: Literal["all", "zone", "cell"] | None = None
-    window: Nanoseconds = None
+    semantics: Literal["pure", "token", "side_effect"] | None = None  # `Idempotency`
+    latency_budget: Nanoseconds = None  # latency objective
+    give_up: Nanoseconds = None  # longest deadline; without a latency objective, that too
+    criticality: Figure = None  # priority weight
+    tardy_criticality: Figure = None  # priority weight of a late answer
+    group: Literal["all", "zone", "cell"] | None = None  # `DedupGroup`: servers that know each other's keys
+    window: Nanoseconds = None  # dedup window
 
 
 class TenantSettings(Struct):
     """One entry of `settings.parties`."""
 
     name: str
-    allowance_per_s: Figure = None
+    allowance_per_s: Figure = None  # quota: requests a second over all processes
 
 
 class LimitSettings(Struct):
     """`settings.limits`."""
 
-    conn_idle: Nanoseconds = None
+    conn_idle: Nanoseconds = None  # idle timeout of connections
     connect_timeout: Nanoseconds = None
-    streams_per_conn: Count = None
-    most_write_outs: Count = None
-    may_duplicate: bool | None = None
-    retry_after: bool | None = None
-    max_retry_after: Nanoseconds = None
-    peers: bool | None = None
+    streams_per_conn: Count = None  # attempts in flight on a connection
+    most_write_outs: Count = None  # attempts of a request
+    may_duplicate: bool | None = None  # hedging is enabled
+    retry_after: bool | None = None  # rejections carry a Retry-After
+    max_retry_after: Nanoseconds = None  # the Retry-After that is sent
+    peers: bool | None = None  # gossip is enabled
 
 
 class RuleSettings(Struct):
     """`settings.rules`: the slow start of servers, and how soon list changes count."""
 
-    cold: Nanoseconds = None
-    cold_share: Fraction = None
-    overload_factor: Figure = None
-    ask_within: Nanoseconds = None
-    stop_sending_within: Nanoseconds = None
+    cold: Nanoseconds = None  # duration of the slow start
+    cold_share: Fraction = None  # initial fraction of the slow start
+    overload_factor: Figure = None  # times its capacity that pushes a cold server over
+    ask_within: Nanoseconds = None  # poll backoff: the pauses, where lists are polled
+    stop_sending_within: Nanoseconds = None  # poll backoff: bounds the pauses, where lists are pushed
 
 
 class LoadReportSettings(Struct):
     """`settings.reporting`."""
 
-    how: Literal["answers", "probe", "none"] | None = None
-    columns: list[str] | None = None
+    how: Literal["answers", "probe", "none"] | None = None  # answers: load reports come with them
+    columns: list[str] | None = None  # figures of a load report
 
 
 class ObjectiveSettings(Struct):
@@ -92,28 +92,28 @@
 class OriginSettings(Struct):
     """`settings.specifics`."""
 
-    origin_kind: int | None = None
+    origin_kind: int | None = None  # index of the origin's machine kind
 
 
 class InstanceSettings(Struct):
     """`settings`: what an instance is given, on sockets and in the simulator alike."""
 
-    methods: list[RequestClassSettings] | None = None
-    parties: list[TenantSettings] | None = None
-    kinds: list[str] | None = None
+    methods: list[RequestClassSettings] | None = None  # request classes
+    parties: list[TenantSettings] | None = None  # tenants
+    kinds: list[str] | None = None  # machine kinds
     limits: LimitSettings | None = None
     rules: RuleSettings | None = None
-    specifics: OriginSettings | None = None
-    reporting: LoadReportSettings | None = None
-    blend: ObjectiveSettings | None = None
+    specifics: OriginSettings | None = None  # the origin
+    reporting: LoadReportSettings | None = None  # load reports
+    blend: ObjectiveSettings | None = None  # objectives
     zone: str | None = None
     zones: list[str] | None = None
     discovery: Literal["push", "ask"] | None = None  # ask: lists come only as answers to polls
-    weight_source: Literal["none", "nominal", "rough", "live"] | None = None
-    excess_criticality: Figure = None
-    n_instances: Count = None
-    slot_no: Annotated[int, Meta(ge=0)] | None = None
-    granularity: Nanoseconds = None
+    weight_source: Literal["none", "nominal", "rough", "live"] | None = None  # of the servers
+    excess_criticality: Figure = None  # factor on the priority weight beyond a quota
+    n_instances: Count = None  # number of processes
+    slot_no: Annotated[int, Meta(ge=0)] | None = None  # this process's number among them
+    granularity: Nanoseconds = None  # of the clock
 
 
 class MachineLimits(Struct):
--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -178,7 +178,8 @@
     def evict_for_capacity(self, least: int = 0) -> int:
         """Close connections beyond the bound, at least so many if there are any; return how many.
 
-        Connections without a request go first, the longest silent before the others, then the longest idle.  A slow sender is not silent, and one that has just connected is kept: the next one waits.
+        Connections without a request: the longest silent first, then the longest idle.  A slow sender is not
+        silent, and one that has just connected is kept: the next one waits.
         """
         wanted = max(least, len(self.connections) - len(self.closing_connections) - self.max_connections)
         for evicted in range(wanted):
