--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -175,9 +175,10 @@
                 self.gossip.note(attempt.server, GossipedOutcome.SLOW_HIT, now)
 
     def _rank(self, request: Request, now: int, deadline: int) -> bool:
-        """Rank a new request, record its key and set its draws; return whether it has a chance to be in time.
+        """Rank a new request, record its key and set its draws; return False to give it up.
 
-        A few still go out, which show when there is hope.
+        It is given up if it has hardly a chance to be answered in time; a few such still go out, which show
+        when there is hope.
         """
         request.is_ranked, request.warm_up_draw = True, self.rng.random()
         self.hot_keys.record(request.key)
