--- a/ivystack/configuration/reload.py
+++ b/ivystack/configuration/reload.py
@@ -132,7 +132,7 @@
     old, new = balancer.placement, new_balancer.placement
     if (old.weighted, old.parts) != (new.weighted, new.parts):
         copy_fields(PLACEMENT_FIELDS, new, old)
-        old.located.clear()
+        old.location_cache.clear()
     if balancer.load.enabled != new_balancer.load.enabled:
         balancer.load.reset(new_balancer.load.enabled)
 
