--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -84,8 +84,8 @@
                 20,
             ),
         )
-        print("  a hand-over's word", timed(lambda _, made=made: msgspec.json.encode(made.state()), 9),
-              f"{len(msgspec.json.encode(made.state())) >> 10} KB")  # fmt: skip
+        print("  a hand-over's word", timed(lambda _, made=made: msgspec.json.encode(made.export_state()), 9),
+              f"{len(msgspec.json.encode(made.export_state())) >> 10} KB")  # fmt: skip
     print(f"memory at the end: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10} MB")
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -324,7 +324,8 @@
 @pytest.mark.parametrize("path, before, after, scene, rule", [
     ("net/client_connection.py", "self.pending.popleft()\n            self.transport.write(response)",
      "self.pending.popleft()\n            self.transport.write(2 * response)", "first", "one answer"),
-    ("net/proxy.py", '"DRAINING": LEAVING', '"DRAINING": READY', "drain", "nothing new to a draining node"),
+    ("net/endpoint_list.py", '"DRAINING": ServerState.DRAINING', '"DRAINING": ServerState.READY', "drain",
+     "nothing new to a draining node"),
     ("net/listener.py", "        if self.protocol.may_close():", "        if True:", "held-up", "one answer"),
     ("net/listener.py", "EINTR, ENOMEM, ENOBUFS})  # of", "EINTR})  # of", "failing-calls", "one answer"),
 ])  # fmt: skip
