--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -35,7 +35,7 @@
 
 
 def adopt_listening_socket(
-    reactor: Any, descriptor: int, factory: listener.ClientFactory
+    reactor: Any, descriptor: int, factory: listener.AcceptingFactory
 ) -> listener.ClientListener:
     """Accept clients at a listening socket that was inherited as this descriptor, and return the port.
 
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -157,7 +157,7 @@
         return None
 
 
-class ClientFactory(Protocol):
+class AcceptingFactory(Protocol):
     """What the listener needs of the clients' server."""
 
     deadlines: DeadlineQueue
@@ -181,7 +181,7 @@
 
     transport = ClientTransport
     ACCEPTS_PER_TURN = 16
-    factory: Any  # a `ClientFactory`
+    factory: Any  # a `AcceptingFactory`
 
     def doRead(self) -> None:  # noqa: N802, D102
         try:
@@ -247,7 +247,7 @@
             self._pause()
 
 
-def listen(reactor: Any, host: str, port: int, factory: ClientFactory, backlog: int) -> ClientListener:
+def listen(reactor: Any, host: str, port: int, factory: AcceptingFactory, backlog: int) -> ClientListener:
     """Listen for clients at an address.
 
     :raises twisted.internet.error.CannotListenError: the address can't be used
@@ -257,7 +257,7 @@
     return listener
 
 
-def adopt(reactor: Any, descriptor: int, family: int, factory: ClientFactory) -> ClientListener:
+def adopt(reactor: Any, descriptor: int, family: int, factory: AcceptingFactory) -> ClientListener:
     """Accept clients at a socket that listens already; its descriptor is duplicated."""
     listener = ClientListener._fromListeningDescriptor(reactor, descriptor, family, factory)
     listener.startListening()
