--- a/ivystack/consensus/membership.py
+++ b/ivystack/consensus/membership.py
@@ -17,9 +17,13 @@
     return f"{name}/{incarnation}"
 
 
-def proxy_name(replica: str) -> str:
-    """Return the name of the proxy that a replica id belongs to."""
-    return replica.rpartition("/")[0]
+def proxy_name(identity: str) -> str:
+    """Return the proxy's name out of a replica's or process's `name/incarnation`.
+
+    >>> proxy_name("p1/00ff")
+    'p1'
+    """
+    return identity.rpartition("/")[0]
 
 
 def next_configuration(
--- a/ivystack/duties/health_check_duty.py
+++ b/ivystack/duties/health_check_duty.py
@@ -1,4 +1,4 @@
-"""The `server-trials` duty: one proxy checks whether servers that are down can be reached, for all proxies.
+"""The `node-trials` duty: one proxy checks whether servers that are down can be reached, for all proxies.
 
 Results never take a server out of use, never send it a request and never make it healthy: only the proxy's
 own traffic does that.  A result merely postpones this proxy's own next check of a server that it already
@@ -22,7 +22,7 @@
 POSTPONEMENT = 4_500_000  # microseconds by a result: two of the longest intervals, one result may be lost
 MAX_POSTPONEMENT = 30_000_000  # microseconds in all: what a faulty holder can cost a server that is back
 REQUEST_LIFETIME = 2_000_000  # microseconds for which another proxy's request for a check counts
-MAX_CONCURRENT_CHECKS = 32
+MAX_CONCURRENT_CHECKS = 32  # open connections of the holder to servers that may never answer
 
 
 class LocalServers:
@@ -31,21 +31,21 @@
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
 
-    def known(self, name: str) -> bool:
+    def is_listed(self, name: str) -> bool:
         """Return whether our endpoint list has that server."""
         return name in self.proxy.balancer.servers
 
-    def down(self) -> list[str]:
+    def ready_unhealthy_names(self) -> list[str]:
         """Return ready servers that we hold to be down ourselves, as many as fit a message."""
         balancer = self.proxy.balancer
-        down = [
-            n.name
-            for n in balancer.servers.values()
-            if n.state == ServerState.READY and not balancer.outliers.is_healthy(n.health)
+        names = [
+            server.name
+            for server in balancer.servers.values()
+            if server.state == ServerState.READY and not balancer.outliers.is_healthy(server.health)
         ]
-        return down[:MAX_SERVERS_PER_MESSAGE]
+        return names[:MAX_SERVERS_PER_MESSAGE]
 
-    def names_not_up(self) -> set[str]:
+    def unhealthy_names(self) -> set[str]:
         """Return all servers that we hold to be down, in whatever state of the endpoint list."""
         balancer = self.proxy.balancer
         return {
@@ -54,7 +54,7 @@
             if not balancer.outliers.is_healthy(server.health)
         }
 
-    def not_up(self, name: str) -> Server | None:
+    def unhealthy_server(self, name: str) -> Server | None:
         """Return that server if we know it and hold it to be down, else None."""
         server = self.proxy.balancer.servers.get(name)
         return None if server is None or self.proxy.balancer.outliers.is_healthy(server.health) else server
@@ -102,7 +102,7 @@
     def request(self, names: list[str], now: int) -> None:
         """Note that another proxy holds these to be down; names outside our endpoint list are ignored."""
         for name in names[:MAX_SERVERS_PER_MESSAGE]:
-            if self.servers.known(name):
+            if self.servers.is_listed(name):
                 self.requested[name] = now + REQUEST_LIFETIME
 
     def run_checks(self, now: int, may_act: Callable[[], bool]) -> None:
@@ -122,7 +122,7 @@
 
     def _due(self, now: int) -> Iterator[tuple[str, tuple[str, int]]]:
         """Yield servers to check now, with their addresses."""
-        for name in dict.fromkeys([*self.servers.down(), *self.requested]):
+        for name in dict.fromkeys([*self.servers.ready_unhealthy_names(), *self.requested]):
             address = self.servers.checkable_address(name)
             if address is None or len(self.in_progress) >= MAX_CONCURRENT_CHECKS:
                 continue
@@ -145,10 +145,10 @@
 
     def apply_results(self, reached: dict[str, bool], now: int) -> None:
         """Postpone our own checks of servers that the holder could not reach, up to the bound."""
-        not_up = self.servers.names_not_up()
-        self.postponed = {name: one for name, one in self.postponed.items() if name in not_up}
+        unhealthy = self.servers.unhealthy_names()
+        self.postponed = {name: one for name, one in self.postponed.items() if name in unhealthy}
         for name, was_reached in reached.items():
-            server = self.servers.not_up(name)
+            server = self.servers.unhealthy_server(name)
             if server is None:
                 continue
             planned = self.servers.planned_check(server)
@@ -171,5 +171,5 @@
         return {
             "looks": self.checks_started,
             "spaced": self.checks_postponed,
-            "down": self.servers.down(),
+            "down": self.servers.ready_unhealthy_names(),
         }
--- a/ivystack/duties/health_check_exchange.py
+++ b/ivystack/duties/health_check_exchange.py
@@ -54,7 +54,7 @@
             reached = self.duty.take_results()
             if reached and self._holds(token):
                 self._announce(None, HealthCheckResults(token, reached))
-        elif now >= self.next_request and (down := self.duty.servers.down()):
+        elif now >= self.next_request and (down := self.duty.servers.ready_unhealthy_names()):
             self.next_request = now + REQUEST_INTERVAL
             self._request_checks(down)
 
--- a/ivystack/duties/lease_client.py
+++ b/ivystack/duties/lease_client.py
@@ -63,9 +63,9 @@
     def acquire(self, duty: str, owner: str, done: Callable[[LeaseGrant | None], None]) -> bool:
         """Ask for a free lease; `done` gets who holds it then, None if there was no answer."""
 
-        def answered(good: bool, answer: Any) -> None:
-            holder, token = answer if good and answer else ("", 0)
-            done(LeaseGrant(holder, token) if good else None)
+        def answered(was_answered: bool, answer: Any) -> None:
+            holder, token = answer if was_answered and answer else ("", 0)
+            done(LeaseGrant(holder, token) if was_answered else None)
 
         return self.command(LEASE_PART, LeaseCommand.ACQUIRE.value, [duty, owner], answered, REQUEST_TIMEOUT)
 
@@ -74,8 +74,8 @@
     ) -> bool:
         """Ask for more time; `answer_age` is the microseconds since the last answered request was sent."""
 
-        def answered(good: bool, answer: Any) -> None:
-            if not good:
+        def answered(was_answered: bool, answer: Any) -> None:
+            if not was_answered:
                 done(RenewalResult.UNANSWERED)
             elif answer is True:
                 done(RenewalResult.GRANTED)
@@ -89,7 +89,7 @@
         """Free the lease; the answer is not waited for, since an unheard release expires by itself."""
         args = [duty, token]
         return self.command(
-            LEASE_PART, LeaseCommand.RELEASE.value, args, lambda good, answer: None, REQUEST_TIMEOUT
+            LEASE_PART, LeaseCommand.RELEASE.value, args, lambda was_answered, answer: None, REQUEST_TIMEOUT
         )
 
     def put_value(
@@ -97,9 +97,9 @@
     ) -> bool:
         """Write the lease's value; `done` gets None if there was no answer."""
 
-        def answered(good: bool, answer: Any) -> None:
-            accepted, version = answer if good and answer else (False, 0)
-            done(PutResult(accepted, version) if good else None)
+        def answered(was_answered: bool, answer: Any) -> None:
+            accepted, version = answer if was_answered and answer else (False, 0)
+            done(PutResult(accepted, version) if was_answered else None)
 
         args = [duty, token, value]
         return self.command(LEASE_PART, LeaseCommand.PUT_VALUE.value, args, answered, REQUEST_TIMEOUT)
@@ -107,7 +107,7 @@
     def get_value(self, duty: str, done: Callable[[LeaseValue | None], None]) -> bool:
         """Read the lease's value; `done` gets None if there was no answer."""
 
-        def answered(good: bool, answer: Any) -> None:
-            done(LeaseValue(*answer) if good and answer else None)
+        def answered(was_answered: bool, answer: Any) -> None:
+            done(LeaseValue(*answer) if was_answered and answer else None)
 
         return self.read(LEASE_PART, LeaseRead.GET_VALUE.value, [duty], answered, REQUEST_TIMEOUT)
--- a/ivystack/duties/lease_expiry.py
+++ b/ivystack/duties/lease_expiry.py
@@ -35,7 +35,7 @@
         :param lease: microseconds.
         :param drift: the largest relative difference between the rates of two clocks.
         """
-        self.lease = int(lease * (1 + drift))
+        self.duration = int(lease * (1 + drift))
         self.term = -1  # the term in which this process leads; renewals of other terms do not count
         self.renewals: dict[str, Renewal] = {}
 
@@ -54,6 +54,6 @@
             token, renewed_at = self.renewals.setdefault(duty, Renewal(record.token, now))
             if token != record.token:  # a new holder: heard from when its acquisition was committed, or since
                 self.renewals[duty] = Renewal(record.token, now)
-            elif now - renewed_at > self.lease:
+            elif now - renewed_at > self.duration:
                 found.append(ExpiredLease(duty, record.token))
         return found
--- a/ivystack/duties/lease_holder.py
+++ b/ivystack/duties/lease_holder.py
@@ -12,10 +12,11 @@
 from enum import StrEnum
 from hashlib import blake2b
 
+from ..consensus.membership import proxy_name
 from .lease_client import REQUEST_TIMEOUT, LeaseClient, LeaseGrant, RenewalResult
-from .protocol import FREE_LEASE, LeaseSummary, proxy_name
+from .protocol import FREE_LEASE, LeaseSummary
 
-RENEW_PART = 3  # a lease is renewed once one in so many parts of it has passed
+RENEWALS_PER_LEASE = 3  # renewals due in one duration, so that a lost one does not cost the lease
 MAX_CANDIDACY_DELAY = 600_000  # microseconds that the last candidate waits longer than the first
 CANNOT_SERVE_GRACE = 1_000_000  # microseconds after which a holder that cannot serve releases the lease
 BACKOFF = 10_000_000  # microseconds without a campaign after that: a link that flaps must not move the lease
@@ -31,7 +32,7 @@
 
 
 @dataclass
-class HeldLease:
+class DutyLease:
     """The lease of one duty as this process stands to it."""
 
     duty: str
@@ -67,16 +68,16 @@
         :param drift: the largest relative difference between the rates of two clocks.
         """
         self.owner, self.client, self.on_lost, self.on_acquired = owner, client, on_lost, on_acquired
-        self.lease = int(lease * (1 - drift))
-        self.leases: dict[str, HeldLease] = {}
+        self.duration = int(lease * (1 - drift))
+        self.leases: dict[str, DutyLease] = {}
         self.shutting_down = False
 
     def add_duty(self, duty: str, can_serve: Callable[[], bool]) -> None:
         """Make this process a candidate for a duty whenever `can_serve` says so."""
-        self.leases[duty] = HeldLease(duty, can_serve)
+        self.leases[duty] = DutyLease(duty, can_serve)
 
     def held_token(self, duty: str, now: int) -> int:
-        """Return the fencing token, or 0 if the lease is not held now; ask right before each action."""
+        """End the lease if it has expired; return its token, 0 if not held.  Ask right before each action."""
         lease = self.leases[duty]
         if lease.token and now >= lease.expires_at:
             self._lose(lease, LeaseLossReason.EXPIRED)
@@ -96,9 +97,9 @@
             can_serve = lease.can_serve()
             lease.cannot_serve_since = None if can_serve else lease.cannot_serve_since or now
             if self.held_token(lease.duty, now):
-                self._keep(lease, now)
+                self._renew_or_release(lease, now)
             elif announced is not None and not lease.request_pending and not self.shutting_down:
-                self._follow(lease, announced.get(lease.duty, FREE_LEASE), can_serve, now)
+                self._act_on_announcement(lease, announced.get(lease.duty, FREE_LEASE), can_serve, now)
 
     def release_all(self, now: int) -> None:
         """Release everything held and campaign no more: a planned end."""
@@ -107,7 +108,7 @@
             if lease.token:
                 self._release(lease, LeaseLossReason.SHUTDOWN, now)
 
-    def _keep(self, lease: HeldLease, now: int) -> None:
+    def _renew_or_release(self, lease: DutyLease, now: int) -> None:
         """Renew a held lease when due, or release it where this process cannot serve."""
         since = lease.cannot_serve_since
         if since is not None and now - since >= CANNOT_SERVE_GRACE:
@@ -116,7 +117,9 @@
         elif now >= lease.renew_at and not lease.request_pending:
             self._renew(lease, lease.token, now)
 
-    def _follow(self, lease: HeldLease, announced: LeaseSummary, can_serve: bool, now: int) -> None:
+    def _act_on_announcement(
+        self, lease: DutyLease, announced: LeaseSummary, can_serve: bool, now: int
+    ) -> None:
         """Act on the announced state of a lease that is not held here."""
         if announced.holder == self.owner:
             self._reclaim(lease, announced.token, now)
@@ -125,14 +128,14 @@
         else:
             self._campaign(lease, now)
 
-    def _reclaim(self, lease: HeldLease, token: int, now: int) -> None:
+    def _reclaim(self, lease: DutyLease, token: int, now: int) -> None:
         """Renew a lease whose grant was not heard, or repeat a release that was not."""
         if token != lease.released_token:
             self._renew(lease, token, now)
         elif now - lease.released_at > REQUEST_TIMEOUT:
             self._send_release(lease, now)
 
-    def _campaign(self, lease: HeldLease, now: int) -> None:
+    def _campaign(self, lease: DutyLease, now: int) -> None:
         """Acquire a lease that has been free for our candidacy delay."""
         lease.available_since = lease.available_since or now
         if now - lease.available_since < self.candidacy_delay(lease.duty):
@@ -151,7 +154,7 @@
         if not self.client.acquire(lease.duty, self.owner, answered):
             lease.request_pending = False
 
-    def _renew(self, lease: HeldLease, token: int, now: int) -> None:
+    def _renew(self, lease: DutyLease, token: int, now: int) -> None:
         """Ask for more time, counted from now."""
         lease.request_pending = True
 
@@ -169,25 +172,25 @@
         if not self.client.renew(lease.duty, token, self.owner, answer_age, answered):
             lease.request_pending = False
 
-    def _extend(self, lease: HeldLease, token: int, requested_at: int) -> None:
+    def _extend(self, lease: DutyLease, token: int, requested_at: int) -> None:
         """Hold the lease under `token`, for its duration from the time of the request."""
         new = lease.token != token
         if new and lease.token:
             self._lose(lease, LeaseLossReason.REVOKED)
-        lease.token, lease.expires_at = token, requested_at + self.lease
-        lease.renew_at = requested_at + self.lease // RENEW_PART
+        lease.token, lease.expires_at = token, requested_at + self.duration
+        lease.renew_at = requested_at + self.duration // RENEWALS_PER_LEASE
         if new:
             self.on_acquired(lease.duty, token)
 
-    def _lose(self, lease: HeldLease, reason: LeaseLossReason) -> None:
+    def _lose(self, lease: DutyLease, reason: LeaseLossReason) -> None:
         token, lease.token, lease.expires_at = lease.token, 0, 0
         self.on_lost(lease.duty, token, reason)
 
-    def _release(self, lease: HeldLease, reason: LeaseLossReason, now: int) -> None:
+    def _release(self, lease: DutyLease, reason: LeaseLossReason, now: int) -> None:
         lease.released_token = lease.token
         self._lose(lease, reason)
         self._send_release(lease, now)
 
-    def _send_release(self, lease: HeldLease, now: int) -> None:
+    def _send_release(self, lease: DutyLease, now: int) -> None:
         lease.released_at = now
         self.client.release(lease.duty, lease.released_token)
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -11,7 +11,7 @@
 from ..mesh.mesh import Mesh
 from .lease_expiry import LeaseExpiry
 from .lease_table import LeaseTable
-from .protocol import LEASE_PART, LeaseCommand, LeaseNews, LeaseRead, LeaseSummary, MessageKind
+from .protocol import LEASE_PART, LeaseCommand, LeaseAnnouncement, LeaseRead, LeaseSummary, MessageKind
 
 if TYPE_CHECKING:
     from ..consensus.replica import Replica
@@ -29,15 +29,15 @@
         expiry: LeaseExpiry,
         mesh: Mesh,
         now: Callable[[], int],
-        on_news: Callable[[LeaseNews], None],
+        on_announcement: Callable[[LeaseAnnouncement], None],
     ) -> None:
         """Register with the member.
 
         :param now: the clock, in microseconds.
-        :param on_news: takes each announcement in this process, before it is sent.
+        :param on_announcement: takes each announcement in this process, before it is sent.
         """
         self.member, self.table, self.expiry, self.mesh = member, table, expiry, mesh
-        self.now, self.on_news = now, on_news
+        self.now, self.on_announcement = now, on_announcement
         self.next_announcement = 0
         self.announced: dict[str, LeaseSummary] | None = None
         member.state_observers.append(self.state_changed)
@@ -64,8 +64,8 @@
     def _announce(self, term: int, now: int) -> None:
         self.next_announcement = now + ANNOUNCEMENT_INTERVAL
         self.announced = self.table.summaries()
-        news = LeaseNews(term, self.member.applied_index, self.announced)
-        self.on_news(news)
+        news = LeaseAnnouncement(term, self.member.applied_index, self.announced)
+        self.on_announcement(news)
         for peer in [*self.mesh.peers]:
             self.mesh.send(peer, MessageKind.LEASE_NEWS.value, news)
 
--- a/ivystack/duties/lease_table.py
+++ b/ivystack/duties/lease_table.py
@@ -104,8 +104,8 @@
         where its last answer from the group is too old or absent: a holder that can send but not receive
         would keep the lease forever.  `value` gives the version, the token it was written under, the value.
 
-        :raises UnknownDutyError: as `do`.
-        :raises UnknownLeaseRequestError: as `do`.
+        :raises UnknownDutyError: the duty is not known.
+        :raises UnknownLeaseRequestError: the request is not known.
         """
         record = self.record(args[0])
         if name == LeaseRead.RENEW:
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -17,7 +17,7 @@
 from .lease_holder import LeaseHolder, LeaseLossReason
 from .lease_leader import LeaseLeader
 from .lease_table import LeaseTable
-from .protocol import FREE_LEASE, KNOWN_DUTIES, DutyName, LeaseNews, LeaseSummary, MessageKind
+from .protocol import FREE_LEASE, KNOWN_DUTIES, DutyName, LeaseAnnouncement, LeaseSummary, MessageKind
 from .slot_order_duty import SlotOrder, SlotOrderDuty
 
 if TYPE_CHECKING:
@@ -26,8 +26,10 @@
     from ..net.proxy import Proxy
 
 TICK_INTERVAL = 100_000  # microseconds
-NEWS_LIFETIME = 3_000_000  # microseconds: older announcements tell nothing
-NEW_GROUP_AFTER = 10 * NEWS_LIFETIME  # microseconds without news: then even an older index is a new group's
+ANNOUNCEMENT_TTL = 3_000_000  # microseconds: older announcements tell nothing
+NEW_GROUP_AFTER = (
+    10 * ANNOUNCEMENT_TTL
+)  # microseconds without news: then even an older index is a new group's
 
 ORDER, CHECKS = DutyName.SLOT_ORDER.value, DutyName.HEALTH_CHECKS.value
 
@@ -57,13 +59,13 @@
         self.leader: LeaseLeader | None = None
         self.leases: dict[str, LeaseSummary] = {}  # as last announced
         self.announced_index = (-1, -1)  # term and log index of the last announcement
-        self.announced_at = -NEWS_LIFETIME
+        self.announced_at = -ANNOUNCEMENT_TTL
         self.stopped = False
         mesh.handlers[MessageKind.LEASE_NEWS.value] = self.news_received
 
     def attach_member(self, member: Replica, table: LeaseTable) -> None:
         """Take part in the group through our own process's member."""
-        self.leader = LeaseLeader(member, table, self.expiry, self.mesh, self.now, self._apply_news)
+        self.leader = LeaseLeader(member, table, self.expiry, self.mesh, self.now, self._apply_announcement)
         self.exchange.is_member = True
 
     def start(self) -> None:
@@ -91,9 +93,9 @@
         """
         if sender not in self.mesh.members:
             return self.mesh.count_drop(DropCode.NOT_A_MEMBER, sender)
-        news = msgspec.convert(body, LeaseNews)
+        news = msgspec.convert(body, LeaseAnnouncement)
         if {*news.leases} <= {*KNOWN_DUTIES}:
-            self._apply_news(news)
+            self._apply_announcement(news)
         return None
 
     def release_all(self) -> None:
@@ -119,9 +121,9 @@
         }
 
     def _is_fresh(self, now: int) -> bool:
-        return now - self.announced_at < NEWS_LIFETIME
+        return now - self.announced_at < ANNOUNCEMENT_TTL
 
-    def _apply_news(self, news: LeaseNews) -> None:
+    def _apply_announcement(self, news: LeaseAnnouncement) -> None:
         index, now = (news.term, news.applied_index), self.now()
         if index < self.announced_index and now - self.announced_at < NEW_GROUP_AFTER:
             return  # from a former leader
--- a/ivystack/duties/protocol.py
+++ b/ivystack/duties/protocol.py
@@ -8,6 +8,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
+from ..consensus.membership import proxy_name
+
 LEASE_PART = "duty"  # the part of the replicated state machine that holds the leases
 MAX_SERVERS_PER_MESSAGE = 64  # server names in one health check message
 
@@ -16,7 +18,7 @@
     """A duty, by its name on the wire, in logs and in the operators' JSON."""
 
     SLOT_ORDER = "slot-order"
-    LIST_WATCH = "list-watch"
+    LIST_WATCH = "list-watch"  # reserved: stored state has a lease of this name
     HEALTH_CHECKS = "node-trials"
 
 
@@ -34,6 +36,8 @@
 class LeaseRead(StrEnum):
     """A linearizable read of the lease table."""
 
+    # A read, since only the leader keeps the times of renewals (LeaseExpiry) and nothing is replicated; the
+    # read proves that it leads.
     RENEW = "renew"
     GET_VALUE = "value"
 
@@ -62,7 +66,7 @@
 FREE_LEASE = LeaseSummary("", 0, 0)
 
 
-class LeaseNews(NamedTuple):
+class LeaseAnnouncement(NamedTuple):
     """All leases at one index of the replicated log, announced by the leader of that term."""
 
     term: int
@@ -78,12 +82,3 @@
 
 
 ServersDown = list[str]  # names of servers that the sender holds to be down
-
-
-def proxy_name(process: str) -> str:
-    """Return the proxy's name out of `name/incarnation`.
-
-    >>> proxy_name("p1/00ff")
-    'p1'
-    """
-    return process.rpartition("/")[0]
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -14,8 +14,8 @@
 
 from loguru import logger
 
-from ..model import Server, ServerState
-from ..balancing.gossip_codec import server_hash
+from ..model import ServerState
+from ..balancing.gossip_codec import SERVER_HASH_BYTES, server_hash
 from .fencing import FencingTokens
 from .lease_client import LeaseClient, LeaseValue, PutResult
 from .lease_holder import LeaseHolder
@@ -24,7 +24,6 @@
 if TYPE_CHECKING:
     from ..net.proxy import Proxy
 
-MARK_BYTES = 3  # of one slot
 MAX_SLOTS = 4096
 MAX_WATCH_OUTAGE = 3_000_000  # microseconds without the endpoint list's watch: then our order is out of date
 DIGEST_BYTES = 6  # of the order's digest in the operators' JSON
@@ -56,7 +55,7 @@
         return recent and self.proxy.started and not self.proxy.ending and self.proxy.ready()
 
     def encode(self) -> bytes:
-        """Return the order of our slots as their marks."""
+        """Return the order of our slots as hashes of their servers."""
         return b"".join(server_hash(server) for server in self.proxy.balancer.placement.slots)
 
     def digest(self) -> str:
@@ -65,25 +64,20 @@
 
     def adopt(self, order: bytes) -> OrderFault | None:
         """Put our slots into that order; return what is wrong with it if it is not adopted."""
-        marks = [order[at : at + MARK_BYTES] for at in range(0, len(order), MARK_BYTES)]
-        servers = self._servers()
-        # A mark comes once, or as often as servers here have it: two of a thousand may share one.
+        hashes = [order[at : at + SERVER_HASH_BYTES] for at in range(0, len(order), SERVER_HASH_BYTES)]
+        servers = self.proxy.balancer.cache_servers()
+        # A hash comes once, or as often as servers here have it: two of a thousand may share one.
         known = Counter(map(server_hash, servers))
-        repeated = any(count > max(1, known[one]) for one, count in Counter(marks).items())
-        if not marks or len(marks) > MAX_SLOTS or len(order) % MARK_BYTES or repeated:
+        repeated = any(count > max(1, known[one]) for one, count in Counter(hashes).items())
+        if not hashes or len(hashes) > MAX_SLOTS or len(order) % SERVER_HASH_BYTES or repeated:
             return OrderFault.MALFORMED
         ready = [server_hash(server) for server in servers if server.state == ServerState.READY]
-        if 2 * len({*marks} & {*ready}) < len(ready):
+        if 2 * len({*hashes} & {*ready}) < len(ready):
             return OrderFault.UNFAMILIAR
         if order != self.encode():
-            self.proxy.balancer.placement.adopt_order(marks, servers, self.proxy.now())
+            self.proxy.balancer.placement.adopt_order(hashes, servers, self.proxy.now())
         return None
 
-    def _servers(self) -> list[Server]:
-        """Return the known cache servers, without origins."""
-        balancer = self.proxy.balancer
-        return balancer.cache_servers()
-
 
 class SlotOrderDuty:
     """Keeps our slots in the agreed order, and writes that order while this process holds the duty."""
--- a/ivystack/fleet/config.py
+++ b/ivystack/fleet/config.py
@@ -27,7 +27,7 @@
 GROUP_SIZES = 3, 5, 7
 DEFAULT_LINKS = 256  # of a member: several times what a small fleet needs while all of it hot restarts
 LINKS_PER_MEMBER = 4  # of a proxy outside the group: one, two in a hot restart or while members change, spare
-SPARE_LINKS_PART = 8  # one more link for so many proxies: some have two for a while in hot restarts
+PROXIES_PER_SPARE_LINK = 8  # one more link for so many proxies: some have two for a while in hot restarts
 MIN_HEARTBEATS_PER_ELECTION = 3
 MIN_ELECTIONS_PER_LEASE = 2
 MAX_FAULTS = 50  # listed of one file
@@ -101,7 +101,7 @@
         :raises ConfigurationError: the file wants more than half of them for links.
         """
         if self.listen_address and self.file.links is None:
-            wanted = max(DEFAULT_LINKS, proxies + max(GROUP_SIZES) + proxies // SPARE_LINKS_PART)
+            wanted = max(DEFAULT_LINKS, proxies + max(GROUP_SIZES) + proxies // PROXIES_PER_SPARE_LINK)
             self.max_links = min(wanted, descriptors // 2)
             if self.max_links < wanted:
                 message = "fleet: links for {} of {} proxies, half of {} descriptors; raise `limits.sockets`"
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -18,8 +18,8 @@
 
 from .keys import DIGEST_BYTES
 from .protocol import (
-    FROM_CALLED,
-    FROM_CALLER,
+    FROM_ACCEPTOR,
+    FROM_DIALER,
     HANDSHAKE_TAG,
     HEARTBEAT_KIND,
     MAX_MESSAGE_BYTES,
@@ -51,15 +51,15 @@
     """The protocol of one connection, on either side.
 
     A link is `authenticated` once the peer's handshake is verified, and `established` once the peer has
-    proved that it is no replay: for the caller by that handshake, for the called side by a first message.
+    proved that it is no replay: for the dialer by that handshake, for the acceptor by a first message.
     """
 
     MAX_LENGTH = MAX_MESSAGE_BYTES + FRAME_OVERHEAD
     transport: Any
 
     def __init__(self, mesh: Mesh, peer: str | None) -> None:
-        """Create one side of a link; `peer` is the proxy that was called, None on the called side."""
-        self.mesh, self.peer, self.is_caller = mesh, peer or "", peer is not None
+        """Create one side of a link; `peer` is the proxy that was dialed, None at the acceptor."""
+        self.mesh, self.peer, self.is_dialer = mesh, peer or "", peer is not None
         self.incarnation = ""  # the peer's
         self.own_nonce, self.peer_nonce = secrets.token_bytes(NONCE_BYTES), b""
         self.key_id: str | None = None  # of the key that the peer signs with
@@ -80,7 +80,7 @@
         deadline = self.last_received_at + HANDSHAKE_TIMEOUT
         self.timer = self.mesh.deadlines.call_at(deadline, self.handshake_timeout)
         self.mesh.connected(self)
-        if self.is_caller:
+        if self.is_dialer:
             self._send_handshake()
 
     def _send_handshake(self) -> None:
@@ -95,7 +95,7 @@
             self.close(DropCode.NO_HANDSHAKE)
 
     def _handshake_received(self, signature: bytes, body: bytes) -> None:
-        challenge = self.own_nonce if self.is_caller else b""
+        challenge = self.own_nonce if self.is_dialer else b""
         self.key_id = self.mesh.keys.verify(signature, HANDSHAKE_TAG, challenge, body)
         if self.key_id is None:
             return self.mesh.reject(self, DropCode.BAD_KEY)
@@ -107,19 +107,19 @@
             return self.close(version_code(handshake.version))
         if not self._is_expected(handshake):
             return self.close(DropCode.WRONG_NAME)
-        if not self.is_caller and not self.mesh.address_matches(handshake.sender, self._peer_host()):
+        if not self.is_dialer and not self.mesh.address_matches(handshake.sender, self._peer_host()):
             return self.mesh.reject(self, DropCode.WRONG_ADDRESS)
         self.peer, self.incarnation = handshake.sender, handshake.incarnation
         self.peer_nonce = handshake.nonce
         self.authenticated = True
-        if not self.is_caller:
+        if not self.is_dialer:
             return self._send_handshake()
         self._establish()
         return self.send(HEARTBEAT_KIND, None)  # signed over both nonces: proves that we are no replay
 
     def _is_expected(self, handshake: Handshake) -> bool:
         """Return whether the peer is the one that was called, or means us."""
-        if self.is_caller:
+        if self.is_dialer:
             return handshake.sender == self.peer
         return handshake.recipient == self.mesh.name
 
@@ -153,14 +153,14 @@
     def _flush(self) -> None:
         while self.queue and not self.paused:
             message = self.queue.popleft()
-            signature = self.mesh.keys.sign(*self._binding(self.is_caller, self.sent), message)
+            signature = self.mesh.keys.sign(*self._binding(self.is_dialer, self.sent), message)
             self.sent += 1
             self.sendString(signature + message)
 
-    def _binding(self, from_caller: bool, number: int) -> tuple[bytes, ...]:
+    def _binding(self, from_dialer: bool, number: int) -> tuple[bytes, ...]:
         """Return what a signature covers before the message: this connection, its direction, its number."""
-        nonces = (self.own_nonce, self.peer_nonce) if self.is_caller else (self.peer_nonce, self.own_nonce)
-        direction = FROM_CALLER if from_caller else FROM_CALLED
+        nonces = (self.own_nonce, self.peer_nonce) if self.is_dialer else (self.peer_nonce, self.own_nonce)
+        direction = FROM_DIALER if from_dialer else FROM_ACCEPTOR
         return MESSAGE_TAG, *nonces, direction, number.to_bytes(8, "big")
 
     def pauseProducing(self) -> None:  # noqa: N802, D102
@@ -187,7 +187,7 @@
             self._handshake_received(signature, body)
 
     def _message_received(self, signature: bytes, body: bytes) -> None:
-        binding = self._binding(not self.is_caller, self.received)
+        binding = self._binding(not self.is_dialer, self.received)
         if self.mesh.keys.verify(signature, *binding, body) is None:
             return self.mesh.reject(self, DropCode.BAD_DIGEST)
         self.received += 1
--- a/ivystack/mesh/mesh.py
+++ b/ivystack/mesh/mesh.py
@@ -23,13 +23,14 @@
 Address = tuple[str, int]  # IP address and port
 Handler = Callable[[str, Any], Any]  # gets the sender's name and the message's body
 
-CONNECT_TIMEOUT = 2  # seconds
+CONNECT_TIMEOUT_SECONDS = 2
 MIN_BACKOFF, MAX_BACKOFF = 100_000, 3_000_000  # microseconds before a link is dialed again, up to half less
 MAX_BACKOFF_DOUBLINGS = 10
 LISTEN_RETRY_INTERVAL = 200_000  # microseconds before a listening address that is taken is tried again
 LISTEN_BACKLOG = 1024
-MIN_UNAUTHENTICATED = 32  # connections of callers that have not proved yet who they are; or that part of all:
-UNAUTHENTICATED_PART = 8
+# Unauthenticated connections always allowed; above that, one in UNAUTHENTICATED_DIVISOR of max_connections.
+MIN_UNAUTHENTICATED = 32
+UNAUTHENTICATED_DIVISOR = 8
 
 
 class AcceptFactory(ServerFactory):
@@ -152,7 +153,9 @@
         self.dialing.add(peer)
         source = (self.source_address, 0) if self.source_address else None
         factory = DialFactory(self, peer)
-        self.reactor.connectTCP(*self.members[peer], factory, timeout=CONNECT_TIMEOUT, bindAddress=source)
+        self.reactor.connectTCP(
+            *self.members[peer], factory, timeout=CONNECT_TIMEOUT_SECONDS, bindAddress=source
+        )
 
     def redial_later(self, peer: str) -> None:
         """Dial again after a randomized backoff: a peer was not reached, or its link has ended."""
@@ -164,11 +167,13 @@
     def connected(self, link: Link) -> None:
         """Note a new connection, before its handshake."""
         self.connections[link] = None
-        if link.is_caller:
+        if link.is_dialer:
             return
         # A stranger who only connects must not keep others out: the oldest such connection makes way.
         self.unauthenticated[link] = None
-        if len(self.unauthenticated) > max(MIN_UNAUTHENTICATED, self.max_connections // UNAUTHENTICATED_PART):
+        if len(self.unauthenticated) > max(
+            MIN_UNAUTHENTICATED, self.max_connections // UNAUTHENTICATED_DIVISOR
+        ):
             self.reject(next(iter(self.unauthenticated)), DropCode.NO_CAPACITY)
 
     def established(self, link: Link) -> None:
@@ -176,7 +181,7 @@
         self.unauthenticated.pop(link, None)
         links = self.peers.setdefault(link.peer, [])
         links.append(link)
-        if link.is_caller:
+        if link.is_dialer:
             self.dial_failures[link.peer] = 0
         if len(links) == 1:
             logger.info("mesh: link established peer={} key={}", link.peer, link.key_id)
@@ -190,7 +195,7 @@
             links.remove(link)
             if not links:
                 del self.peers[link.peer]
-        if link.is_caller:
+        if link.is_dialer:
             self.redial_later(link.peer)
 
     def address_matches(self, name: str, host: str) -> bool:
--- a/ivystack/mesh/protocol.py
+++ b/ivystack/mesh/protocol.py
@@ -21,7 +21,7 @@
 
 # What a signature covers first, by the kind of frame.
 HANDSHAKE_TAG, MESSAGE_TAG = b"hello", b"say"
-FROM_CALLER, FROM_CALLED = b">", b"<"
+FROM_DIALER, FROM_ACCEPTOR = b">", b"<"
 
 ProxyName = Annotated[str, Meta(pattern=NAME_PATTERN)]
 Incarnation = Annotated[str, Meta(pattern="^[0-9a-f]{16}$")]
--- a/ivystack/mesh/send_queue.py
+++ b/ivystack/mesh/send_queue.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-MAX_QUEUED_BYTES = 1 << 20
+MAX_QUEUED_BYTES = 1 << 20  # what one slow peer may cost in memory
 
 
 class SendQueue:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -16,7 +16,7 @@
 from ivystack.duties.health_check_duty import MAX_POSTPONEMENT, HealthCheckDuty
 from ivystack.duties.lease_client import LeaseClient
 from ivystack.duties.lease_table import LeaseTable
-from ivystack.duties.protocol import HealthCheckResults, LeaseNews, LeaseSummary, MessageKind
+from ivystack.duties.protocol import HealthCheckResults, LeaseAnnouncement, LeaseSummary, MessageKind
 from ivystack.duties.slot_order_duty import OrderFault, SlotOrder
 from ivystack.mesh.protocol import encode
 from ivystack.rig.check import overlapping
@@ -164,10 +164,10 @@
 
 
 @pytest.mark.parametrize("module, before, after", [
-    (lease_holder, "self.lease = int(lease * (1 - drift))", "self.lease = int(lease * 1.3)"),
-    (lease_holder, "lease.token, lease.expires_at = token, requested_at + self.lease",
+    (lease_holder, "self.duration = int(lease * (1 - drift))", "self.duration = int(lease * 1.3)"),
+    (lease_holder, "lease.token, lease.expires_at = token, requested_at + self.duration",
      "lease.token, lease.expires_at = token, 1 << 60"),
-    (lease_expiry, "self.lease = int(lease * (1 + drift))", "self.lease = int(lease * 0.8)"),
+    (lease_expiry, "self.duration = int(lease * (1 + drift))", "self.duration = int(lease * 0.8)"),
     (lease_expiry, "            if token != record.token:", "            if False:"),
 ])  # fmt: skip
 def test_a_fault_in_the_computation_of_lease_times_is_found(module, before, after):
@@ -268,7 +268,7 @@
         ("duty", "value", ["slot-order"]),
         ("duty", "free", ["slot-order", 1]),
     ]
-    news = LeaseNews(5, 9, {"slot-order": LeaseSummary("a/1", 1, 0)})
+    news = LeaseAnnouncement(5, 9, {"slot-order": LeaseSummary("a/1", 1, 0)})
     assert encode((MessageKind.LEASE_NEWS, news)) == encode(["duty", [5, 9, {"slot-order": ["a/1", 1, 0]}]])
     results = HealthCheckResults(1, {"n0": False})
     assert encode((MessageKind.HEALTH_CHECK_RESULTS, results)) == encode(["looked", [1, {"n0": False}]])
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -15,7 +15,7 @@
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.duties.lease_table import MAX_VALUE_BYTES, LeaseTable
 from ivystack.duties.protocol import KNOWN_DUTIES
-from ivystack.duties.slot_order_duty import MARK_BYTES, OrderFault, SlotOrder
+from ivystack.duties.slot_order_duty import SERVER_HASH_BYTES, OrderFault, SlotOrder
 from ivystack.fleet.config import FleetConfig
 from ivystack.mesh.protocol import MAX_MESSAGE_BYTES
 from ivystack.model import FailureState, Server
@@ -59,7 +59,7 @@
     taker.listed([{**one, "instanceId": node.name} for one, node in named], True)
     assert SlotOrder(taker).adopt(agreed) is None
     assert SlotOrder(taker).adopt(agreed + 2 * server_hash(pair[0])) == OrderFault.MALFORMED
-    assert len(agreed) == 32 * MARK_BYTES
+    assert len(agreed) == 32 * SERVER_HASH_BYTES
 
 
 def test_a_thousand_nodes_listed_are_all_homes_and_a_hand_over_tells_of_all():
