--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from .pending_requests import Requester
+from .state_machine import ANSWERS_PER_SESSION
 from .wire import MessageKind, Reply, Request, RequestKind
 
 if TYPE_CHECKING:
@@ -21,8 +22,8 @@
     from ..net.deadlines import Deadline, DeadlineQueue
     from .replica import Replica
 
-MAX_PENDING = 64
-COMMAND_WINDOW = 4  # commands from the oldest pending one on: the answers that the group keeps of each client
+MAX_PENDING = 64  # requests: half of what a replica takes from one proxy
+COMMAND_WINDOW = ANSWERS_PER_SESSION  # commands from the oldest pending one on
 REPLY_TIMEOUT = 1_000_000  # microseconds for one member to reply before another is asked
 RETRY_DELAY = 50_000  # microseconds before another member is asked who leads, up to twice that at random
 REDIRECT_DELAY = RETRY_DELAY // 10  # where a member has named the leader
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -27,8 +27,8 @@
 
 MAX_UNCOMMITTED_ENTRIES = 8192  # bounds the memory of a leader that is cut off
 RETAINED_ENTRIES = 128  # before a snapshot, for followers that are a little behind
-TRANSFER_TIMEOUT = 2  # election timeouts until a leadership transfer counts as failed
-QUORUM_TIMEOUT = 2  # election timeouts without a majority until a leader steps down
+TRANSFER_ELECTION_TIMEOUTS = 2  # until a leadership transfer counts as failed
+QUORUM_ELECTION_TIMEOUTS = 2  # without a majority until a leader steps down
 
 
 class Core(Election):
@@ -49,7 +49,7 @@
 
     def _heartbeat(self, now: int) -> None:
         self.wake_at = now + self.heartbeat_interval
-        timeout = QUORUM_TIMEOUT * self.election_timeout
+        timeout = QUORUM_ELECTION_TIMEOUTS * self.election_timeout
         reachable = {
             follower for follower, progress in self.progress.items() if now - progress.last_reply_at < timeout
         }
@@ -118,18 +118,18 @@
         self.update_progress(now)
         return True
 
-    def read(self, token: int) -> bool:
+    def read(self, read_id: int) -> bool:
         """Begin a linearizable read (6.4); whether this replica leads.
 
-        The token comes back in ``Ready.confirmed_reads`` or in ``Ready.failed_reads``.
+        The id comes back in ``Ready.confirmed_reads`` or in ``Ready.failed_reads``.
         """
         if self.role != Role.LEADER:
             return False
         if self.log.term_at(self.commit_index) != self.term:
-            self.reads.defer(token)
+            self.reads.defer(read_id)
         else:
             self.round += 1
-            self.reads.add(self.round, token)
+            self.reads.add(self.round, read_id)
             self.replicate_now = True
         return True
 
@@ -144,7 +144,7 @@
         target = max(candidates, key=lambda voter: self.progress[voter].match_index)
         if self.progress[target].match_index < self.log.last_index:
             return False
-        self.transfer_deadline = now + TRANSFER_TIMEOUT * self.election_timeout
+        self.transfer_deadline = now + TRANSFER_ELECTION_TIMEOUTS * self.election_timeout
         self.writes.send(target, TimeoutNow(self.term))
         return True
 
--- a/ivystack/consensus/election.py
+++ b/ivystack/consensus/election.py
@@ -38,7 +38,10 @@
         self.count_votes(now)
 
     def count_votes(self, now: int) -> None:
-        """Go on where a majority has granted its votes; our own counts once it is durable."""
+        """Start the real election, or take leadership, once a majority has voted for us.
+
+        Our own vote counts once it is durable.
+        """
         if not self.has_majority(self.votes):
             return
         if self.pre_voting:
--- a/ivystack/consensus/membership_manager.py
+++ b/ivystack/consensus/membership_manager.py
@@ -8,6 +8,7 @@
 import msgspec
 from loguru import logger
 
+from ..mesh.protocol import DropCode
 from .core import Core
 from .membership import next_configuration, proxy_name
 from .messages import Configuration, InstallSnapshot, Snapshot
@@ -16,8 +17,8 @@
 if TYPE_CHECKING:
     from .replica import Replica
 
-ANNOUNCE_INTERVAL = 500_000  # microseconds
-ANNOUNCEMENT_TTL = 4 * ANNOUNCE_INTERVAL
+ANNOUNCE_INTERVAL = 500_000  # microseconds between the announcements of a replica that is no member
+ANNOUNCEMENT_TTL = 4 * ANNOUNCE_INTERVAL  # some may be lost before the announcer counts as gone
 
 
 @dataclass(frozen=True)
@@ -67,16 +68,16 @@
 
     def is_member_name(self, name: str) -> bool:
         """Whether a proxy may speak as a member: others may hold a valid key as well."""
-        if name not in self.replica.wanted:
-            self.env.mesh.count_drop("no-member", name)
-        return name in self.replica.wanted
+        if name not in self.replica.configured_members:
+            self.env.mesh.count_drop(DropCode.NOT_A_MEMBER, name)
+        return name in self.replica.configured_members
 
     def _announce(self, core: Core) -> None:
         replica = self.replica
         if replica.id in core.configuration.all_members() and core.leader:
             return
         body = Announcement(replica.id, bool(core.configuration.voters))
-        for name in replica.wanted:
+        for name in replica.configured_members:
             if name != replica.name:
                 self.env.mesh.send(name, MessageKind.ANNOUNCEMENT, body)
 
@@ -86,8 +87,8 @@
         Otherwise a replica whose disk was lost would begin a second group.
         """
         replica = self.replica
-        others = [name for name in replica.wanted if name != replica.name]
-        if replica.wanted[0] != replica.name or replica.core is None:
+        others = [name for name in replica.configured_members if name != replica.name]
+        if replica.configured_members[0] != replica.name or replica.core is None:
             return
         if any(name not in recent or recent[name].has_state for name in others):
             return
@@ -105,7 +106,7 @@
         core = replica.core
         if core is None:
             return
-        step = next_configuration(core, replica.wanted, announced, now)
+        step = next_configuration(core, replica.configured_members, announced, now)
         if step is not None and core.change_membership(step, now):
             logger.info(
                 "group: membership change proposed voters={} learners={}",
--- a/ivystack/consensus/pending_requests.py
+++ b/ivystack/consensus/pending_requests.py
@@ -38,7 +38,7 @@
 
 
 class PendingRequests:
-    """Commands by log index, queries by token, and how many each proxy has."""
+    """Commands by log index, queries by read id, and how many each proxy has."""
 
     def __init__(self) -> None:
         self.commands: dict[int, PendingCommand] = {}
@@ -57,9 +57,9 @@
         self.commands[index] = command
         self._count(command.requester)
 
-    def add_query(self, token: int, query: PendingQuery) -> None:
-        """Keep a query until its token is confirmed or has failed."""
-        self.queries[token] = query
+    def add_query(self, read_id: int, query: PendingQuery) -> None:
+        """Keep a query until its read is confirmed or has failed."""
+        self.queries[read_id] = query
         self._count(query.requester)
 
     def pop_command(self, index: int) -> PendingCommand | None:
@@ -69,9 +69,9 @@
             self._discount(command.requester)
         return command
 
-    def pop_query(self, token: int) -> PendingQuery:
+    def pop_query(self, read_id: int) -> PendingQuery:
         """Remove and return a query."""
-        query = self.queries.pop(token)
+        query = self.queries.pop(read_id)
         self._discount(query.requester)
         return query
 
@@ -79,8 +79,8 @@
         """Remove all requests, but for queries that are ``confirmed`` and will be answered yet."""
         released = [ReleasedRequest(command.requester, command.number) for command in self.commands.values()]
         self.commands, self.counts = {}, {}
-        for token in [token for token in self.queries if token not in confirmed]:
-            query = self.queries.pop(token)
+        for read_id in [read_id for read_id in self.queries if read_id not in confirmed]:
+            query = self.queries.pop(read_id)
             released.append(ReleasedRequest(query.requester, query.number))
         return released
 
--- a/ivystack/consensus/records.py
+++ b/ivystack/consensus/records.py
@@ -54,8 +54,8 @@
     messages: list[tuple[str, Message]] = field(default_factory=list)  # by receiver's id
     restore: Snapshot | None = None
     committed: list[tuple[int, Entry]] = field(default_factory=list)  # by index
-    confirmed_reads: list[int] = field(default_factory=list)  # tokens
-    failed_reads: list[int] = field(default_factory=list)  # tokens
+    confirmed_reads: list[int] = field(default_factory=list)  # read ids
+    failed_reads: list[int] = field(default_factory=list)  # read ids
     withdrawn: bool = False
 
     def is_empty(self) -> bool:
--- a/ivystack/consensus/replica.py
+++ b/ivystack/consensus/replica.py
@@ -1,7 +1,7 @@
-"""A replica of the consensus group in a proxy: carries messages, disk and time between core and process.
+"""A member of the consensus group in a proxy: carries messages, disk and time between core and process.
 
-Storage is read and written on other threads. No command is answered before its entry is applied. A replica
-whose disk or own steps have failed withdraws for the rest of the process.
+A replica here is no copy of a key. Storage is used on other threads. No command is answered before its entry
+is applied. A replica whose disk or own steps have failed withdraws for the rest of the process.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 import msgspec
 from loguru import logger
 
+from ..mesh.protocol import DropCode
 from ..net.deadlines import Deadline
 from .core import Core
 from .environment import Environment, Timing
@@ -28,7 +29,7 @@
 from .wire import Envelope, MessageKind, Reply, Request, RequestKind
 
 REOPEN_DELAY = 1_000_000  # microseconds until a directory that can't be used is tried again
-SNAPSHOT_INTERVAL = 1024  # applied entries
+SNAPSHOT_INTERVAL = 1024  # applied entries: bounds what a restart replays
 MAX_COMMAND_BYTES = 32_768  # entries have to fit a message together, or no follower would ever get them
 MAX_PENDING_PER_PROXY = 128  # requests; a proxy's own client sends half of it
 APPLY_BATCH = 64  # entries in one turn of the reactor: well under a millisecond with their answers
@@ -47,7 +48,7 @@
 class ConfirmedRead:
     """A query that may be answered once all entries before it in the backlog are applied."""
 
-    token: int
+    read_id: int
 
 
 class Replica:
@@ -57,14 +58,14 @@
         self,
         env: Environment,
         name: str,
-        wanted: list[str],
+        configured_members: list[str],
         directory: Path,
         state_machine: StateMachine,
         timing: Timing,
     ) -> None:
-        """Prepare the replica of proxy ``name``; ``wanted`` are the members' names in the file's order."""
+        """Prepare the replica of proxy ``name``; ``configured_members`` are the names in the file's order."""
         self.env, self.mesh, self.timing = env, env.mesh, timing
-        self.name, self.wanted, self.directory = name, wanted, directory
+        self.name, self.configured_members, self.directory = name, configured_members, directory
         self.state_machine = state_machine
         self.storage: Storage | None = None
         self.core: Core | None = None
@@ -73,7 +74,7 @@
         self.fault: FaultCode | None = None  # why there is no core
         self.stopped = False
         self.pending = PendingRequests()
-        self.request_count = 0  # of tokens, and of our own commands
+        self.request_count = 0  # of read ids, and of our own commands
         self.backlog: list[CommittedEntry | ConfirmedRead] = []
         self.applied_index = 0
         self.applied_since_snapshot = 0
@@ -168,7 +169,7 @@
             snapshot=stored.snapshot,
             entries=stored.entries,
         )
-        self._guarded(self._restore, stored.snapshot)
+        self._run_or_withdraw(self._restore, stored.snapshot)
         self.process_ready()
 
     def _write_failed(self, reason: str) -> None:
@@ -191,13 +192,13 @@
     def process_ready(self) -> None:
         """Carry out what the core wants done, and wake it when it is due."""
         if self.core is not None:
-            self._guarded(self._process_all_ready)
+            self._run_or_withdraw(self._drain_ready)
         if self.core is not None:
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
             self._tick_timer = self.env.deadlines.call_at(self.core.wake_at, self._tick)
 
-    def _guarded(self, call: Callable, *args: Any) -> None:
+    def _run_or_withdraw(self, call: Callable, *args: Any) -> None:
         """Withdraw if a step fails: a replica may not go on with half of one."""
         try:
             call(*args)
@@ -212,19 +213,19 @@
             self.core.tick(self.env.now())
             self.process_ready()
 
-    def _process_all_ready(self) -> None:
+    def _drain_ready(self) -> None:
         while self.core is not None:
             ready = self.core.take_ready(self.env.now())
             if ready.withdrawn:
                 reason = "the group has had more entries from us than our disk holds"
                 return self._withdraw(FaultCode.STALE, reason)
-            self._process(ready)
+            self._carry_out(ready)
             if ready.is_empty():
                 break
         self._apply_some()
         self._observe_leadership()
 
-    def _process(self, ready: Ready) -> None:
+    def _carry_out(self, ready: Ready) -> None:
         if ready.restore is not None:
             self.backlog = []
             self._restore(ready.restore)
@@ -234,10 +235,10 @@
             envelope = Envelope(self.id, receiver, message)
             self.mesh.send(proxy_name(receiver), MessageKind.RAFT, envelope)
         self.backlog += [CommittedEntry(index, entry) for index, entry in ready.committed]
-        for token in ready.failed_reads:
-            query = self.pending.pop_query(token)
+        for read_id in ready.failed_reads:
+            query = self.pending.pop_query(read_id)
             self._reject(query.requester, query.number)
-        self.backlog += [ConfirmedRead(token) for token in ready.confirmed_reads]
+        self.backlog += [ConfirmedRead(read_id) for read_id in ready.confirmed_reads]
 
     def _written(self, number: int) -> None:
         if self.core is not None:
@@ -251,7 +252,7 @@
         batch, self.backlog = self.backlog[:APPLY_BATCH], self.backlog[APPLY_BATCH:]
         for item in batch:
             if isinstance(item, ConfirmedRead):
-                self._answer_query(item.token)
+                self._answer_query(item.read_id)
             else:
                 self._apply(item.index, item.entry)
         entries_left = any(isinstance(item, CommittedEntry) for item in self.backlog)
@@ -263,7 +264,7 @@
             self.env.reactor.callLater(0, self._apply_more)
 
     def _apply_more(self) -> None:
-        self._guarded(self._apply_some)
+        self._run_or_withdraw(self._apply_some)
         self.process_ready()
 
     def _apply(self, index: int, entry: Entry) -> None:
@@ -276,8 +277,8 @@
             self._reject(command.requester, command.number)
         self.applied_since_snapshot += 1
 
-    def _answer_query(self, token: int) -> None:
-        query = self.pending.pop_query(token)
+    def _answer_query(self, read_id: int) -> None:
+        query = self.pending.pop_query(read_id)
         part, name, args = query.fields
         try:
             answer = self.state_machine.query(part, name, args)
@@ -314,7 +315,7 @@
         envelope = msgspec.convert(body, Envelope)
         addressed = proxy_name(envelope.sender) == sender and envelope.receiver == self.id
         if addressed and self.core is not None:
-            self._guarded(self.core.receive, self.env.now(), envelope.sender, envelope.message)
+            self._run_or_withdraw(self.core.receive, self.env.now(), envelope.sender, envelope.message)
             self.process_ready()
 
     def receive_request(self, sender: str, body: Any, own: bool = False) -> None:
@@ -324,7 +325,7 @@
         if self.core is None or self.core.role != Role.LEADER:
             return self._reject(requester, request.number)
         if not self._allowed(request, requester):
-            self.mesh.count_drop("not-allowed", sender)
+            self.mesh.count_drop(DropCode.NOT_ALLOWED, sender)
             return self.deliver_reply(requester, Reply(request.number, True, None))
         if self.pending.count_of(sender) >= MAX_PENDING_PER_PROXY:
             return self._reject(requester, request.number)
@@ -332,8 +333,7 @@
             proposal = self.core.propose(encode(request.fields))
             if proposal is None:
                 return self._reject(requester, request.number)
-            command = PendingCommand(proposal.term, requester, request.number)
-            self.pending.add_command(proposal.index, command)
+            self.pending.add_command(proposal.index, PendingCommand(proposal.term, requester, request.number))
         else:
             self.request_count += 1
             query = PendingQuery(requester, request.number, request.fields)
@@ -370,7 +370,7 @@
 
     def _release_requests(self) -> None:
         """Reject all pending requests: their proxies retry elsewhere, and commands are executed once."""
-        confirmed = {item.token for item in self.backlog if isinstance(item, ConfirmedRead)}
+        confirmed = {item.read_id for item in self.backlog if isinstance(item, ConfirmedRead)}
         for request in self.pending.release(confirmed):
             self._reject(request.requester, request.number)
 
--- a/ivystack/consensus/replica_state.py
+++ b/ivystack/consensus/replica_state.py
@@ -15,7 +15,7 @@
 from .records import Progress, Role
 from .write_tracker import WriteTracker
 
-MAX_ENTRIES_PER_MESSAGE = 256
+MAX_ENTRIES_PER_MESSAGE = 256  # bounds what one message costs its sender and receiver
 
 
 class ReplicaState:
--- a/ivystack/consensus/simulated_replica.py
+++ b/ivystack/consensus/simulated_replica.py
@@ -151,8 +151,8 @@
                 self._restore(ready.restore)
             for index, entry in ready.committed:
                 self._apply(self.core, index, entry)
-            for token in ready.confirmed_reads:
-                self.simulation.check_read(self, token)
+            for read_id in ready.confirmed_reads:
+                self.simulation.check_read(self, read_id)
             for receiver, message in ready.messages:
                 self.simulation.send(self, receiver, message)
             if ready.batch is not None:
--- a/ivystack/consensus/simulation.py
+++ b/ivystack/consensus/simulation.py
@@ -80,7 +80,7 @@
         self.leaders: dict[int, str] = {}  # by term
         self.applied_log: dict[int, AppliedEntry] = {}  # by index
         self.acknowledged: dict[bytes, int] = {}  # index by command
-        self.read_floors: dict[int, int] = {}  # by token: the greatest index acknowledged before the read
+        self.read_floors: dict[int, int] = {}  # by read id: the greatest index acknowledged before the read
         self.proposal_count = self.read_count = self.completed_reads = 0
         self._bootstrap()
 
@@ -169,10 +169,10 @@
         if known.state_digest != applied.state_digest:
             raise PropertyViolationError(f"{replica.name}'s state after {index} differs from another's")
 
-    def check_read(self, replica: SimulatedReplica, token: int) -> None:
+    def check_read(self, replica: SimulatedReplica, read_id: int) -> None:
         """A read shows all that was acknowledged before it began."""
         self.completed_reads += 1
-        floor = self.read_floors[token]
+        floor = self.read_floors[read_id]
         if replica.applied_index < floor:
             text = f"a read at {replica.name} shows {replica.applied_index}, {floor} was acknowledged"
             raise PropertyViolationError(text)
--- a/ivystack/consensus/state_machine.py
+++ b/ivystack/consensus/state_machine.py
@@ -16,7 +16,7 @@
 
 SNAPSHOT_VERSION = 1
 MAX_SESSIONS = 2048  # clients whose answers are kept: a thousand proxies, old and new process of each
-ANSWERS_PER_SESSION = 4
+ANSWERS_PER_SESSION = 4  # kept for retries, and so the commands that a client may have in flight
 MAX_STATE_BYTES = 131_072  # of all parts: a snapshot has to fit a message between proxies
 MAX_CLIENT_ID_LENGTH = 160
 
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -84,6 +84,6 @@
         return record is not None and record.holder == process
 
     def read_answered(self, part: str, name: str, args: list, answer: Any) -> None:
-        """Count a renewal as word from the holder; a majority has confirmed that this process leads."""
+        """Count a renewal as a sign of life of the holder; a majority has confirmed that we lead."""
         if part == LEASE_PART and name == LeaseRead.RENEW and answer is True:
             self.expiry.renewed(args[0], args[1], self.now())
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -102,7 +102,7 @@
         self.mesh.max_connections = config.max_links  # the proxy's own limits follow at its next start
         self.mesh.set_members(config.members)
         if self.member is not None:
-            self.member.wanted = [*config.members]
+            self.member.configured_members = [*config.members]
         elif config.name in config.members:
             self._create_member().start()
         keys, members = " ".join(config.keys.keys), " ".join(config.members)
