--- a/ivystack/duties/protocol.py
+++ b/ivystack/duties/protocol.py
@@ -18,7 +18,7 @@
     """A duty, by its name on the wire, in logs and in the operators' JSON."""
 
     SLOT_ORDER = "slot-order"
-    LIST_WATCH = "list-watch"  # reserved: stored state has a lease of this name
+    LIST_WATCH = "list-watch"  # reserved: stored state may hold a lease of this name
     HEALTH_CHECKS = "node-trials"
 
 
