--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -104,7 +104,7 @@
 
     try:
         given = [float(worth) for worth in worths.split(",")]
-        loads = [replace(one, criticality=worth) for one, worth in zip(MIX, given, strict=True)]
+        loads = [replace(one, priority_weight=worth) for one, worth in zip(MIX, given, strict=True)]
     except ValueError:
         click.echo(f"--worths: wanted {len(MIX)} numbers, got {worths!r}", err=True)
         sys.exit(2)
