--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -113,10 +113,10 @@
                     f"does {alone:.0f} a second ({1000 * each / alone:.2f} ms a sync)"
                 )
         finally:
-            reactor.stop()
+            reactor.stop()  # type: ignore[misc]  # zope interfaces declare methods without self
 
     reactor.callWhenRunning(lambda: defer.ensureDeferred(run()).addErrback(lambda f: f.printTraceback()))
-    reactor.run()
+    reactor.run()  # type: ignore[misc]  # zope interfaces declare methods without self
 
 
 if __name__ == "__main__":
--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -7,6 +7,7 @@
 
 from collections import Counter
 from pathlib import Path
+from typing import Any
 
 from ..load.clients import in_time
 from .check import Breach
@@ -116,7 +117,7 @@
         top.plot([second(frm), second(to)], [at[proxy] + lift] * 2, color=shade, linewidth=3)
     for breach in record.breaches:
         below.axvline(second(breach.at), color="red", linewidth=0.8)
-    handles = [pyplot.Rectangle((0, 0), 1, 1, color=colours[kind], alpha=0.6) for kind in kinds]
+    handles: list[Any] = [pyplot.Rectangle((0, 0), 1, 1, color=colours[kind], alpha=0.6) for kind in kinds]
     shades = ["black", "dimgray", "darkgreen", "navy"]
     handles += [pyplot.Line2D([], [], color=shades[i % 4], linewidth=3) for i in range(len(duties))]
     if handles:
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -213,8 +213,8 @@
 def for_nobody(tries: list[Try], ledger: Ledger, terms: Terms) -> list[Breach]:
     """A req whose client has left while it waited is not sent on; counted against all that waited."""
     taken, waited, sent = defaultdict(list), 0, []
-    for one in ledger.taken:
-        taken[one.proxy, one.ident].append(one.at)
+    for went in ledger.taken:
+        taken[went.proxy, went.ident].append(went.at)
     for one in tries:
         at = taken[one.proxy, one.ident]
         if one.left is None or (at and min(at) <= one.left):
@@ -232,8 +232,8 @@
 def begun_for_nobody(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
     """No attempt begins once the client has gone, but for what crosses its end; the third is a breach."""
     taken, late = defaultdict(list), []
-    for one in ledger.taken:
-        taken[one.proxy, one.ident].append(one)
+    for went in ledger.taken:
+        taken[went.proxy, went.ident].append(went)
     for one in tries:
         for went in taken[one.proxy, one.ident] if one.left is not None else ():
             if went.at > one.left + BEGUN + terms.late and not held_up(excuses, went, one.left):
@@ -251,8 +251,8 @@
 ) -> list[Breach]:
     """No attempt reaches a node once the proxy has ended its request: with an answer, or its connection."""
     taken, found = defaultdict(list), []
-    for one in ledger.taken:
-        taken[one.proxy, one.ident].append(one)
+    for went in ledger.taken:
+        taken[went.proxy, went.ident].append(went)
     for one in tries:
         ended = one.answers[0][0] if one.answers else one.ended
         for went in taken[one.proxy, one.ident] if ended is not None else ():
--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -215,10 +215,10 @@
             click.echo(f"the rig could not play: {fault}", err=True)
             code = 2
         finally:
-            reactor.stop()
+            reactor.stop()  # type: ignore[misc]  # zope interfaces declare methods without self
 
     reactor.callWhenRunning(lambda: defer.ensureDeferred(every()).addErrback(lambda f: f.printTraceback()))
-    reactor.run()
+    reactor.run()  # type: ignore[misc]  # zope interfaces declare methods without self
     if troubles:  # the rig's own: no verdict can be trusted
         click.echo(f"the rig failed {len(troubles)} times, first:\n{troubles[0]}", err=True)
         return 2
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import Any
 
 from ..load.clients import Class
 from ..standin.ledger import Ledger
@@ -62,4 +63,4 @@
     breaches: list[Breach] = field(default_factory=list)
     agreed: list = field(default_factory=list)  # (key, operation) on the agreed state
     fleet: dict[str, dict] = field(default_factory=dict)  # what each proxy told of it at the end
-    times: object = None  # the histogram of what was served
+    times: Any = None  # the histogram of what was served
--- a/ivystack/rig/relay.py
+++ b/ivystack/rig/relay.py
@@ -8,6 +8,7 @@
 
 import os
 from random import Random
+from typing import Any
 
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Protocol, ServerFactory
@@ -18,6 +19,8 @@
 class Side(Protocol):
     """One side of a connection through a relay."""
 
+    transport: Any  # a TCP transport: Twisted declares only the interface that all transports share
+
     def __init__(self, pair: Pair):
         self.pair = pair
         self.stream: Stream | None = None  # what comes in here, on its way to the other side
@@ -138,7 +141,7 @@
 
     def __init__(self, hub: Hub, caller: str | None, called: str, address: tuple[str, int], host: str):
         self.hub, self.caller, self.called, self.address = hub, caller, called, address
-        self.port = None
+        self.port: Any = None  # a listening port: Twisted's reactor is untyped here
         self.place = (host, 0)
         self.open()
 
@@ -178,6 +181,7 @@
     """Where datagrams to one proxy go; what it sends to others comes in at theirs."""
 
     noisy = False
+    transport: Any  # a UDP port: the interface that Twisted declares lacks `write` with an address
 
     def __init__(self, hub: Hub, called: str, address: tuple[str, int]):
         self.hub, self.called, self.address = hub, called, address
--- a/ivystack/rig/scenario.py
+++ b/ivystack/rig/scenario.py
@@ -151,8 +151,8 @@
 def checked(values: Any, name: str) -> Scenario:
     try:
         made = msgspec.convert(values, Scenario)
-    except msgspec.ValidationError as fault:
-        text = str(fault).replace("$", "scenario")
+    except msgspec.ValidationError as error:
+        text = str(error).replace("$", "scenario")
         raise ScenarioError(f"{name}: {text}") from None
     made.name = made.name or name
     proxies, nodes = names(made)
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -16,7 +16,7 @@
 import heapq
 from bisect import bisect
 from collections import Counter, OrderedDict, deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from itertools import accumulate
 from random import Random
@@ -409,12 +409,12 @@
             news = [n for n in self.list() if n.name in names]
             self.at(self.now + self.rng.randrange(200_000), self.hears_list, proxy, news)
 
-    def hears_list(self, proxy: Proxy, news: list[Server]) -> None:
+    def hears_list(self, proxy: Proxy, news: Sequence[Server]) -> None:
         if not proxy.dead:
             proxy.balancer.update_endpoints(news, False, self.now)
             self.settle(proxy)
 
-    def replace(self, names: list[str]) -> None:
+    def replace(self, names: Sequence[str]) -> None:
         """New nodes in the place of these, which leave at once: cold, and with other names."""
         fresh = []
         for name in names:
@@ -426,11 +426,11 @@
             fresh.append(new)
         self.tell(*names, *fresh)
 
-    def hang(self, names: list[str], on: bool = True) -> None:
+    def hang(self, names: Sequence[str], on: bool = True) -> None:
         for name in names:
             self.servers[name].hung = on
 
-    def kill(self, numbers: list[int], back: int) -> None:
+    def kill(self, numbers: Sequence[int], back: int) -> None:
         """Proxies die with what they hold, and come back knowing nothing but the list."""
         for number in numbers:
             self.proxies[number].dead = True
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -35,7 +35,7 @@
     return found
 
 
-def stops(record: Record) -> list[tuple[str, int, int]]:
+def stops(record: Record) -> list[tuple[str, int, int | None]]:
     """Which processes did not run when, or not always."""
     words = "stop", "slow", "kill"
     return [(mark.who, mark.frm, mark.to) for mark in record.marks if mark.word.startswith(words)]
--- a/ivystack/standin/apart.py
+++ b/ivystack/standin/apart.py
@@ -25,7 +25,8 @@
     from twisted.internet import reactor
 
     if not running:
-        running.append(threading.Thread(target=reactor.run, args=(False,), daemon=True))
+        run = reactor.run  # type: ignore[misc]  # Twisted's interface declares methods without self
+        running.append(threading.Thread(target=run, args=(False,), daemon=True))
         running[0].start()
     return blockingCallFromThread(reactor, call, *values, **named)
 
@@ -45,7 +46,7 @@
         )
         in_reactor(self.real.listen)
         self.ids = self.real.ids
-        self.address = "{}:{}".format(*self.real.address)
+        self.address = "{}:{}".format(*self.real.address)  # type: ignore[misc]  # set by listen()
 
 
 class Discovery:
@@ -60,7 +61,7 @@
         in_reactor(self.real.change, SERVING, *(node.real for node in nodes))
         self.known = self.real.listing("", 0)
         in_reactor(self.real.listen)
-        self.address = "{}:{}".format(*self.real.address)
+        self.address = "{}:{}".format(*self.real.address)  # type: ignore[misc]  # set by listen()
 
 
 class Client(threading.Thread):
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import orjson
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
@@ -46,7 +48,7 @@
         self.gone: dict[str, tuple] = {}
         self.watches: dict = {}  # request to [caller, version told]
         self.refuses = self.silent = False  # callers get 503; nothing is told to anybody
-        self.port = None
+        self.port: Any = None  # a listening port: the reactor is untyped here
         self.address: tuple[str, int] | None = None
 
     def listen(self, host="127.0.0.1") -> None:
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -9,6 +9,7 @@
 import re
 from collections import OrderedDict, deque
 from random import Random
+from typing import Any
 
 from twisted.internet.protocol import ServerFactory
 
@@ -108,7 +109,7 @@
         self.waiting: deque[Command] = deque()
         self.life = 0  # what was begun in an earlier one ends in nothing
         self.started = 0  # long ago
-        self.port = None
+        self.port: Any = None  # a listening port: the reactor is untyped here
         self.address: tuple[str, int] | None = None
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
