--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -8,6 +8,7 @@
 import errno
 import os
 import socket
+from typing import Any
 
 import pytest
 from helpers import client, get, hit, link, proxy, told
@@ -34,7 +35,7 @@
         self.proxy, self.client_server = self.moment.proxy, self.moment.proxy.client_server
         self.asking = self.moment.client()
         self.asking.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no piece waits
-        self.to_node = None
+        self.to_node: Any = None
         self.moment.until(lambda: self.client_server.connections)
         (self.ours,) = self.moment.turn(lambda: [*self.client_server.connections.values()])
         if answered:
@@ -381,7 +382,7 @@
         "buildProtocol",
         lambda addr: _raise(failures.pop()) if failures else build(addr),
     )
-    true_start, refused = ClientTransport.__mro__[1].startReading, [3]
+    true_start, refused = ClientTransport.__mro__[1].startReading, [3]  # type: ignore[attr-defined]
 
     def start_reading(self):
         if refused[0] and isinstance(self, ClientTransport):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,7 +1,7 @@
 """Each command of the command line and each benchmark runs at a small size without a programming error.
 
-A rename once left one use behind: `rig swarm` passed a keyword that its class no longer had, and no test called
-that command.
+A rename once left one use behind: `rig swarm` passed a keyword that its class no longer had, and no test
+called that command.
 """
 
 import subprocess
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -127,7 +127,8 @@
     def run(self):
         while True:
             one = self.door.accept()[0]
-            threading.Thread(target=self.serve, args=(one,), daemon=True).start()
+            serve = self.serve  # type: ignore[attr-defined]  # each stand-in defines it
+            threading.Thread(target=serve, args=(one,), daemon=True).start()
 
 
 class CacheNode(StandIn):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize("path", OTHERS)
 def test_settings_taken_at_sighup_are_those_of_a_start_with_them(path):
     # Guards against another customer's settings showing: nothing of the former ones may stay.
-    for value in OTHERS[path]:
+    for value in OTHERS[path]:  # type: ignore[attr-defined]  # lists of mixed types
         values = deepcopy(FULL)
         *way, last = path.split(".")
         inner = values
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -113,7 +113,8 @@
             who, row = f"proxy-{number:04}/{0xFFFFFF - number:x}", [f"k{number}", b"v" * 24, None]
             ask = [who, 1000 + turn, "table", "set", row]
             machine.apply(msgspec.msgpack.encode(ask))
-    assert len(machine.answers) == MAX_SESSIONS and len(machine.parts["table"].rows) == KeyValueTable.MAX_KEYS
+    rows = machine.parts["table"].rows  # type: ignore[attr-defined]  # the type of `parts` has no rows
+    assert len(machine.answers) == MAX_SESSIONS and len(rows) == KeyValueTable.MAX_KEYS
     assert len(machine.dump()) + len(KNOWN_DUTIES) * MAX_VALUE_BYTES < MAX_MESSAGE_BYTES
 
 
