--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, "tests")
 
-from helpers import entries, proxy, told  # noqa: E402
+from helpers import entries, proxy, make_process_configuration  # noqa: E402
 
 from ivystack.model import Outcome, Request
 from ivystack.balancing.gossip_codec import (  # noqa: E402
@@ -39,7 +39,7 @@
 def main() -> None:
     rng = Random(1)
     for count in (64, 256, 1024):
-        run = told(peers=True)
+        run = make_process_configuration(peers=True)
         sheet = {"limits": {"peers": True, "most_write_outs": 3}, "n_instances": count, "slot_no": 0,
                  "methods": [{"name": "read", "semantics": "pure", "latency_budget": 10**9, "give_up": 10**9,
                               "criticality": 1.0}]}  # fmt: skip
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -208,7 +208,7 @@
     ]
 
 
-def told(reporting=None, methods=None, **limits):
+def make_process_configuration(reporting=None, methods=None, **limits):
     """What a proxy is told, with two classes where no others are given."""
     methods = methods or [
         {"name": name, "semantics": semantics, "latency_budget": 10**9, "give_up": 10**9, "criticality": 1.0}
@@ -225,7 +225,9 @@
     """A proxy on a reactor that only keeps what it is asked for, told of so many cache nodes."""
     reactor = Reactor()
     reactor.advance(1000)
-    made = Proxy(run or told(reporting, **limits), reactor, lambda: round(reactor.seconds() * S))
+    made = Proxy(
+        run or make_process_configuration(reporting, **limits), reactor, lambda: round(reactor.seconds() * S)
+    )
     made.listen = listen
     made.endpoints.update(entries(count), True)
     return made
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -10,7 +10,7 @@
 import time
 
 import orjson
-from helpers import told
+from helpers import make_process_configuration
 from ivystack.standin.apart import in_reactor
 
 from ivystack.net.proxy import Proxy
@@ -113,7 +113,7 @@
     def __init__(self, run=None, discovery=None, **limits):
         self.at = 1_000_000_000_000
         self.loop = Loop()
-        run = run or told(**limits)
+        run = run or make_process_configuration(**limits)
         # An address that nothing calls from: a port that was free just now is not taken by a call's own end.
         with socket.create_server(("127.0.0.77", 0)) as free:
             run.listen = free.getsockname()
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import client, get, hit, link, proxy, told
+from helpers import client, get, hit, link, proxy, make_process_configuration
 from moments import Moment, Node, gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
@@ -314,7 +314,7 @@
 
 def test_calls_of_operators_that_came_together_are_all_answered():
     """More than the bound at once, each with its whole call: they are read before the oldest makes way."""
-    run = told()
+    run = make_process_configuration()
     with socket.create_server(("127.0.0.78", 0)) as free:
         run.admin = free.getsockname()
     made = Moment(run=run).start(Node("n0"))
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -204,9 +204,9 @@
 
 def new_process(folder):
     """A proxy that has just begun and asks at the socket that it finds; the end that it listens with."""
-    from helpers import proxy, told
+    from helpers import proxy, make_process_configuration
 
-    run = told()
+    run = make_process_configuration()
     run.inherited_descriptor, run.restart_folder = 3, str(folder)
     made = proxy(0, run=run)
     made.endpoint_watch.request_watch = made.open_sockets = lambda: None
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, entries, get, hit, link, proxy, told
+from helpers import S, client, entries, get, hit, link, proxy, make_process_configuration
 from test_operators import answered, left
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import StringTransport
@@ -22,7 +22,7 @@
 
 def starting(tmp_path, leftover=True):
     """A new process that has found a socket to ask at; what it begins with is kept."""
-    run = told()
+    run = make_process_configuration()
     run.inherited_descriptor, run.restart_folder = 3, str(tmp_path)
     made = proxy(0, run=run)
     made.endpoint_watch.request_watch = lambda: None
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import METHODS
-from helpers import client, hit, proxy, told
+from helpers import client, hit, proxy, make_process_configuration
 from moments import Agent, Moment, Node, gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
@@ -218,7 +218,7 @@
 def test_a_proxy_told_to_end_while_it_asks_the_old_process_opens_nothing(moment, tmp_path):
     # Guards against a port that nobody closes: SIGTERM finds none, and the old process's word comes after it.
     door = socket.create_server(("127.0.0.1", 0))
-    run = told()
+    run = make_process_configuration()
     run.inherited_descriptor, run.restart_folder = os.dup(door.fileno()), str(tmp_path)
     made = moment(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
@@ -397,7 +397,9 @@
     # that can't be repeated and has nothing to do with it.
     node = Node("n0")
     patient = [one | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for one in METHODS]
-    made = moment(node, run=told(methods=patient, streams_per_conn=10, may_duplicate=True))
+    made = moment(
+        node, run=make_process_configuration(methods=patient, streams_per_conn=10, may_duplicate=True)
+    )
     asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
         one.send(gets(1, b"%d." % number))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, get, hit, link, proxy, told
+from helpers import S, client, get, hit, link, proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -33,7 +33,7 @@
 
 def test_new_classes_are_in_use_at_once_and_one_that_has_gone_is_an_unknown_one():
     made = proxy()
-    made.reload(told(methods=[sheet("read"), sheet("new")]))
+    made.reload(make_process_configuration(methods=[sheet("read"), sheet("new")]))
     unknown = ask(made, b"0", b"c=none,d=900").transport.took()
     assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
     asking = ask(made, b"2", b"c=new,d=900")
@@ -46,10 +46,10 @@
 ])  # fmt: skip
 def test_reqs_under_way_keep_their_deadline_and_go_by_the_stricter_of_both_effects(before, now, again):
     # Nodes may go by either file by now: what either forbids is not done.
-    made = proxy(3, run=told(methods=[sheet("read", before)]))
+    made = proxy(3, run=make_process_configuration(methods=[sheet("read", before)]))
     asking = ask(made, b"1")
     first = link(made)
-    made.reload(told(methods=[sheet("read", now, 10**8)]))
+    made.reload(make_process_configuration(methods=[sheet("read", now, 10**8)]))
     req = next(iter(made.request_handler.active))
     assert (
         req.request_class.idempotency == (Idempotency.IDEMPOTENT if again else Idempotency.NOT_IDEMPOTENT)
@@ -66,7 +66,9 @@
 
 def test_a_class_made_stricter_is_strict_for_every_new_req():
     made = proxy(3)
-    made.reload(told(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")]))
+    made.reload(
+        make_process_configuration(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")])
+    )
     asking = ask(made, b"1")
     assert next(iter(made.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
     before = len(made.reactor.tcpClients)
@@ -79,7 +81,7 @@
         made = proxy(3)
         asking = ask(made, b"1")
         first = link(made)
-        made.reload(told(most_write_outs=most))
+        made.reload(make_process_configuration(most_write_outs=most))
         first.connectionLost(Failure(ConnectionLost()))
         assert len(made.reactor.tcpClients) == outs
         assert (asking.transport.took() == b"-BUSY\r\n") == (most == 1)
@@ -95,7 +97,7 @@
     ask(made, b"2")
     old = made.settings.request_classes["read"]
     for budget in (10**8, 2 * 10**8, 3 * 10**8):  # three in a row
-        made.reload(told(methods=[sheet("read", budget=budget)]))
+        made.reload(make_process_configuration(methods=[sheet("read", budget=budget)]))
     assert old in node.class_failures and made.settings.request_classes["read"] in node.class_failures
     made.reactor.advance(2)
     assert [*node.class_failures] == [
@@ -108,10 +110,10 @@
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     made.start_draining()
-    made.reload(told(methods=[sheet("new")]))
+    made.reload(make_process_configuration(methods=[sheet("new")]))
     assert made.client_server.drain.code == "drained" and [*made.client_server.request_classes] == [b"new"]
     made.terminate()
-    made.reload(told())
+    made.reload(make_process_configuration())
     assert made.client_server.drain.code == "stopping" and [*made.client_server.request_classes] == [
         b"read",
         b"pay",
@@ -120,7 +122,11 @@
 
 def test_nodes_connections_follow_the_settings():
     made = proxy()
-    made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
+    made.reload(
+        make_process_configuration(
+            streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True
+        )
+    )
     pools = made.server_pools
     assert (pools.max_in_flight, pools.connect_timeout, pools.idle_timeout) == (1, 100_000, 800_000)
     assert made.balancer.parameters.hedging_enabled and made.settings.hedging_enabled
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,7 +1,7 @@
 """Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
-from helpers import S, client, entries, hit, link, proxy, told
+from helpers import S, client, entries, hit, link, proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -27,7 +27,7 @@
         "name": "mark", "semantics": semantics, "latency_budget": budget * 10**6, "give_up": budget * 10**6,
         "criticality": 1.0, "group": group, "window": window * 10**6,
     }  # fmt: skip
-    return told(methods=[stated], connect_timeout=10**9, most_write_outs=4, **limits)
+    return make_process_configuration(methods=[stated], connect_timeout=10**9, most_write_outs=4, **limits)
 
 
 def put(ident=b"1", wait=2000):
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -3,7 +3,16 @@
 from random import Random
 
 import pytest
-from helpers import S, client, get, make_balancer, make_request, make_servers, proxy, told
+from helpers import (
+    S,
+    client,
+    get,
+    make_balancer,
+    make_request,
+    make_servers,
+    proxy,
+    make_process_configuration,
+)
 
 from ivystack.balancing.connection_budget import ConnectionBudget
 from ivystack.balancing.load_shedding import LoadShedder
@@ -192,7 +201,7 @@
 
 
 def test_no_classes_and_a_req_of_an_unknown_one_get_an_answer_and_no_more():
-    for run in (told(methods=[]), None):
+    for run in (make_process_configuration(methods=[]), None):
         made = proxy(2, run=run)
         if run is not None:
             made.settings.request_classes.clear()
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -1,7 +1,7 @@
 """A thousand nodes in a list and a thousand peers in a configuration: nothing is cut off, nothing falls."""
 
 import msgspec
-from helpers import Transport, entries, get, make_balancer, make_servers, proxy, told
+from helpers import Transport, entries, get, make_balancer, make_servers, proxy, make_process_configuration
 from loguru import logger
 
 from ivystack.balancing import gossip
@@ -77,7 +77,7 @@
 
 
 def test_a_thousand_peers_are_told_and_heard():
-    run = told(peers=True)
+    run = make_process_configuration(peers=True)
     run.settings = type(run.settings)(1, msgspec.convert(
         {"limits": {"peers": True}, "n_instances": MANY, "slot_no": MANY - 1}, type(run.settings.settings)
     ))  # fmt: skip
