--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -250,7 +250,7 @@
     return encode_command(b"OBJ.GET", key, ident, fields)
 
 
-def hit(text=b"v", report=None):
+def encode_hit(text=b"v", report=None):
     return (
         b"*3\r\n"
         + encode_bulk(text)
--- a/tests/test_client_state.py
+++ b/tests/test_client_state.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from helpers import S, client, get, hit, link, proxy
+from helpers import S, client, get, encode_hit, link, proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -65,7 +65,7 @@
     assert asking.state is ClientState.UNUSED
     asking.dataReceived(get()[10:])
     assert asking.state is ClientState.ACTIVE and not server.unused_connections
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert asking.state is ClientState.IDLE and [*server.idle_connections] == [asking]
     asking.dataReceived(b"*")
     assert asking.state is ClientState.ACTIVE and not server.idle_connections
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import client, get, hit, link, proxy, make_process_configuration
+from helpers import client, get, encode_hit, link, proxy, make_process_configuration
 from moments import Moment, Node, gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
@@ -48,7 +48,7 @@
         if self.to_node is None:
             self.to_node = self.node.accept()
         value = self.to_node.take()[2]
-        self.to_node.send(hit(value))
+        self.to_node.send(encode_hit(value))
         return value
 
     def arrives(self, close, *values, data: bytes = gets(1, b"late")) -> None:
@@ -151,7 +151,7 @@
 
     def answered() -> None:
         (link,) = case.proxy.server_pools.connections.values()
-        link.dataReceived(hit(b"first"))
+        link.dataReceived(encode_hit(b"first"))
 
     case.arrives(answered)
     assert case.asking.take() == b"first"
@@ -234,7 +234,7 @@
             if links[-1].take() is None:
                 return ["no request"]
         for one in links:
-            one.send(hit())
+            one.send(encode_hit())
         return [one.take() for one in clients]
     except (TimeoutError, AssertionError) as fault:
         return [repr(fault)]
@@ -260,7 +260,7 @@
         ident = case.to_node.take()[2]
 
         def goes_on() -> None:
-            case.to_node.send(hit(ident))
+            case.to_node.send(encode_hit(ident))
             case.passes(2_000_000)
 
         # As the reactor's own timers are called: what such a call asks for comes after the sockets were read.
@@ -280,7 +280,7 @@
         asking.send(gets(1, b"first"))
         to_node = node.accept()
         to_node.take()
-        to_node.send(hit(b"first"))
+        to_node.send(encode_hit(b"first"))
         assert asking.take() == b"first"
         (link,) = made.turn(lambda: [*made.proxy.server_pools.connections.values()])
         made.turn(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -397,7 +397,7 @@
         asking.send(gets(1))
         to_node = node.accept()
         to_node.take()
-        to_node.send(hit())
+        to_node.send(encode_hit())
         assert asking.take() == b"v"
     finally:
         monkeypatch.undo()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, entries, get, hit, link, proxy, make_process_configuration
+from helpers import S, client, entries, get, encode_hit, link, proxy, make_process_configuration
 from test_operators import answered, left
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import StringTransport
@@ -164,7 +164,7 @@
         one.dataReceived(get(b"%d" % number))
     links = [link(made, number) for number in range(4)]
     for one in links:
-        one.dataReceived(hit())
+        one.dataReceived(encode_hit())
     made.limits = 64, made.limits[1]
     end = asked(made)
     assert (
@@ -197,6 +197,6 @@
         one.dataReceived(get(b"%d" % number))
     links = [link(made, number) for number in range(4)]
     for one in links:
-        one.dataReceived(hit())
+        one.dataReceived(encode_hit())
     made.server_pools.set_limits(6, 1 << 20)
     assert [one.code for one in links].count("no-room") == 2
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import METHODS
-from helpers import client, hit, proxy, make_process_configuration
+from helpers import client, encode_hit, proxy, make_process_configuration
 from moments import Agent, Moment, Node, gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
@@ -107,7 +107,7 @@
     to_node = node.accept()
     assert to_node.take()[0] == b"OBJ.GET"
     made.turn(clients(made)[0].pauseProducing)
-    to_node.send(hit())
+    to_node.send(encode_hit())
     made.until(lambda: not made.proxy.request_handler.requests)
     asking.socket.shutdown(socket.SHUT_WR)
     assert asking.take() == b"v"
@@ -190,7 +190,7 @@
     second.send(gets(1))
     to_node = node.accept()
     to_node.take()
-    to_node.send(hit(b"second"))
+    to_node.send(encode_hit(b"second"))
     assert second.take() == b"second"
 
 
@@ -421,7 +421,7 @@
     before = made.turn(lambda: made.proxy.deadlines.scheduled)
     made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
-    wire.send(hit(b"late") + hit(b"receipt"))
+    wire.send(encode_hit(b"late") + encode_hit(b"receipt"))
     assert paying.take() == b"receipt"
 
 
@@ -435,7 +435,7 @@
     asking.send(gets(1))
     kept = node.accept()
     kept.take()
-    kept.send(hit())
+    kept.send(encode_hit())
     assert asking.take() == b"v"
     made.until(lambda: made.proxy.server_pools.idle_connections)
 
@@ -447,7 +447,7 @@
     if how == "reset":
         again = node.accept()
         assert again.take()[2] == b"2"
-        again.send(hit(b"receipt"))
+        again.send(encode_hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
     assert made.turn(
         lambda: not made.proxy.request_handler.in_flight and not made.proxy.request_handler.requests
@@ -473,7 +473,7 @@
     stays = other if left is node else node
     to_node = stays.accept()
     to_node.take()
-    to_node.send(hit())
+    to_node.send(encode_hit())
     assert asking.take() == b"v"
     links = made.proxy.server_pools.connections
     made.until(lambda: all(link.pool.name == stays.name for link in links.values()))
@@ -490,7 +490,7 @@
     to_node.take()
 
     def turn():
-        to_node.send(hit())
+        to_node.send(encode_hit())
         to_node.reset()
 
     made.turn(turn)
@@ -508,7 +508,7 @@
     to_node.take()
 
     def turn():  # the answer is in the kernel when the deadline is due
-        to_node.send(hit(b"late"))
+        to_node.send(encode_hit(b"late"))
         made.at += 1_000_000
         made.proxy.deadlines.run_due()
 
@@ -520,7 +520,7 @@
     if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
         to_node = node.accept()
         to_node.take()
-    to_node.send(hit(b"own"))
+    to_node.send(encode_hit(b"own"))
     assert asking.take() == b"own"
 
 
@@ -534,7 +534,7 @@
         to_node.take()
 
         def turn(asking=asking, to_node=to_node, how=how):
-            to_node.send(hit())
+            to_node.send(encode_hit())
             getattr(asking, how)()
 
         made.turn(turn)
@@ -559,7 +559,7 @@
     to_node.take()
     agent.line(watch, 2, whole=True)
     made.until(lambda: made.proxy.endpoint_watch.generation == 2)
-    to_node.send(hit())
+    to_node.send(encode_hit())
     assert asking.take() == b"v" and to_node.take() is None
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
 import re
 
-from helpers import S, client, entries, get, hit, link, proxy
+from helpers import S, client, entries, get, encode_hit, link, proxy
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -27,7 +27,7 @@
 
 
 def test_values_are_read_however_they_are_cut():
-    text = b"+PONG\r\n" + hit(b"a\r\nb") + b"$-1\r\n*0\r\n-BUSY 5\r\n$0\r\n\r\n"
+    text = b"+PONG\r\n" + encode_hit(b"a\r\nb") + b"$-1\r\n*0\r\n-BUSY 5\r\n$0\r\n\r\n"
     for piece in (1, 2, 7, len(text)):
         reader = read(text, piece)
         assert reader.values == ["+PONG", [b"a\r\nb", b"hit", None], None, [], "-BUSY 5", b""]
@@ -57,7 +57,7 @@
     made.reactor.advance(0.01)
     node = link(made)
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
-    node.dataReceived(hit(b"a\r\n\0"))
+    node.dataReceived(encode_hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
     assert (
         not made.request_handler.requests
@@ -73,9 +73,9 @@
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
     first, second = link(made, 0), link(made, 1)
-    second.dataReceived(hit(b"second"))
+    second.dataReceived(encode_hit(b"second"))
     assert asking.transport.took() == b""
-    first.dataReceived(hit(b"first"))
+    first.dataReceived(encode_hit(b"first"))
     assert asking.transport.took() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
 
 
@@ -97,7 +97,7 @@
     asking = client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
     assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
 
 
@@ -128,7 +128,7 @@
     made.client_server.value_bytes = 0
     asking.dataReceived(get())
     assert made.client_server.value_bytes > 0
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert made.client_server.value_bytes == 0
 
 
@@ -137,7 +137,7 @@
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
-    node.dataReceived(b"?\r\n" + hit())
+    node.dataReceived(b"?\r\n" + encode_hit())
     assert node.transport.disconnected and asking.transport.took() == b""
     node.connectionLost(Failure(ConnectionDone()))
     made.reactor.pump([0.02] * 10)
@@ -192,7 +192,7 @@
     first.dataReceived(get(b"1"))
     second.dataReceived(get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
-        link(made, number).dataReceived(hit())
+        link(made, number).dataReceived(encode_hit())
     client(made)
     assert first.transport.disconnecting and not second.transport.disconnecting
 
@@ -203,7 +203,7 @@
     made.client_server.max_connections = 3
     usual, silent, half = client(made), client(made), client(made)
     usual.dataReceived(get())
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     half.dataReceived(get()[:-2])
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
     client(made), client(made)
@@ -225,7 +225,7 @@
     client(made), client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
     slow.dataReceived(get()[50:])
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert slow.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -271,7 +271,7 @@
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
         other.dataReceived(get(ident, key))
         assert other.transport.took().startswith(b"-ERR ")
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert (
         asking.transport.took() == b"$1\r\nv\r\n"
         and other.transport.took() == b""
@@ -338,9 +338,9 @@
     made.reactor.advance(0.6)
     quick = link(made)
     assert quick is not slow and quick.in_flight
-    quick.dataReceived(hit())
+    quick.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
-    slow.dataReceived(hit(b"late"))  # nobody waits for it, and its connection is good again
+    slow.dataReceived(encode_hit(b"late"))  # nobody waits for it, and its connection is good again
     assert asking.transport.took() == b"" and slow in made.server_pools.idle_connections
 
 
@@ -376,7 +376,7 @@
     node = link(made)
     made.endpoints.update(entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and node.code == "unlisted"
 
 
@@ -384,7 +384,7 @@
     made = proxy()
     client(made).dataReceived(get())
     node = link(made)
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     made.reactor.advance(8.1)
     assert node.transport.disconnecting and node.code == "idle" and not made.server_pools.pools["n0"].idle
 
@@ -400,7 +400,7 @@
             break
         if made.reactor.tcpClients and not pools.idle_connections:
             node = link(made) if not pools.connections[0].is_connected else pools.connections[0]
-            node.dataReceived(hit())
+            node.dataReceived(encode_hit())
     made.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
     assert len(made.reactor.tcpClients) == 2
 
@@ -439,7 +439,7 @@
     node = link(made)
     made.reactor.pump([0.02] * 30)
     assert idle.transport.disconnecting and not asking.transport.disconnecting
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and asking.transport.disconnecting
     for one in (idle, asking):
         one.connectionLost(Failure(ConnectionDone()))
@@ -526,7 +526,7 @@
         sent, outcome, *more
     )
     client(made).dataReceived(get())
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert seen == [Outcome.SUCCEEDED]
 
 
@@ -536,7 +536,7 @@
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     silent, quick = link(made, 0), link(made, 1)
-    quick.dataReceived(hit())
+    quick.dataReceived(encode_hit())
     made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
     assert silent.transport.disconnected and quick.code == "suspect"
 
@@ -558,7 +558,7 @@
     assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
     for one in links:
         for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
-            one.dataReceived(hit(ident))
+            one.dataReceived(encode_hit(ident))
     assert not made.request_handler.requests and asking.transport.took() == b"".join(
         encode_bulk(b"%d" % i) for i in range(1, 6)
     )
@@ -617,19 +617,19 @@
         made = proxy()
         asking = client(made)
         asking.dataReceived(get())
-        link(made).dataReceived(hit()[:-5] + report)
+        link(made).dataReceived(encode_hit()[:-5] + report)
         assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
 def test_what_comes_too_much_never_answers_the_next_req():
     # Guards against a second copy or noise behind an answer: the next req went out before it was read.
-    for more in (hit(), b"noise", b"\r\n", b"*3\r\n"):
+    for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
         made = proxy()
         asking = client(made)
         asking.dataReceived(get(b"1"))
         node = link(made)
         client(made).dataReceived(get(b"2"))
-        node.dataReceived(hit() + more)
+        node.dataReceived(encode_hit() + more)
         assert asking.transport.took() == b"$1\r\nv\r\n" and node.transport.disconnected
         assert b"$1\r\n2\r\n" not in node.transport.took()
 
@@ -638,8 +638,8 @@
     made = proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     outcomes = outcomes_of(made)
-    links[0].dataReceived(hit(b"one"))
-    links[0].dataReceived(hit(b"one"))
+    links[0].dataReceived(encode_hit(b"one"))
+    links[0].dataReceived(encode_hit(b"one"))
     assert outcomes[:2] == [Outcome.SUCCEEDED, Outcome.ERROR] and links[0].transport.disconnected
 
 
@@ -666,7 +666,7 @@
     made.endpoints.update(entries(2, "DRAINING"), False)
     made.endpoints.update(entries(2, "DELETED"), False)
     assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
-    busy.dataReceived(hit())
+    busy.dataReceived(encode_hit())
     busy.connectionLost(Failure(ConnectionDone()))
     made.endpoints.update([], False)
     assert not made.balancer.servers and not made.server_pools.pools
@@ -677,7 +677,7 @@
     made = proxy()
     asking, outcomes = client(made), outcomes_of(made)
     asking.dataReceived(get(b"1"))
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     asking.dataReceived(get(b"2"))
     made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
     asking.dataReceived(get(b"3"))
@@ -693,7 +693,7 @@
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
-    node.dataReceived(hit(b"v" * 400_000))
+    node.dataReceived(encode_hit(b"v" * 400_000))
     assert len(asking.transport.took()) > 400_000
     asking.dataReceived(get(b"2"))
     node.dataReceived(b"*3\r\n$900000000\r\n")
@@ -711,7 +711,7 @@
         asking[-1].dataReceived(get(b"%d" % number))
         for one in [*made.server_pools.connections.values()] or [link(made)]:
             if one.in_flight:
-                one.dataReceived(hit())
+                one.dataReceived(encode_hit())
     assert [one.code for one in asking] == ["idle", "idle", None, None, None]
 
 
@@ -723,7 +723,7 @@
     asking = client(made)
     asking.dataReceived(get())
     loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
-    link(made).dataReceived(hit(report=b'{"active":50,"new":1}'))
+    link(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
     assert loaded.load == 50
     now = made.now()
     picks = [
@@ -739,12 +739,12 @@
         made = proxy(1, REPORTS)
         asking = client(made)
         asking.dataReceived(get())
-        link(made).dataReceived(hit(report=report))
+        link(made).dataReceived(encode_hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = proxy(1)  # nor is one read that the settings do not name
     client(made).dataReceived(get())
-    link(made).dataReceived(hit(report=b'{"active":50}'))
+    link(made).dataReceived(encode_hit(report=b'{"active":50}'))
     assert made.balancer.servers["n0"].load == 0
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from helpers import client, get, hit, link, proxy
+from helpers import client, get, encode_hit, link, proxy
 from ivystack.standin.apart import Node
 from test_net import Reader
 from twisted.internet.error import ConnectionDone, ConnectionLost
@@ -44,7 +44,7 @@
         b"\r\n" * (MAX_BUFFERED_VALUE + 7),
     ]
     for bad in (b"", b"*3\r\n$70000\r\n" + b"z" * 70_000 + b"no", b"*3\r\n$5000000\r\n", b"?\r\n"):
-        text = b"".join(hit(rng.choice(values)) for _ in range(4)) + bad
+        text = b"".join(encode_hit(rng.choice(values)) for _ in range(4)) + bad
         whole = Pieces()
         whole.dataReceived(text)
         assert len(whole.values) == 4 and bool(whole.faults) == bool(bad)
@@ -81,7 +81,7 @@
     pools = made.server_pools
     assert asking.transport.took() == b"\r\n" and node in pools.idle_connections and not pools.relays
     asking.dataReceived(get(b"2"))  # both connections are good for more
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -118,7 +118,7 @@
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.took() == b"" and second.transport.producerState == "paused"
-    first.dataReceived(hit(b"first"))
+    first.dataReceived(encode_hit(b"first"))
     assert asking.transport.took() == b"$5\r\nfirst\r\n" + encode_bulk(LONG)[: 9 + 1000]
     assert second.transport.producerState == "producing"
     second.dataReceived(LONG[1000:] + TAIL)
@@ -134,7 +134,7 @@
     made.reactor.advance(0.6)
     quick = link(made)
     quick.dataReceived(HEAD + LONG[:10])
-    slow.dataReceived(hit(LONG))
+    slow.dataReceived(encode_hit(LONG))
     quick.dataReceived(LONG[10:] + TAIL)
     assert asking.transport.took() == encode_bulk(LONG) and not made.request_handler.in_flight
     assert {slow, quick} == {*made.server_pools.idle_connections}
@@ -197,7 +197,7 @@
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     second.connectionLost(Failure(ConnectionLost()))
-    first.dataReceived(hit())
+    first.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR failed\r\n" and not asking.transport.disconnecting
 
 
@@ -222,14 +222,14 @@
     asking, other = client(made), client(made)
     asking.dataReceived(get(b"0"))
     node = link(made)
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     asking.dataReceived(get(b"1", fields=b"c=read,d=900"))
     other.dataReceived(get(b"2", fields=b"c=read,d=900"))
     assert [one.attempt.request.key for one in node.in_flight] == [127, 127]
     node.dataReceived(HEAD + LONG[:1000])
     made.server_pools.MAX_DISCARDED_BYTES = 0
     asking.connectionLost(Failure(ConnectionDone()))
-    node.dataReceived(LONG[1000:] + TAIL + hit(b"other"))
+    node.dataReceived(LONG[1000:] + TAIL + encode_hit(b"other"))
     assert other.transport.took() == b"$5\r\nother\r\n"
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, get, hit, link, proxy, make_process_configuration
+from helpers import S, client, get, encode_hit, link, proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -37,7 +37,7 @@
     unknown = ask(made, b"0", b"c=none,d=900").transport.took()
     assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
     asking = ask(made, b"2", b"c=new,d=900")
-    link(made).dataReceived(hit())
+    link(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -60,7 +60,7 @@
     first.connectionLost(Failure(ConnectionLost()))  # it may have run
     assert (len(made.reactor.tcpClients) > before) is again
     if again:
-        link(made).dataReceived(hit())
+        link(made).dataReceived(encode_hit())
     assert asking.transport.took() == (b"$1\r\nv\r\n" if again else b"-ERR failed\r\n")
 
 
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,7 +1,7 @@
 """Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
-from helpers import S, client, entries, hit, link, proxy, make_process_configuration
+from helpers import S, client, entries, encode_hit, link, proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -84,7 +84,7 @@
     pass_by(made, 40)
     other = link(made)
     assert b"mark" in written(made)
-    other.dataReceived(hit(b"receipt"))
+    other.dataReceived(encode_hit(b"receipt"))
     assert asking.transport.took() == b"$7\r\nreceipt\r\n"
 
 
@@ -112,7 +112,7 @@
     assert b"mark" in second.transport.value()
     pass_by(made, 210)
     assert link(made, 0).transport.value() == b""
-    second.dataReceived(hit())
+    second.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -182,7 +182,11 @@
     of.go()
     of.go()
     assert len(wire.in_flight) == 3
-    assert of.said(wire, BUSY + BUSY + hit()) == [Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.SUCCEEDED]
+    assert of.said(wire, BUSY + BUSY + encode_hit()) == [
+        Outcome.OVERLOADED,
+        Outcome.CANCELLED,
+        Outcome.SUCCEEDED,
+    ]
 
 
 def test_a_busy_for_a_cancelled_attempt_makes_the_next_one_doubtful():
@@ -223,7 +227,7 @@
 @pytest.mark.parametrize(
     "answer, outcome",
     [
-        (hit(), Outcome.SUCCEEDED),
+        (encode_hit(), Outcome.SUCCEEDED),
         (b"-ERR failed\r\n", Outcome.ERROR),
         (BUSY, Outcome.OVERLOADED),
         (b"-BUSY 40\r\n", Outcome.OVERLOADED),
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from helpers import S, client, get, hit, link, proxy
+from helpers import S, client, get, encode_hit, link, proxy
 from ivystack.standin.apart import Node
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -35,14 +35,14 @@
     assert node.transport.took() == b""
     asking.dataReceived(TAIL[1:])
     assert node.transport.took() == TAIL
-    node.dataReceived(hit(b"receipt"))
+    node.dataReceived(encode_hit(b"receipt"))
     assert (
         asking.transport.took() == encode_bulk(b"receipt")
         and not made.request_handler.requests
         and not made.request_handler.in_flight
     )
     asking.dataReceived(get(b"2"))  # both connections are good for more
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == encode_bulk(b"v")
 
 
@@ -125,7 +125,7 @@
     node.transport.producer.resumeProducing()
     assert asking.transport.producerState == "producing"
     asking.dataReceived(LONG[1000:] + TAIL)
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == encode_bulk(b"v")
 
 
@@ -139,7 +139,7 @@
 
 
 def test_an_answer_to_half_a_write_ends_it_there():
-    for early, answer in ((b"-BUSY\r\n", b"-BUSY\r\n"), (hit(), b"-ERR failed\r\n")):
+    for early, answer in ((b"-BUSY\r\n", b"-BUSY\r\n"), (encode_hit(), b"-ERR failed\r\n")):
         made, asking, node = begun()
         node.dataReceived(early)
         assert asking.transport.took() == answer and node.transport.disconnected
@@ -180,7 +180,7 @@
         [{"instanceId": "n0", "hostPort": "127.0.0.9:7000", "lifecycle": "DRAINING"}], False
     )
     asking.dataReceived(LONG[1000:] + TAIL)
-    node.dataReceived(hit())
+    node.dataReceived(encode_hit())
     assert asking.transport.took() == encode_bulk(b"v") and node.code == "unlisted"
 
 
