--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, "tests")
 
-from helpers import entries, proxy, make_process_configuration  # noqa: E402
+from helpers import entries, make_proxy, make_process_configuration  # noqa: E402
 
 from ivystack.model import Outcome, Request
 from ivystack.balancing.gossip_codec import (  # noqa: E402
@@ -45,7 +45,7 @@
                               "criticality": 1.0}]}  # fmt: skip
         run.settings = type(run.settings)(1, msgspec.convert(sheet, type(run.settings.settings)))
         run.peers = [("127.0.0.1", 2000 + number) for number in range(count)]
-        made = proxy(0, run=run)
+        made = make_proxy(0, run=run)
         list_ = entries(count)
         method = made.settings.request_classes["read"]
         print(f"{count} nodes, {count} peers")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -221,7 +221,7 @@
     return ProcessConfiguration(convert(config, ConfigurationFile))
 
 
-def proxy(count=1, reporting=None, run=None, **limits):
+def make_proxy(count=1, reporting=None, run=None, **limits):
     """A proxy on a reactor that only keeps what it is asked for, told of so many cache nodes."""
     reactor = Reactor()
     reactor.advance(1000)
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import client, get, encode_hit, link, proxy, make_process_configuration
+from helpers import client, get, encode_hit, link, make_proxy, make_process_configuration
 from moments import Moment, Node, gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
@@ -295,7 +295,7 @@
 
 
 def test_a_request_whose_client_goes_while_it_is_taken_goes_nowhere():
-    made = proxy(0)  # no node: it waits
+    made = make_proxy(0)  # no node: it waits
     asking = client(made)
     true_run_due = made.request_handler.run_due
 
@@ -336,7 +336,7 @@
 
 def test_a_request_that_comes_late_after_sigterm_ends_before_sigkill_may_come():
     """It crossed the end of its connection and is served, but the earliest SIGKILL must not find it."""
-    made = proxy(1)
+    made = make_proxy(1)
     made.terminate()
     begun = made.now()
     made.reactor.advance(1.2)
@@ -442,7 +442,7 @@
 
 
 def test_nothing_is_tried_again_for_a_client_whose_end_lies_unread():
-    made = proxy(2)
+    made = make_proxy(2)
     asking = leaving(made)
     asking.dataReceived(get(b"1"))
     first = link(made)
@@ -457,7 +457,7 @@
 
 
 def test_what_waited_for_a_connection_is_not_written_for_a_client_whose_end_lies_unread():
-    made = proxy(1)
+    made = make_proxy(1)
     asking = leaving(made)
     asking.dataReceived(get(b"1"))
     made.reactor.advance(0.1)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,7 +6,7 @@
 from types import ModuleType
 
 import pytest
-from helpers import Transport, entries, proxy
+from helpers import Transport, entries, make_proxy
 from test_consensus import playing
 from test_rig import PACKAGE, altered, ivy
 
@@ -275,7 +275,7 @@
 
 
 def test_an_agreed_order_is_adopted_and_one_that_names_no_real_server_is_not():
-    made = proxy(4)
+    made = make_proxy(4)
     order = SlotOrder(made)
     own = order.encode()
     marks = [own[at : at + 3] for at in range(0, 12, 3)]
@@ -384,7 +384,7 @@
 
 
 def test_a_result_postpones_own_checks_of_a_server_that_is_down_here_and_only_for_so_long():
-    made = proxy(3)
+    made = make_proxy(3)
     duty, now = HealthCheckDuty(made), made.now()
     node, well = down_at(made, "n1"), made.balancer.servers["n0"]
     due = node.health.next_probe_at
@@ -401,7 +401,7 @@
 
 
 def test_the_holder_checks_what_is_down_anywhere_but_never_a_draining_server():
-    made = proxy(4)
+    made = make_proxy(4)
     duty, now = HealthCheckDuty(made), made.now()
     down_at(made, "n1"), down_at(made, "n2")
     made.endpoints.update(entries(4, state="DRAINING")[2:3], False)
@@ -426,7 +426,7 @@
 
 
 def test_a_check_that_hangs_is_a_server_that_was_not_reached():
-    made = proxy(2)
+    made = make_proxy(2)
     duty = HealthCheckDuty(made)
     down_at(made, "n0")
     duty.run_checks(made.now(), lambda: True)
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -176,11 +176,11 @@
 
 def old_process():
     """A proxy with something to tell the next process."""
-    from helpers import S, entries, proxy
+    from helpers import S, entries, make_proxy
 
     from ivystack.model import FailureState
 
-    made = proxy(5)
+    made = make_proxy(5)
     now, nodes = made.now(), made.balancer.servers
     made.endpoints.update(entries(1, "DRAINING"), False)
     made.endpoints.update([entries(3, "DELETED")[2]], False)
@@ -204,11 +204,11 @@
 
 def new_process(folder):
     """A proxy that has just begun and asks at the socket that it finds; the end that it listens with."""
-    from helpers import proxy, make_process_configuration
+    from helpers import make_proxy, make_process_configuration
 
     run = make_process_configuration()
     run.inherited_descriptor, run.restart_folder = 3, str(folder)
-    made = proxy(0, run=run)
+    made = make_proxy(0, run=run)
     made.endpoint_watch.request_watch = made.open_sockets = lambda: None
     (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
     made.start()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, entries, get, encode_hit, link, proxy, make_process_configuration
+from helpers import S, client, entries, get, encode_hit, link, make_proxy, make_process_configuration
 from test_operators import answered, left
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import StringTransport
@@ -24,7 +24,7 @@
     """A new process that has found a socket to ask at; what it begins with is kept."""
     run = make_process_configuration()
     run.inherited_descriptor, run.restart_folder = 3, str(tmp_path)
-    made = proxy(0, run=run)
+    made = make_proxy(0, run=run)
     made.endpoint_watch.request_watch = lambda: None
     made.begun = []
     made.open_sockets = lambda: made.begun.append(made.now())
@@ -42,7 +42,7 @@
 
 
 def test_a_new_process_goes_on_where_the_old_one_is(tmp_path):
-    old = proxy(5)
+    old = make_proxy(5)
     now = old.now()
     nodes = old.balancer.servers
     old.endpoints.update(
@@ -92,7 +92,7 @@
 
 
 def test_a_list_newer_than_the_old_processs_stays(tmp_path):
-    old = proxy(1)
+    old = make_proxy(1)
     new = starting(tmp_path)
     new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": entries(2)})
     end_of(new).dataReceived(asked(old).transport.value())
@@ -143,14 +143,14 @@
 
 def test_without_an_inherited_socket_nobody_is_asked_or_listened_for():
     # On the large fleet's days there are no Unix sockets.
-    made = proxy()
+    made = make_proxy()
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     assert not made.reactor.unixClients and not made.reactor.unixServers and made.port is not None
 
 
 def test_two_processes_together_keep_within_the_bounds_of_one():
-    made = proxy()
+    made = make_proxy()
     pools = made.server_pools
     whole = (
         pools.max_connections,
@@ -191,7 +191,7 @@
 
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
-    made = proxy()
+    made = make_proxy()
     asking = [client(made) for _ in range(4)]
     for number, one in enumerate(asking):
         one.dataReceived(get(b"%d" % number))
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from helpers import S, Transport, proxy
+from helpers import S, Transport, make_proxy
 from loguru import logger
 from test_rig import ivy
 from twisted.internet.error import CannotListenError, ConnectionDone, ConnectionRefusedError
@@ -361,7 +361,7 @@
 def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_serving(tmp_path, log_lines):
     write_key_file(tmp_path / "key", "k1")
     (tmp_path / "fleet.toml").write_text(GOOD)
-    made = proxy()
+    made = make_proxy()
     services = FleetServices(made, str(tmp_path / "fleet.toml"), load_config(tmp_path / "fleet.toml", "z"))
     services.mesh.start = lambda: 1 / 0
     services.start()
@@ -370,7 +370,7 @@
 
 def test_a_failure_of_the_fleets_services_does_not_keep_the_proxy_from_ending():
     # Else the proxy would ignore SIGTERM and serve until it was killed with requests in flight.
-    made = proxy()
+    made = make_proxy()
     made.port = None
     with pytest.raises(ZeroDivisionError):
         terminate(made, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
 import re
 
-from helpers import S, client, entries, get, encode_hit, link, proxy
+from helpers import S, client, entries, get, encode_hit, link, make_proxy
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -51,7 +51,7 @@
 
 
 def test_a_req_is_answered_with_the_value_as_it_came():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     made.reactor.advance(0.01)
@@ -69,7 +69,7 @@
 
 
 def test_answers_go_out_in_the_order_of_the_commands():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
     first, second = link(made, 0), link(made, 1)
@@ -80,7 +80,7 @@
 
 
 def test_ready_only_with_a_node_to_send_to():
-    made = proxy(0)
+    made = make_proxy(0)
     asking = client(made)
     asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took().startswith(b"-ERR")
@@ -93,7 +93,7 @@
 
 def test_strange_bytes_end_their_connection_after_what_is_owed():
     # Guards against losing the req before them, and against reading on in what is no command.
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
     assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
@@ -102,7 +102,7 @@
 
 
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), encode_command(b"OBJ.GET", b"1")):
         asking.dataReceived(text)
@@ -112,7 +112,7 @@
 
 def test_a_client_with_many_open_commands_is_not_read_on():
     # Guards the memory against a client that asks faster than it can be answered.
-    made = proxy(4)
+    made = make_proxy(4)
     asking = client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
     assert asking.transport.producerState == "paused" and asking.commands_received == asking.MAX_PENDING
@@ -120,7 +120,7 @@
 
 def test_values_in_hand_are_bounded():
     # Guards the memory: hundreds of clients may each have some values of 64 KiB open.
-    made = proxy()
+    made = make_proxy()
     made.client_server.value_bytes = made.client_server.max_value_bytes + 1
     asking = client(made)
     asking.dataReceived(get())
@@ -133,7 +133,7 @@
 
 
 def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
@@ -145,7 +145,7 @@
 
 
 def test_without_a_descriptor_no_node_is_blamed():
-    made = proxy()
+    made = make_proxy()
     outcomes = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     client(made).dataReceived(get())
@@ -154,7 +154,7 @@
 
 
 def test_a_client_that_does_not_read_is_cut_off():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(encode_command(b"PING"))
     asking.pauseProducing()  # as the transport does when it can't pass on more
@@ -163,7 +163,7 @@
 
 
 def test_a_client_that_reads_again_is_read_again():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.pauseProducing()
     asking.resumeProducing()
@@ -173,7 +173,7 @@
 
 
 def test_a_client_that_went_away_ends_its_reqs():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
@@ -186,7 +186,7 @@
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
-    made = proxy()
+    made = make_proxy()
     made.client_server.max_connections = 2
     first, second = client(made), client(made)
     first.dataReceived(get(b"1"))
@@ -199,7 +199,7 @@
 
 def test_one_that_said_nothing_whole_makes_way_before_usual_clients():
     # Guards usual clients against hundreds that connect and say nothing, or half a command.
-    made = proxy()
+    made = make_proxy()
     made.client_server.max_connections = 3
     usual, silent, half = client(made), client(made), client(made)
     usual.dataReceived(get())
@@ -213,7 +213,7 @@
 
 def test_one_that_sends_slowly_makes_way_after_silent_ones():
     # Guards usual clients that need seconds for a command: they came before the silent ones.
-    made = proxy()
+    made = make_proxy()
     made.client_server.max_connections = 3
     slow = client(made)
     made.reactor.advance(1)
@@ -230,7 +230,7 @@
 
 
 def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
-    made = proxy(4, streams_per_conn=1, may_duplicate=True)
+    made = make_proxy(4, streams_per_conn=1, may_duplicate=True)
     made.client_server.max_connections = 96
     idle = [client(made) for _ in range(12)]
     for one in idle:
@@ -249,7 +249,7 @@
 
 def test_silent_and_half_said_clients_are_closed_and_usual_ones_stay():
     # Guards the descriptors: such clients would hold them for good.
-    made = proxy()
+    made = make_proxy()
     silent, half, later, usual = (client(made) for _ in range(4))
     half.dataReceived(get()[:-3])
     for one in (later, usual):
@@ -265,7 +265,7 @@
 
 def test_no_id_and_an_id_in_use_get_an_error_and_no_value():
     # Guards against answering one client's req with what was made for another's.
-    made = proxy()
+    made = make_proxy()
     asking, other = client(made), client(made)
     asking.dataReceived(get(b"1"))
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
@@ -280,7 +280,7 @@
 
 
 def test_an_answer_out_of_time_is_given_up_with_its_connection():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
@@ -292,7 +292,7 @@
 
 
 def test_a_connection_that_breaks_means_it_may_have_run():
-    made = proxy(3)
+    made = make_proxy(3)
     asking = client(made)
     asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
     link(made).connectionLost(Failure(ConnectionLost()))
@@ -300,7 +300,7 @@
 
 
 def test_a_refused_connection_means_it_never_ran():
-    made = proxy(3)
+    made = make_proxy(3)
     asking = client(made)
     asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
@@ -308,7 +308,7 @@
 
 
 def test_a_connection_that_does_not_come_up_in_time_is_refused():
-    made = proxy()
+    made = make_proxy()
     ended = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
     client(made).dataReceived(get())
@@ -317,7 +317,7 @@
 
 
 def test_an_end_is_told_once_whatever_comes_after():
-    made = proxy()
+    made = make_proxy()
     ended = []
     client(made).dataReceived(get())
     node = link(made)
@@ -330,7 +330,7 @@
 
 
 def test_a_second_copys_answer_calls_off_the_first():
-    made = proxy(2, may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
@@ -346,7 +346,7 @@
 
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
     # Guards against keeping connections to a hung node, which answers nothing.
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
@@ -359,7 +359,7 @@
 
 
 def test_nothing_that_waits_goes_to_a_node_that_drains():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     made.endpoints.update(entries(1, "DRAINING"), False)
@@ -370,7 +370,7 @@
 
 
 def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
@@ -381,7 +381,7 @@
 
 
 def test_idle_connections_are_closed_before_the_node_does():
-    made = proxy()
+    made = make_proxy()
     client(made).dataReceived(get())
     node = link(made)
     node.dataReceived(encode_hit())
@@ -390,7 +390,7 @@
 
 
 def test_with_all_connections_taken_the_one_idle_longest_makes_way():
-    made = proxy(2)
+    made = make_proxy(2)
     pools = made.server_pools
     pools.max_connections = 1
     asking = client(made)
@@ -406,7 +406,7 @@
 
 
 def test_an_entry_that_cannot_be_used_does_not_hide_the_others():
-    made = proxy(0)
+    made = make_proxy(0)
     strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
     made.endpoints.update([*strange, *entries(1), *entries(2, "NEW-WORD")[1:]], True)
     assert {name: node.state for name, node in made.balancer.servers.items()} == {
@@ -416,7 +416,7 @@
 
 
 def test_failing_decisions_end_their_req_as_a_failure_and_the_proxy_goes_on():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     whole = made.balancer.route
     made.balancer.route = None
@@ -430,7 +430,7 @@
 
 
 def test_after_sigterm_all_that_is_held_is_finished():
-    made = proxy()
+    made = make_proxy()
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     idle, asking = client(made), client(made)
@@ -456,7 +456,7 @@
 
 
 def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
-    made = proxy()
+    made = make_proxy()
     reactor, seen = made.reactor, []
     deadlines = DeadlineQueue(reactor, made.now)
     for after in (3, 1, 2):
@@ -468,7 +468,7 @@
 
 
 def test_dropped_deadlines_do_not_pile_up():
-    made = proxy()
+    made = make_proxy()
     seen = []
     deadlines = DeadlineQueue(made.reactor, made.now)
     kept = deadlines.call_at(made.now() + 2 * S, seen.append, 1)
@@ -483,7 +483,7 @@
 
 
 def test_a_silent_watch_is_begun_anew():
-    made = proxy()
+    made = make_proxy()
     calls = []
     made.endpoint_watch.request_watch = lambda: calls.append(made.now())
     made.endpoint_watch.note_activity()
@@ -494,7 +494,7 @@
 
 
 def test_lines_of_the_watch_are_news_and_bad_ones_begin_it_anew():
-    made = proxy(0)
+    made = make_proxy(0)
     calls = []
     made.endpoint_watch.request_watch = lambda: calls.append(made.endpoint_watch.generation)
     made.endpoint_watch.line_received(b'{"generation":7,"reset":true,"instances":[]}')
@@ -506,7 +506,7 @@
 
 
 def test_words_of_strangers_and_wrong_words_do_nothing():
-    made = proxy(peers=True)
+    made = make_proxy(peers=True)
     heard = []
     made.gossip.peers, made.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
     made.gossip.on_datagram = heard.append
@@ -519,7 +519,7 @@
 
 
 def test_a_satisfied_req_earns_the_decisions_their_outcome():
-    made = proxy()
+    made = make_proxy()
     seen = []
     whole = made.balancer.record_outcome
     made.balancer.record_outcome = lambda sent, outcome, *more: seen.append(outcome) or whole(
@@ -532,7 +532,7 @@
 
 def test_a_connection_that_says_nothing_more_condemns_the_idle_ones():
     # Guards against a machine that was cut off: it resets the connections it no longer knows when it is back.
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     silent, quick = link(made, 0), link(made, 1)
@@ -553,7 +553,7 @@
 
 
 def test_with_a_few_connections_up_attempts_go_behind_others():
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
     for one in links:
@@ -565,7 +565,7 @@
 
 
 def test_a_break_ends_all_that_is_on_the_connection():
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     outcomes = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
@@ -579,7 +579,7 @@
 
 def test_nothing_goes_behind_an_attempt_that_was_given_up():
     # Guards against feeding a connection whose first answer may never come.
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     for one in links:
         made.server_pools.cancel(one.in_flight[0])
@@ -599,7 +599,7 @@
 def test_a_spoilt_answer_is_one_failure_and_its_connection_is_dropped():
     # Guards against serving what no node made, and against taking the node for gone, and back cold.
     for text in (b":5\r\n", b"*1\r\n$1\r\nv\r\n", b"*3\r\n*3\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n"):
-        made = proxy(may_duplicate=True, streams_per_conn=100)
+        made = make_proxy(may_duplicate=True, streams_per_conn=100)
         asking, links = crowd(made)
         outcomes = outcomes_of(made)
         links[0].dataReceived(text)
@@ -614,7 +614,7 @@
 
 def test_a_bad_load_report_does_not_spoil_the_value():
     for report in (b"?\r\n", b"$5000\r\n", b"*1\r\n$1\r\n{\r\n"):
-        made = proxy()
+        made = make_proxy()
         asking = client(made)
         asking.dataReceived(get())
         link(made).dataReceived(encode_hit()[:-5] + report)
@@ -624,7 +624,7 @@
 def test_what_comes_too_much_never_answers_the_next_req():
     # Guards against a second copy or noise behind an answer: the next req went out before it was read.
     for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
-        made = proxy()
+        made = make_proxy()
         asking = client(made)
         asking.dataReceived(get(b"1"))
         node = link(made)
@@ -635,7 +635,7 @@
 
 
 def test_a_copy_that_crosses_the_next_attempt_is_not_its_answer():
-    made = proxy(may_duplicate=True, streams_per_conn=100)
+    made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking, links = crowd(made)
     outcomes = outcomes_of(made)
     links[0].dataReceived(encode_hit(b"one"))
@@ -645,7 +645,7 @@
 
 def test_a_req_that_a_node_cannot_use_is_sent_to_no_other():
     # Guards against holding a client's fault against one node after the other.
-    made = proxy(3)
+    made = make_proxy(3)
     asking = client(made)
     asking.dataReceived(get())
     link(made).dataReceived(b"-ERR bad request\r\n")
@@ -657,7 +657,7 @@
 
 def test_what_is_known_of_a_node_goes_with_it():
     # Guards the memory: a fleet that is replaced all day has ever new ids.
-    made = proxy(2)
+    made = make_proxy(2)
     client(made).dataReceived(get())
     busy = link(made)
     for number in range(50):
@@ -674,7 +674,7 @@
 
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
     # Guards against taking a node out because connections kept for long end under the next attempt.
-    made = proxy()
+    made = make_proxy()
     asking, outcomes = client(made), outcomes_of(made)
     asking.dataReceived(get(b"1"))
     link(made).dataReceived(encode_hit())
@@ -689,7 +689,7 @@
 
 
 def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get())
     node = link(made)
@@ -702,7 +702,7 @@
 
 def test_idle_clients_beyond_a_part_are_closed_the_longest_idle_first():
     # Guards usual clients against those that ask once and keep their connection for good.
-    made = proxy()
+    made = make_proxy()
     made.client_server.max_connections = 2 * made.client_server.IDLE_DIVISOR
     asking = []
     for number in range(5):
@@ -719,7 +719,7 @@
 
 
 def test_a_nodes_load_report_reaches_the_pick():
-    made = proxy(2, REPORTS)
+    made = make_proxy(2, REPORTS)
     asking = client(made)
     asking.dataReceived(get())
     loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
@@ -736,13 +736,13 @@
 def test_a_load_report_that_cannot_be_read_spoils_nothing():
     strange = b'{ [3] 5 {"active":-1} {"active":1e999} {"active":"x"}'.split()
     for report in (*strange, b"", b"9" * 70_000):
-        made = proxy(1, REPORTS)
+        made = make_proxy(1, REPORTS)
         asking = client(made)
         asking.dataReceived(get())
         link(made).dataReceived(encode_hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
-    made = proxy(1)  # nor is one read that the settings do not name
+    made = make_proxy(1)  # nor is one read that the settings do not name
     client(made).dataReceived(get())
     link(made).dataReceived(encode_hit(report=b'{"active":50}'))
     assert made.balancer.servers["n0"].load == 0
@@ -750,7 +750,7 @@
 
 def test_one_req_a_connection_where_the_settings_say_so_and_room_for_all():
     # Guards against a quick answer that waits behind a slow one, and against a bound below what is out there.
-    made = proxy(1, streams_per_conn=1, may_duplicate=True)
+    made = make_proxy(1, streams_per_conn=1, may_duplicate=True)
     made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
     asking = client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(10)))
@@ -761,7 +761,7 @@
 
 def test_calls_for_the_list_are_spaced_where_it_is_asked_for():
     # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
-    made = proxy()
+    made = make_proxy()
     waits = []
     made.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
     for mode in ("push", "ask"):
@@ -774,7 +774,7 @@
 
 def test_a_nodes_word_that_it_had_the_value_reaches_the_decisions():
     for word, told in ((b"hit", True), (b"miss", False)):
-        made = proxy()
+        made = make_proxy()
         seen, after = [], made.balancer.record_outcome
         made.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
             values[-1]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
 """The operators' address and sending clients away."""
 
-from helpers import S, Transport, client, entries, get, encode_hit, link, proxy
+from helpers import S, Transport, client, entries, get, encode_hit, link, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -11,7 +11,7 @@
 
 
 def serving(count=1):
-    made = proxy(count)
+    made = make_proxy(count)
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     return made
@@ -47,7 +47,7 @@
 
 
 def test_ready_is_yes_exactly_while_clients_are_taken():
-    made = proxy(0)
+    made = make_proxy(0)
     made.endpoint_watch.request_watch = lambda: None
     assert ask(made, "GET /_ready") == 503  # not started
     made.start()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, get, encode_hit, link, proxy, make_process_configuration
+from helpers import S, client, get, encode_hit, link, make_proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -32,7 +32,7 @@
 
 
 def test_new_classes_are_in_use_at_once_and_one_that_has_gone_is_an_unknown_one():
-    made = proxy()
+    made = make_proxy()
     made.reload(make_process_configuration(methods=[sheet("read"), sheet("new")]))
     unknown = ask(made, b"0", b"c=none,d=900").transport.took()
     assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
@@ -46,7 +46,7 @@
 ])  # fmt: skip
 def test_reqs_under_way_keep_their_deadline_and_go_by_the_stricter_of_both_effects(before, now, again):
     # Nodes may go by either file by now: what either forbids is not done.
-    made = proxy(3, run=make_process_configuration(methods=[sheet("read", before)]))
+    made = make_proxy(3, run=make_process_configuration(methods=[sheet("read", before)]))
     asking = ask(made, b"1")
     first = link(made)
     made.reload(make_process_configuration(methods=[sheet("read", now, 10**8)]))
@@ -65,7 +65,7 @@
 
 
 def test_a_class_made_stricter_is_strict_for_every_new_req():
-    made = proxy(3)
+    made = make_proxy(3)
     made.reload(
         make_process_configuration(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")])
     )
@@ -78,7 +78,7 @@
 
 def test_fewer_attempts_count_between_the_first_and_the_second():
     for most, outs in ((3, 2), (1, 1)):
-        made = proxy(3)
+        made = make_proxy(3)
         asking = ask(made, b"1")
         first = link(made)
         made.reload(make_process_configuration(most_write_outs=most))
@@ -89,7 +89,7 @@
 
 def test_what_nodes_hold_of_former_classes_goes_with_their_last_reqs():
     # Guards the memory: a class that changes each day would leave its errors at every node.
-    made = proxy()
+    made = make_proxy()
     node = made.balancer.servers["n0"]
     ask(made, b"1")
     link(made).dataReceived(b"-ERR failed\r\n")
@@ -106,7 +106,7 @@
 
 
 def test_settings_are_taken_up_in_a_drain_and_at_the_end():
-    made = proxy()
+    made = make_proxy()
     made.endpoint_watch.request_watch = lambda: None
     made.start()
     made.start_draining()
@@ -121,7 +121,7 @@
 
 
 def test_nodes_connections_follow_the_settings():
-    made = proxy()
+    made = make_proxy()
     made.reload(
         make_process_configuration(
             streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,7 +1,7 @@
 """Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
-from helpers import S, client, entries, encode_hit, link, proxy, make_process_configuration
+from helpers import S, client, entries, encode_hit, link, make_proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("streams", [1, 10])
 @pytest.mark.parametrize("group, answer", [("all", b"-BUSY"), ("zone", b"-ERR failed")])
 def test_a_retry_whose_connection_comes_up_after_the_window_is_not_sent(streams, group, answer):
-    made = proxy(3, run=once(group, streams_per_conn=streams))
+    made = make_proxy(3, run=once(group, streams_per_conn=streams))
     asking = severed(made, 250)
     pass_by(made, 49)  # 300 ms since the first was decided
     link(made)
@@ -79,7 +79,7 @@
 
 
 def test_a_retry_whose_connection_comes_up_within_the_window_is_sent():
-    made = proxy(3, run=once())
+    made = make_proxy(3, run=once())
     asking = severed(made, 250)
     pass_by(made, 40)
     other = link(made)
@@ -90,7 +90,7 @@
 
 def test_a_connection_that_comes_up_in_a_late_reactor_turn_sends_nothing_past_the_window():
     # The reactor was busy: the link's coming up is told before the deadlines that have passed meanwhile.
-    made = proxy(3, run=once())
+    made = make_proxy(3, run=once())
     severed(made, 250)
     made.reactor.rightNow += 0.2  # with no call made
     late = link(made)
@@ -99,7 +99,7 @@
 
 def test_a_hedge_that_is_sent_first_makes_the_first_attempt_the_retry():
     # Hedging: the first attempt still waits for its connection when the second one is sent.
-    made = proxy(2, run=once(window=700, streams_per_conn=10, may_duplicate=True, budget=1000))
+    made = make_proxy(2, run=once(window=700, streams_per_conn=10, may_duplicate=True, budget=1000))
     made.settings.request_classes["mark"].attempt_times.extend(
         [100 * MS] * 8
     )  # so that a hedge is sent at half of the time
@@ -117,7 +117,7 @@
 
 
 def test_an_attempt_that_waits_for_a_process_that_has_gone_is_decided_anew():
-    made = proxy(1, run=once(idempotency="side_effect"))
+    made = make_proxy(1, run=once(idempotency="side_effect"))
     asking = client(made)
     asking.dataReceived(put())
     waits = next(iter(made.request_handler.in_flight))
@@ -137,7 +137,7 @@
     """Attempts of one class at one node, made without the decisions, and how each ended."""
 
     def __init__(self, semantics, **more):
-        self.made = proxy(1, run=once(streams_per_conn=10, may_duplicate=True, **more))
+        self.made = make_proxy(1, run=once(streams_per_conn=10, may_duplicate=True, **more))
         self.method, self.ends = RequestClass("mark", semantics, 2 * S, dedup_window=S), []
         pools = self.made.server_pools
         pools.on_outcome = lambda ended, outcome, value: self.ends.append((ended.attempt, outcome))
@@ -274,7 +274,7 @@
     (("side_effect", "all", 0), ("pure", "all", 0), (Idempotency.NOT_IDEMPOTENT, "all", 0)),
 ])  # fmt: skip
 def test_of_two_meanings_the_stricter_holds_for_requests_in_flight_at_sighup(before, now, held):
-    made = proxy(3, run=once(before[1], before[2], before[0]))
+    made = make_proxy(3, run=once(before[1], before[2], before[0]))
     asking = client(made)
     asking.dataReceived(put())
     (request,) = made.request_handler.active
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -10,7 +10,7 @@
     make_balancer,
     make_request,
     make_servers,
-    proxy,
+    make_proxy,
     make_process_configuration,
 )
 
@@ -202,7 +202,7 @@
 
 def test_no_classes_and_a_req_of_an_unknown_one_get_an_answer_and_no_more():
     for run in (make_process_configuration(methods=[]), None):
-        made = proxy(2, run=run)
+        made = make_proxy(2, run=run)
         if run is not None:
             made.settings.request_classes.clear()
             made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -1,7 +1,15 @@
 """A thousand nodes in a list and a thousand peers in a configuration: nothing is cut off, nothing falls."""
 
 import msgspec
-from helpers import Transport, entries, get, make_balancer, make_servers, proxy, make_process_configuration
+from helpers import (
+    Transport,
+    entries,
+    get,
+    make_balancer,
+    make_servers,
+    make_proxy,
+    make_process_configuration,
+)
 from loguru import logger
 
 from ivystack.balancing import gossip
@@ -54,7 +62,7 @@
     second.placement.adopt_order(marks, [*second.servers.values()], 0)
     assert [n.name for n in second.placement.slots] == [n.name for n in first.placement.slots]
     agreed = b"".join(marks)
-    taker = proxy(0)
+    taker = make_proxy(0)
     named = zip(entries(32), [*rest, *pair], strict=True)
     taker.endpoints.update([{**one, "instanceId": node.name} for one, node in named], True)
     assert SlotOrder(taker).adopt(agreed) is None
@@ -63,7 +71,7 @@
 
 
 def test_a_thousand_nodes_listed_are_all_homes_and_a_hand_over_tells_of_all():
-    made = proxy(MANY)
+    made = make_proxy(MANY)
     slots = made.balancer.placement.slots
     assert len(slots) == MANY
     homes = {node for key in range(6000) for node in made.balancer.placement.replicas(key, 2)}
@@ -82,7 +90,7 @@
         {"limits": {"peers": True}, "n_instances": MANY, "slot_no": MANY - 1}, type(run.settings.settings)
     ))  # fmt: skip
     run.peers = [("127.0.0.1", 2000 + number) for number in range(MANY)]
-    made = proxy(3, run=run)
+    made = make_proxy(3, run=run)
     assert len(made.gossip.allowed_senders) == MANY and len(made.balancer.gossip.peers) == MANY - 1
     for node in made.balancer.servers.values():
         made.balancer.gossip.note(node, GossipedOutcome.FAILED, 0)
@@ -91,7 +99,7 @@
 
 
 def test_more_nodes_than_descriptors_cost_a_try_never_the_process():
-    made = proxy(300, sockets=64)
+    made = make_proxy(300, sockets=64)
     most = made.server_pools.max_connections
     made.server_pools.set_limits(64, 1 << 20)
     client = made.client_server.buildProtocol(None)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,7 +1,7 @@
 """What the log tells of one request and of the end of a client's connection."""
 
 import pytest
-from helpers import client, get, encode_hit, link, proxy
+from helpers import client, get, encode_hit, link, make_proxy
 from loguru import logger
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -30,7 +30,7 @@
 
 
 def test_each_step_of_a_request_is_logged_with_its_id(traced):
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get(b"r1"))
     link(made).dataReceived(encode_hit())
@@ -39,7 +39,7 @@
 
 
 def test_what_is_refused_or_left_open_says_why(traced):
-    made = proxy(0)
+    made = make_proxy(0)
     asking = client(made)
     asking.dataReceived(get(b"r2", fields=b"c=nosuch,d=9"))
     assert steps(traced, "r2") == ["not-admitted"]
@@ -50,14 +50,14 @@
 
 
 def test_nothing_is_logged_of_a_request_while_the_trace_is_off(lines):
-    made = proxy()
+    made = make_proxy()
     client(made).dataReceived(get(b"r4"))
     link(made).dataReceived(encode_hit())
     assert steps(lines, "r4") == []
 
 
 def test_the_end_of_a_connection_tells_a_half_read_command_and_bytes_that_came_too_late(lines):
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     asking.dataReceived(get(b"r5")[:20])
     asking.close_after_writes("idle")
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from helpers import S, client, get, encode_hit, link, proxy
+from helpers import S, client, get, encode_hit, link, make_proxy
 from ivystack.standin.apart import Node
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -19,7 +19,7 @@
 
 def begun(count=1, head=HEAD, **limits):
     """A long write whose first piece has gone to its node."""
-    made = proxy(count, **limits)
+    made = make_proxy(count, **limits)
     asking = client(made)
     asking.dataReceived(head + LONG[:1000])
     return made, asking, link(made)
@@ -74,7 +74,7 @@
 
 
 def test_while_no_piece_has_gone_out_it_goes_to_another_node():
-    made = proxy(3)
+    made = make_proxy(3)
     asking = client(made)
     asking.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.producerState == "paused"  # until there is a connection
@@ -148,7 +148,7 @@
 
 
 def test_what_can_not_be_used_is_answered_at_once_and_read_to_its_end():
-    made = proxy()
+    made = make_proxy()
     asking = client(made)
     for head in (HEAD.replace(b"c=pay", b"c=pax"), HEAD.replace(b"$1\r\n1", b"$0\r\n")):
         asking.dataReceived(head + LONG[:10])
@@ -163,7 +163,7 @@
 
 
 def test_with_nowhere_to_go_it_is_nacked_within_an_eighth_of_its_time():
-    made = proxy(1)
+    made = make_proxy(1)
     made.balancer.servers["n0"].health.consecutive_failures = 2
     made.balancer.servers["n0"].health.next_probe_at = made.now() + 100 * S
     asking = client(made)
