--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -233,7 +233,7 @@
     return made
 
 
-def client(of):
+def connect_client(of):
     made = of.client_server.buildProtocol(None)
     made.makeConnection(Transport())
     return made
--- a/tests/test_client_state.py
+++ b/tests/test_client_state.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from helpers import S, client, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, get, encode_hit, link, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -58,7 +58,7 @@
 
 def test_a_connections_state_follows_its_commands_and_responses():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     server = made.client_server
     assert asking.state is ClientState.UNUSED and [*server.unused_connections] == [asking]
     asking.dataReceived(get()[:10])
@@ -75,7 +75,7 @@
 
 def test_a_connection_that_was_to_close_is_as_before_once_a_command_has_arrived():
     made = make_proxy()
-    unused, used = client(made), client(made)
+    unused, used = connect_client(made), connect_client(made)
     used.dataReceived(encode_command(b"PING"))
     for one in (unused, used):
         one.close_when_idle("idle")
@@ -88,7 +88,7 @@
 
 def test_input_is_closed_exactly_while_no_commands_are_accepted():
     made = make_proxy()
-    failing, aborting, lost = client(made), client(made), client(made)
+    failing, aborting, lost = connect_client(made), connect_client(made), connect_client(made)
     ends = [
         (failing, lambda: failing.dataReceived(get() + b"?\r\n"), ClientState.CLOSING),
         (aborting, lambda: aborting.abort("slow-reader"), ClientState.ABORTED),
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import client, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import connect_client, get, encode_hit, link, make_proxy, make_process_configuration
 from moments import Moment, Node, gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
@@ -296,7 +296,7 @@
 
 def test_a_request_whose_client_goes_while_it_is_taken_goes_nowhere():
     made = make_proxy(0)  # no node: it waits
-    asking = client(made)
+    asking = connect_client(made)
     true_run_due = made.request_handler.run_due
 
     def leaves() -> None:  # as where another's ending cuts short what this client is being passed on
@@ -340,7 +340,7 @@
     made.terminate()
     begun = made.now()
     made.reactor.advance(1.2)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,t=t,d=900"))
     (active,) = made.request_handler.requests.values()
     assert active.request.deadline < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
@@ -430,7 +430,7 @@
 
 def leaving(made):
     """A client whose end lies unread in the kernel: it shows when somebody looks."""
-    asking = client(made)
+    asking = connect_client(made)
 
     def look() -> bool:
         if asking.slot in made.client_server.connections:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, entries, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import S, connect_client, entries, get, encode_hit, link, make_proxy, make_process_configuration
 from test_operators import answered, left
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import StringTransport
@@ -192,7 +192,7 @@
 
 def test_idle_connections_to_nodes_beyond_the_half_are_closed():
     made = make_proxy()
-    asking = [client(made) for _ in range(4)]
+    asking = [connect_client(made) for _ in range(4)]
     for number, one in enumerate(asking):
         one.dataReceived(get(b"%d" % number))
     links = [link(made, number) for number in range(4)]
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import METHODS
-from helpers import client, encode_hit, make_proxy, make_process_configuration
+from helpers import connect_client, encode_hit, make_proxy, make_process_configuration
 from moments import Agent, Moment, Node, gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
@@ -130,7 +130,7 @@
 def test_reqs_of_one_client_that_are_due_in_the_turn_of_its_end_are_not_sent_on():
     # Ending the first one's attempt settles what is due, and the second one is due just then.
     made = make_proxy(3)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(gets(2))
     first, second = made.request_handler.active
     seen, where = [], made.balancer.route
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
 import re
 
-from helpers import S, client, entries, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, entries, get, encode_hit, link, make_proxy
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -52,7 +52,7 @@
 
 def test_a_req_is_answered_with_the_value_as_it_came():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     made.reactor.advance(0.01)
     node = link(made)
@@ -70,7 +70,7 @@
 
 def test_answers_go_out_in_the_order_of_the_commands():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(encode_hit(b"second"))
@@ -81,7 +81,7 @@
 
 def test_ready_only_with_a_node_to_send_to():
     made = make_proxy(0)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took().startswith(b"-ERR")
     made.endpoints.update(entries(1), True)
@@ -94,7 +94,7 @@
 def test_strange_bytes_end_their_connection_after_what_is_owed():
     # Guards against losing the req before them, and against reading on in what is no command.
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
     assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
     link(made).dataReceived(encode_hit())
@@ -103,7 +103,7 @@
 
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), encode_command(b"OBJ.GET", b"1")):
         asking.dataReceived(text)
         assert asking.transport.took().startswith(b"-ERR ")
@@ -113,7 +113,7 @@
 def test_a_client_with_many_open_commands_is_not_read_on():
     # Guards the memory against a client that asks faster than it can be answered.
     made = make_proxy(4)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
     assert asking.transport.producerState == "paused" and asking.commands_received == asking.MAX_PENDING
 
@@ -122,7 +122,7 @@
     # Guards the memory: hundreds of clients may each have some values of 64 KiB open.
     made = make_proxy()
     made.client_server.value_bytes = made.client_server.max_value_bytes + 1
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     assert asking.transport.took() == b"-BUSY\r\n"
     made.client_server.value_bytes = 0
@@ -134,7 +134,7 @@
 
 def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     node.dataReceived(b"?\r\n" + encode_hit())
@@ -148,14 +148,14 @@
     made = make_proxy()
     outcomes = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
     assert outcomes == [Outcome.OVERLOADED]
 
 
 def test_a_client_that_does_not_read_is_cut_off():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(encode_command(b"PING"))
     asking.pauseProducing()  # as the transport does when it can't pass on more
     made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
@@ -164,7 +164,7 @@
 
 def test_a_client_that_reads_again_is_read_again():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.pauseProducing()
     asking.resumeProducing()
     made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
@@ -174,7 +174,7 @@
 
 def test_a_client_that_went_away_ends_its_reqs():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     node = link(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
@@ -188,12 +188,12 @@
 def test_with_no_room_the_client_idle_longest_makes_way():
     made = make_proxy()
     made.client_server.max_connections = 2
-    first, second = client(made), client(made)
+    first, second = connect_client(made), connect_client(made)
     first.dataReceived(get(b"1"))
     second.dataReceived(get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
         link(made, number).dataReceived(encode_hit())
-    client(made)
+    connect_client(made)
     assert first.transport.disconnecting and not second.transport.disconnecting
 
 
@@ -201,12 +201,12 @@
     # Guards usual clients against hundreds that connect and say nothing, or half a command.
     made = make_proxy()
     made.client_server.max_connections = 3
-    usual, silent, half = client(made), client(made), client(made)
+    usual, silent, half = connect_client(made), connect_client(made), connect_client(made)
     usual.dataReceived(get())
     link(made).dataReceived(encode_hit())
     half.dataReceived(get()[:-2])
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
-    client(made), client(made)
+    connect_client(made), connect_client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
     assert usual.commands_received == 1 and not usual.transport.disconnecting
 
@@ -215,14 +215,14 @@
     # Guards usual clients that need seconds for a command: they came before the silent ones.
     made = make_proxy()
     made.client_server.max_connections = 3
-    slow = client(made)
+    slow = connect_client(made)
     made.reactor.advance(1)
-    silent, half = client(made), client(made)
+    silent, half = connect_client(made), connect_client(made)
     half.dataReceived(b"*")
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
     for at in range(0, 50, 10):
         slow.dataReceived(get()[at : at + 10])
-    client(made), client(made)
+    connect_client(made), connect_client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
     slow.dataReceived(get()[50:])
     link(made).dataReceived(encode_hit())
@@ -232,17 +232,17 @@
 def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
     made = make_proxy(4, streams_per_conn=1, may_duplicate=True)
     made.client_server.max_connections = 96
-    idle = [client(made) for _ in range(12)]
+    idle = [connect_client(made) for _ in range(12)]
     for one in idle:
         one.dataReceived(encode_command(b"PING"))
     made.reactor.advance(made.client_server.SHORT_IDLE_TIMEOUT / S)
     assert not any(one.transport.disconnecting for one in idle)
     for _ in range(40):
-        one = client(made)
+        one = connect_client(made)
         one.dataReceived(b"*4")
         one.pending.add()
         made.client_server.unused_connections.pop(one, None)
-    last = client(made)
+    last = connect_client(made)
     last.dataReceived(encode_command(b"PING"))
     assert sum(one.code == "idle" for one in idle) >= 10
 
@@ -250,7 +250,7 @@
 def test_silent_and_half_said_clients_are_closed_and_usual_ones_stay():
     # Guards the descriptors: such clients would hold them for good.
     made = make_proxy()
-    silent, half, later, usual = (client(made) for _ in range(4))
+    silent, half, later, usual = (connect_client(made) for _ in range(4))
     half.dataReceived(get()[:-3])
     for one in (later, usual):
         one.dataReceived(encode_command(b"PING"))
@@ -266,7 +266,7 @@
 def test_no_id_and_an_id_in_use_get_an_error_and_no_value():
     # Guards against answering one client's req with what was made for another's.
     made = make_proxy()
-    asking, other = client(made), client(made)
+    asking, other = connect_client(made), connect_client(made)
     asking.dataReceived(get(b"1"))
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
         other.dataReceived(get(ident, key))
@@ -281,7 +281,7 @@
 
 def test_an_answer_out_of_time_is_given_up_with_its_connection():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     made.reactor.advance(0.6)
@@ -293,7 +293,7 @@
 
 def test_a_connection_that_breaks_means_it_may_have_run():
     made = make_proxy(3)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
     link(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n"  # never again, and no word that it is harmless
@@ -301,7 +301,7 @@
 
 def test_a_refused_connection_means_it_never_ran():
     made = make_proxy(3)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     assert len(made.reactor.tcpClients) == 2  # it goes to another node
@@ -311,7 +311,7 @@
     made = make_proxy()
     ended = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     made.reactor.advance(0.3)
     assert ended == [Outcome.CONNECTION_REFUSED]
 
@@ -319,7 +319,7 @@
 def test_an_end_is_told_once_whatever_comes_after():
     made = make_proxy()
     ended = []
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     node = link(made)
     attempt = node.in_flight[0]
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
@@ -332,7 +332,7 @@
 def test_a_second_copys_answer_calls_off_the_first():
     made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
     slow = link(made)
     made.reactor.advance(0.6)
@@ -347,7 +347,7 @@
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
     # Guards against keeping connections to a hung node, which answers nothing.
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     made.reactor.advance(0.6)
@@ -360,7 +360,7 @@
 
 def test_nothing_that_waits_goes_to_a_node_that_drains():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     made.endpoints.update(entries(1, "DRAINING"), False)
     node = link(made)
@@ -371,7 +371,7 @@
 
 def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     made.endpoints.update(entries(1, "DRAINING"), False)
@@ -382,7 +382,7 @@
 
 def test_idle_connections_are_closed_before_the_node_does():
     made = make_proxy()
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     node = link(made)
     node.dataReceived(encode_hit())
     made.reactor.advance(8.1)
@@ -393,7 +393,7 @@
     made = make_proxy(2)
     pools = made.server_pools
     pools.max_connections = 1
-    asking = client(made)
+    asking = connect_client(made)
     for key in range(40):  # until both nodes have been met
         asking.dataReceived(get(key=b"%x" % key))
         if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
@@ -417,7 +417,7 @@
 
 def test_failing_decisions_end_their_req_as_a_failure_and_the_proxy_goes_on():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     whole = made.balancer.route
     made.balancer.route = None
     asking.dataReceived(get())
@@ -433,7 +433,7 @@
     made = make_proxy()
     made.endpoint_watch.request_watch = lambda: None
     made.start()
-    idle, asking = client(made), client(made)
+    idle, asking = connect_client(made), connect_client(made)
     made.terminate()
     asking.dataReceived(get(fields=b"c=read,d=900"))
     node = link(made)
@@ -525,7 +525,7 @@
     made.balancer.record_outcome = lambda sent, outcome, *more: seen.append(outcome) or whole(
         sent, outcome, *more
     )
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     link(made).dataReceived(encode_hit())
     assert seen == [Outcome.SUCCEEDED]
 
@@ -533,7 +533,7 @@
 def test_a_connection_that_says_nothing_more_condemns_the_idle_ones():
     # Guards against a machine that was cut off: it resets the connections it no longer knows when it is back.
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     silent, quick = link(made, 0), link(made, 1)
     quick.dataReceived(encode_hit())
@@ -544,7 +544,7 @@
 def crowd(made):
     """Five reqs of one key, on two connections to the one node, and the client."""
     made.server_pools.PIPELINE_FROM = 2
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
     links = [link(made, 0), link(made, 1)]
     for ident in (b"3", b"4", b"5"):
@@ -615,7 +615,7 @@
 def test_a_bad_load_report_does_not_spoil_the_value():
     for report in (b"?\r\n", b"$5000\r\n", b"*1\r\n$1\r\n{\r\n"):
         made = make_proxy()
-        asking = client(made)
+        asking = connect_client(made)
         asking.dataReceived(get())
         link(made).dataReceived(encode_hit()[:-5] + report)
         assert asking.transport.took() == b"$1\r\nv\r\n"
@@ -625,10 +625,10 @@
     # Guards against a second copy or noise behind an answer: the next req went out before it was read.
     for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
         made = make_proxy()
-        asking = client(made)
+        asking = connect_client(made)
         asking.dataReceived(get(b"1"))
         node = link(made)
-        client(made).dataReceived(get(b"2"))
+        connect_client(made).dataReceived(get(b"2"))
         node.dataReceived(encode_hit() + more)
         assert asking.transport.took() == b"$1\r\nv\r\n" and node.transport.disconnected
         assert b"$1\r\n2\r\n" not in node.transport.took()
@@ -646,7 +646,7 @@
 def test_a_req_that_a_node_cannot_use_is_sent_to_no_other():
     # Guards against holding a client's fault against one node after the other.
     made = make_proxy(3)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     link(made).dataReceived(b"-ERR bad request\r\n")
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
@@ -658,7 +658,7 @@
 def test_what_is_known_of_a_node_goes_with_it():
     # Guards the memory: a fleet that is replaced all day has ever new ids.
     made = make_proxy(2)
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     busy = link(made)
     for number in range(50):
         made.endpoints.update(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
@@ -675,7 +675,7 @@
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
     # Guards against taking a node out because connections kept for long end under the next attempt.
     made = make_proxy()
-    asking, outcomes = client(made), outcomes_of(made)
+    asking, outcomes = connect_client(made), outcomes_of(made)
     asking.dataReceived(get(b"1"))
     link(made).dataReceived(encode_hit())
     asking.dataReceived(get(b"2"))
@@ -690,7 +690,7 @@
 
 def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     node.dataReceived(encode_hit(b"v" * 400_000))
@@ -707,7 +707,7 @@
     asking = []
     for number in range(5):
         made.reactor.advance(1)
-        asking.append(client(made))
+        asking.append(connect_client(made))
         asking[-1].dataReceived(get(b"%d" % number))
         for one in [*made.server_pools.connections.values()] or [link(made)]:
             if one.in_flight:
@@ -720,7 +720,7 @@
 
 def test_a_nodes_load_report_reaches_the_pick():
     made = make_proxy(2, REPORTS)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
     link(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
@@ -737,13 +737,13 @@
     strange = b'{ [3] 5 {"active":-1} {"active":1e999} {"active":"x"}'.split()
     for report in (*strange, b"", b"9" * 70_000):
         made = make_proxy(1, REPORTS)
-        asking = client(made)
+        asking = connect_client(made)
         asking.dataReceived(get())
         link(made).dataReceived(encode_hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = make_proxy(1)  # nor is one read that the settings do not name
-    client(made).dataReceived(get())
+    connect_client(made).dataReceived(get())
     link(made).dataReceived(encode_hit(report=b'{"active":50}'))
     assert made.balancer.servers["n0"].load == 0
 
@@ -752,7 +752,7 @@
     # Guards against a quick answer that waits behind a slow one, and against a bound below what is out there.
     made = make_proxy(1, streams_per_conn=1, may_duplicate=True)
     made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(10)))
     links = [link(made, i) for i in range(len(made.reactor.tcpClients))]
     assert len(links) == 10
@@ -779,7 +779,7 @@
         made.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
             values[-1]
         ) or after(*values)
-        asked = client(made)
+        asked = connect_client(made)
         asked.dataReceived(get())
         link(made).dataReceived(b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n")
         assert seen == [told]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
 """The operators' address and sending clients away."""
 
-from helpers import S, Transport, client, entries, get, encode_hit, link, make_proxy
+from helpers import S, Transport, connect_client, entries, get, encode_hit, link, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -36,7 +36,7 @@
     """Connections of clients that have had an answer, the longest idle first."""
     asking = []
     for _ in range(count):
-        asking.append(client(made))
+        asking.append(connect_client(made))
         asking[-1].dataReceived(PING)
         asking[-1].transport.clear()
     return asking
@@ -105,7 +105,7 @@
 
 def test_in_a_drain_answer_and_end_go_out_together_and_ping_says_no():
     made = serving()
-    busy, late = client(made), client(made)
+    busy, late = connect_client(made), connect_client(made)
     busy.dataReceived(get(b"1", fields=b"c=read,d=900"))
     node = link(made)
     ask(made, "POST /_lameduck/on")
@@ -113,7 +113,7 @@
     assert not busy.transport.disconnecting
     node.dataReceived(encode_hit())
     assert busy.transport.took() == b"$1\r\nv\r\n" and busy.transport.disconnecting and busy.code == "drained"
-    new = client(made)  # the front may send some for a while: it is served, and then closed
+    new = connect_client(made)  # the front may send some for a while: it is served, and then closed
     new.dataReceived(PING)
     assert new.transport.took() == b"-ERR draining\r\n" and new.transport.disconnecting
     assert late.transport.disconnecting  # had said nothing
@@ -121,7 +121,7 @@
 
 def test_commands_that_came_together_are_all_answered_before_the_end():
     made = serving()
-    asking = client(made)
+    asking = connect_client(made)
     ask(made, "POST /_lameduck/on")
     asking.dataReceived(PING + get(b"1") + PING)
     link(made).dataReceived(encode_hit())
@@ -187,7 +187,7 @@
 def test_nothing_is_taken_any_more_when_sigkill_could_find_it():
     # SIGKILL comes 0.7 s after the longest deadline: what is taken later than that may still be held then.
     made = serving()
-    slow = client(made)
+    slow = connect_client(made)
     slow.dataReceived(get()[:-4])
     made.terminate()
     made.reactor.pump([0.02] * 34)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from helpers import client, get, encode_hit, link, make_proxy
+from helpers import connect_client, get, encode_hit, link, make_proxy
 from ivystack.standin.apart import Node
 from test_net import Reader
 from twisted.internet.error import ConnectionDone, ConnectionLost
@@ -62,7 +62,7 @@
 def asked(count=1, **limits):
     """A req out on a connection to its node."""
     made = make_proxy(count, **limits)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
     return made, asking, link(made)
 
@@ -113,7 +113,7 @@
 
 def test_an_answer_whose_turn_has_not_come_waits_at_the_node():
     made = make_proxy(1)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
@@ -128,7 +128,7 @@
 def test_the_first_copy_to_begin_wins_and_the_other_is_called_off():
     made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
     slow = link(made)
     made.reactor.advance(0.6)
@@ -159,7 +159,7 @@
 def test_what_is_owed_behind_one_that_is_cut_short_is_not_sent_on():
     # Its client can't be answered any more and sends it once more elsewhere: here it must not run after that.
     made = make_proxy(2)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get())
     node = link(made)
     node.dataReceived(HEAD + LONG[:9000])
@@ -192,7 +192,7 @@
 
 def test_one_that_breaks_before_its_turn_is_a_plain_failure():
     made = make_proxy(1)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
     first, second = link(made, 0), link(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
@@ -219,7 +219,7 @@
 def test_those_behind_it_on_the_connection_are_answered_though_its_client_left():
     made = make_proxy(1, may_duplicate=True, streams_per_conn=100)
     made.server_pools.PIPELINE_FROM = 1
-    asking, other = client(made), client(made)
+    asking, other = connect_client(made), connect_client(made)
     asking.dataReceived(get(b"0"))
     node = link(made)
     node.dataReceived(encode_hit())
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import S, client, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import S, connect_client, get, encode_hit, link, make_proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -26,7 +26,7 @@
 
 
 def ask(made, ident, fields=b"c=read,d=900"):
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(ident, fields=fields))
     return asking
 
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,7 +1,7 @@
 """Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
-from helpers import S, client, entries, encode_hit, link, make_proxy, make_process_configuration
+from helpers import S, connect_client, entries, encode_hit, link, make_proxy, make_process_configuration
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -55,7 +55,7 @@
 
 def severed(made, after):
     """The first attempt was sent; so many milliseconds later it is possibly executed, and a retry waits."""
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(put())
     first = link(made)
     assert b"mark" in written(made)
@@ -103,7 +103,7 @@
     made.settings.request_classes["mark"].attempt_times.extend(
         [100 * MS] * 8
     )  # so that a hedge is sent at half of the time
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(put(wait=1000))
     pass_by(made, 490)
     assert len(made.reactor.tcpClients) == 1
@@ -118,7 +118,7 @@
 
 def test_an_attempt_that_waits_for_a_process_that_has_gone_is_decided_anew():
     made = make_proxy(1, run=once(idempotency="side_effect"))
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(put())
     waits = next(iter(made.request_handler.in_flight))
     made.endpoints.update(entries(1, startedAtMs=999_999), True)
@@ -275,7 +275,7 @@
 ])  # fmt: skip
 def test_of_two_meanings_the_stricter_holds_for_requests_in_flight_at_sighup(before, now, held):
     made = make_proxy(3, run=once(before[1], before[2], before[0]))
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(put())
     (request,) = made.request_handler.active
     made.reload(once(now[1], now[2], now[0]))
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import (
     S,
-    client,
+    connect_client,
     get,
     make_balancer,
     make_request,
@@ -206,7 +206,7 @@
         if run is not None:
             made.settings.request_classes.clear()
             made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
-        asks = client(made)
+        asks = connect_client(made)
         asks.dataReceived(get(fields=b"c=other,t=t,d=500"))
         assert (
             asks.transport.took().startswith(b"-ERR")
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,7 +1,7 @@
 """What the log tells of one request and of the end of a client's connection."""
 
 import pytest
-from helpers import client, get, encode_hit, link, make_proxy
+from helpers import connect_client, get, encode_hit, link, make_proxy
 from loguru import logger
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -31,7 +31,7 @@
 
 def test_each_step_of_a_request_is_logged_with_its_id(traced):
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"r1"))
     link(made).dataReceived(encode_hit())
     assert steps(traced, "r1") == ["admitted", "attempt", "sent", "ended", "answered"]
@@ -40,7 +40,7 @@
 
 def test_what_is_refused_or_left_open_says_why(traced):
     made = make_proxy(0)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"r2", fields=b"c=nosuch,d=9"))
     assert steps(traced, "r2") == ["not-admitted"]
     asking.dataReceived(get(b"r3"))
@@ -51,14 +51,14 @@
 
 def test_nothing_is_logged_of_a_request_while_the_trace_is_off(lines):
     made = make_proxy()
-    client(made).dataReceived(get(b"r4"))
+    connect_client(made).dataReceived(get(b"r4"))
     link(made).dataReceived(encode_hit())
     assert steps(lines, "r4") == []
 
 
 def test_the_end_of_a_connection_tells_a_half_read_command_and_bytes_that_came_too_late(lines):
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(get(b"r5")[:20])
     asking.close_after_writes("idle")
     asking.dataReceived(get(b"r5")[20:])
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from helpers import S, client, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, get, encode_hit, link, make_proxy
 from ivystack.standin.apart import Node
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -20,7 +20,7 @@
 def begun(count=1, head=HEAD, **limits):
     """A long write whose first piece has gone to its node."""
     made = make_proxy(count, **limits)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(head + LONG[:1000])
     return made, asking, link(made)
 
@@ -75,7 +75,7 @@
 
 def test_while_no_piece_has_gone_out_it_goes_to_another_node():
     made = make_proxy(3)
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.producerState == "paused"  # until there is a connection
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
@@ -149,7 +149,7 @@
 
 def test_what_can_not_be_used_is_answered_at_once_and_read_to_its_end():
     made = make_proxy()
-    asking = client(made)
+    asking = connect_client(made)
     for head in (HEAD.replace(b"c=pay", b"c=pax"), HEAD.replace(b"$1\r\n1", b"$0\r\n")):
         asking.dataReceived(head + LONG[:10])
         assert asking.transport.took().startswith(b"-ERR ")
@@ -157,7 +157,7 @@
     asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took() == b"+PONG\r\n" and not made.reactor.tcpClients
     for bad in (HEAD.replace(b"OBJ.SET", b"OBJ.GET"), HEAD.replace(b"$262144", b"$%d" % (MAX_VALUE + 1))):
-        asking = client(made)
+        asking = connect_client(made)
         asking.dataReceived(bad)
         assert asking.transport.took() == b"-ERR too long\r\n" and asking.transport.disconnecting
 
@@ -166,7 +166,7 @@
     made = make_proxy(1)
     made.balancer.servers["n0"].health.consecutive_failures = 2
     made.balancer.servers["n0"].health.next_probe_at = made.now() + 100 * S
-    asking = client(made)
+    asking = connect_client(made)
     asking.dataReceived(HEAD + LONG[:1000])
     made.reactor.pump([0.01] * 12)
     assert asking.transport.took() == b"-BUSY\r\n"
@@ -187,7 +187,7 @@
 def test_nothing_goes_behind_half_a_write():
     made, asking, node = begun(may_duplicate=True, streams_per_conn=100)
     made.server_pools.PIPELINE_FROM = 1
-    other = client(made)
+    other = connect_client(made)
     other.dataReceived(get(b"2"))
     assert node.transport.took() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
 
