--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -239,7 +239,7 @@
     return made
 
 
-def link(of, number=-1):
+def open_server_connection(of, number=-1):
     """The connection that the proxy asked for, come up."""
     made = of.reactor.tcpClients[number][2].buildProtocol(None)
     made.makeConnection(Transport())
--- a/tests/test_client_state.py
+++ b/tests/test_client_state.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from helpers import S, connect_client, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, get, encode_hit, open_server_connection, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -65,7 +65,7 @@
     assert asking.state is ClientState.UNUSED
     asking.dataReceived(get()[10:])
     assert asking.state is ClientState.ACTIVE and not server.unused_connections
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert asking.state is ClientState.IDLE and [*server.idle_connections] == [asking]
     asking.dataReceived(b"*")
     assert asking.state is ClientState.ACTIVE and not server.idle_connections
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -11,7 +11,14 @@
 from typing import Any
 
 import pytest
-from helpers import connect_client, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import (
+    connect_client,
+    get,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+    make_process_configuration,
+)
 from moments import Moment, Node, gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
@@ -445,7 +452,7 @@
     made = make_proxy(2)
     asking = leaving(made)
     asking.dataReceived(get(b"1"))
-    first = link(made)
+    first = open_server_connection(made)
     assert len(made.reactor.tcpClients) == 1
     first.dataReceived(b"-ERR failed\r\n")
     assert (
@@ -461,7 +468,7 @@
     asking = leaving(made)
     asking.dataReceived(get(b"1"))
     made.reactor.advance(0.1)
-    assert link(made).transport.took() == b""
+    assert open_server_connection(made).transport.took() == b""
     assert (
         not made.request_handler.requests
         and not made.request_handler.in_flight
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -2,7 +2,16 @@
 
 import msgspec
 import pytest
-from helpers import S, connect_client, entries, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import (
+    S,
+    connect_client,
+    entries,
+    get,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+    make_process_configuration,
+)
 from test_operators import answered, left
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import StringTransport
@@ -162,7 +171,7 @@
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
         one.dataReceived(get(b"%d" % number))
-    links = [link(made, number) for number in range(4)]
+    links = [open_server_connection(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(encode_hit())
     made.limits = 64, made.limits[1]
@@ -195,7 +204,7 @@
     asking = [connect_client(made) for _ in range(4)]
     for number, one in enumerate(asking):
         one.dataReceived(get(b"%d" % number))
-    links = [link(made, number) for number in range(4)]
+    links = [open_server_connection(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(encode_hit())
     made.server_pools.set_limits(6, 1 << 20)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
 import re
 
-from helpers import S, connect_client, entries, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, entries, get, encode_hit, open_server_connection, make_proxy
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -55,7 +55,7 @@
     asking = connect_client(made)
     asking.dataReceived(get())
     made.reactor.advance(0.01)
-    node = link(made)
+    node = open_server_connection(made)
     assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
     node.dataReceived(encode_hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
@@ -72,7 +72,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
-    first, second = link(made, 0), link(made, 1)
+    first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(encode_hit(b"second"))
     assert asking.transport.took() == b""
     first.dataReceived(encode_hit(b"first"))
@@ -97,7 +97,7 @@
     asking = connect_client(made)
     asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
     assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
 
 
@@ -128,7 +128,7 @@
     made.client_server.value_bytes = 0
     asking.dataReceived(get())
     assert made.client_server.value_bytes > 0
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert made.client_server.value_bytes == 0
 
 
@@ -136,7 +136,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     node.dataReceived(b"?\r\n" + encode_hit())
     assert node.transport.disconnected and asking.transport.took() == b""
     node.connectionLost(Failure(ConnectionDone()))
@@ -176,7 +176,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
-    node = link(made, 0)
+    node = open_server_connection(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
     assert (
         not made.request_handler.requests
@@ -192,7 +192,7 @@
     first.dataReceived(get(b"1"))
     second.dataReceived(get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
-        link(made, number).dataReceived(encode_hit())
+        open_server_connection(made, number).dataReceived(encode_hit())
     connect_client(made)
     assert first.transport.disconnecting and not second.transport.disconnecting
 
@@ -203,7 +203,7 @@
     made.client_server.max_connections = 3
     usual, silent, half = connect_client(made), connect_client(made), connect_client(made)
     usual.dataReceived(get())
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     half.dataReceived(get()[:-2])
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
     connect_client(made), connect_client(made)
@@ -225,7 +225,7 @@
     connect_client(made), connect_client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
     slow.dataReceived(get()[50:])
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert slow.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -271,7 +271,7 @@
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
         other.dataReceived(get(ident, key))
         assert other.transport.took().startswith(b"-ERR ")
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert (
         asking.transport.took() == b"$1\r\nv\r\n"
         and other.transport.took() == b""
@@ -283,7 +283,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and node.transport.disconnected
     node.connectionLost(Failure(ConnectionDone()))
@@ -295,7 +295,7 @@
     made = make_proxy(3)
     asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
-    link(made).connectionLost(Failure(ConnectionLost()))
+    open_server_connection(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n"  # never again, and no word that it is harmless
 
 
@@ -320,7 +320,7 @@
     made = make_proxy()
     ended = []
     connect_client(made).dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     attempt = node.in_flight[0]
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
     made.server_pools.cancel(attempt)
@@ -334,9 +334,9 @@
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
-    slow = link(made)
+    slow = open_server_connection(made)
     made.reactor.advance(0.6)
-    quick = link(made)
+    quick = open_server_connection(made)
     assert quick is not slow and quick.in_flight
     quick.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
@@ -349,7 +349,7 @@
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and not node.transport.disconnected
     asking.dataReceived(get(b"2"))
@@ -363,7 +363,7 @@
     asking = connect_client(made)
     asking.dataReceived(get())
     made.endpoints.update(entries(1, "DRAINING"), False)
-    node = link(made)
+    node = open_server_connection(made)
     assert node.transport.took() == b"" and node.transport.disconnecting
     made.reactor.advance(0.5)
     assert asking.transport.took() == b"-BUSY\r\n"
@@ -373,7 +373,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     made.endpoints.update(entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
     node.dataReceived(encode_hit())
@@ -383,7 +383,7 @@
 def test_idle_connections_are_closed_before_the_node_does():
     made = make_proxy()
     connect_client(made).dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     node.dataReceived(encode_hit())
     made.reactor.advance(8.1)
     assert node.transport.disconnecting and node.code == "idle" and not made.server_pools.pools["n0"].idle
@@ -399,7 +399,11 @@
         if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
         if made.reactor.tcpClients and not pools.idle_connections:
-            node = link(made) if not pools.connections[0].is_connected else pools.connections[0]
+            node = (
+                open_server_connection(made)
+                if not pools.connections[0].is_connected
+                else pools.connections[0]
+            )
             node.dataReceived(encode_hit())
     made.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
     assert len(made.reactor.tcpClients) == 2
@@ -436,7 +440,7 @@
     idle, asking = connect_client(made), connect_client(made)
     made.terminate()
     asking.dataReceived(get(fields=b"c=read,d=900"))
-    node = link(made)
+    node = open_server_connection(made)
     made.reactor.pump([0.02] * 30)
     assert idle.transport.disconnecting and not asking.transport.disconnecting
     node.dataReceived(encode_hit())
@@ -526,7 +530,7 @@
         sent, outcome, *more
     )
     connect_client(made).dataReceived(get())
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert seen == [Outcome.SUCCEEDED]
 
 
@@ -535,7 +539,7 @@
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
-    silent, quick = link(made, 0), link(made, 1)
+    silent, quick = open_server_connection(made, 0), open_server_connection(made, 1)
     quick.dataReceived(encode_hit())
     made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
     assert silent.transport.disconnected and quick.code == "suspect"
@@ -546,7 +550,7 @@
     made.server_pools.PIPELINE_FROM = 2
     asking = connect_client(made)
     asking.dataReceived(get(b"1") + get(b"2"))
-    links = [link(made, 0), link(made, 1)]
+    links = [open_server_connection(made, 0), open_server_connection(made, 1)]
     for ident in (b"3", b"4", b"5"):
         asking.dataReceived(get(ident))
     return asking, links
@@ -617,7 +621,7 @@
         made = make_proxy()
         asking = connect_client(made)
         asking.dataReceived(get())
-        link(made).dataReceived(encode_hit()[:-5] + report)
+        open_server_connection(made).dataReceived(encode_hit()[:-5] + report)
         assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -627,7 +631,7 @@
         made = make_proxy()
         asking = connect_client(made)
         asking.dataReceived(get(b"1"))
-        node = link(made)
+        node = open_server_connection(made)
         connect_client(made).dataReceived(get(b"2"))
         node.dataReceived(encode_hit() + more)
         assert asking.transport.took() == b"$1\r\nv\r\n" and node.transport.disconnected
@@ -648,7 +652,7 @@
     made = make_proxy(3)
     asking = connect_client(made)
     asking.dataReceived(get())
-    link(made).dataReceived(b"-ERR bad request\r\n")
+    open_server_connection(made).dataReceived(b"-ERR bad request\r\n")
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
     assert not any(
         node.health.consecutive_failures or node.class_failures for node in made.balancer.servers.values()
@@ -659,7 +663,7 @@
     # Guards the memory: a fleet that is replaced all day has ever new ids.
     made = make_proxy(2)
     connect_client(made).dataReceived(get())
-    busy = link(made)
+    busy = open_server_connection(made)
     for number in range(50):
         made.endpoints.update(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
         made.endpoints.update(entries(1, "DELETED", instanceId=f"x{number}"), False)
@@ -677,11 +681,11 @@
     made = make_proxy()
     asking, outcomes = connect_client(made), outcomes_of(made)
     asking.dataReceived(get(b"1"))
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     asking.dataReceived(get(b"2"))
     made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
     asking.dataReceived(get(b"3"))
-    link(made).connectionLost(Failure(ConnectionLost()))
+    open_server_connection(made).connectionLost(Failure(ConnectionLost()))
     assert (
         outcomes[:3] == [Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.CONNECTION_LOST]
         and made.balancer.servers["n0"].health.consecutive_failures == 1
@@ -692,7 +696,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     node.dataReceived(encode_hit(b"v" * 400_000))
     assert len(asking.transport.took()) > 400_000
     asking.dataReceived(get(b"2"))
@@ -709,7 +713,7 @@
         made.reactor.advance(1)
         asking.append(connect_client(made))
         asking[-1].dataReceived(get(b"%d" % number))
-        for one in [*made.server_pools.connections.values()] or [link(made)]:
+        for one in [*made.server_pools.connections.values()] or [open_server_connection(made)]:
             if one.in_flight:
                 one.dataReceived(encode_hit())
     assert [one.code for one in asking] == ["idle", "idle", None, None, None]
@@ -723,7 +727,7 @@
     asking = connect_client(made)
     asking.dataReceived(get())
     loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
-    link(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
+    open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
     assert loaded.load == 50
     now = made.now()
     picks = [
@@ -739,12 +743,12 @@
         made = make_proxy(1, REPORTS)
         asking = connect_client(made)
         asking.dataReceived(get())
-        link(made).dataReceived(encode_hit(report=report))
+        open_server_connection(made).dataReceived(encode_hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = make_proxy(1)  # nor is one read that the settings do not name
     connect_client(made).dataReceived(get())
-    link(made).dataReceived(encode_hit(report=b'{"active":50}'))
+    open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50}'))
     assert made.balancer.servers["n0"].load == 0
 
 
@@ -754,7 +758,7 @@
     made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
     asking = connect_client(made)
     asking.dataReceived(b"".join(get(b"%d" % i) for i in range(10)))
-    links = [link(made, i) for i in range(len(made.reactor.tcpClients))]
+    links = [open_server_connection(made, i) for i in range(len(made.reactor.tcpClients))]
     assert len(links) == 10
     assert all(one.transport.took().count(b"OBJ.GET") == 1 for one in links)
 
@@ -781,5 +785,7 @@
         ) or after(*values)
         asked = connect_client(made)
         asked.dataReceived(get())
-        link(made).dataReceived(b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n")
+        open_server_connection(made).dataReceived(
+            b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n"
+        )
         assert seen == [told]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
 """The operators' address and sending clients away."""
 
-from helpers import S, Transport, connect_client, entries, get, encode_hit, link, make_proxy
+from helpers import S, Transport, connect_client, entries, get, encode_hit, open_server_connection, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -107,7 +107,7 @@
     made = serving()
     busy, late = connect_client(made), connect_client(made)
     busy.dataReceived(get(b"1", fields=b"c=read,d=900"))
-    node = link(made)
+    node = open_server_connection(made)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 20)
     assert not busy.transport.disconnecting
@@ -124,7 +124,7 @@
     asking = connect_client(made)
     ask(made, "POST /_lameduck/on")
     asking.dataReceived(PING + get(b"1") + PING)
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
     assert asking.transport.disconnecting
 
@@ -141,7 +141,7 @@
     for more in parts:
         made.client_server.drain.close_batch(*more)
     assert parts and not asking.transport.disconnecting
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and asking.transport.disconnecting
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from helpers import connect_client, get, encode_hit, link, make_proxy
+from helpers import connect_client, get, encode_hit, open_server_connection, make_proxy
 from ivystack.standin.apart import Node
 from test_net import Reader
 from twisted.internet.error import ConnectionDone, ConnectionLost
@@ -64,7 +64,7 @@
     made = make_proxy(count, **limits)
     asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
-    return made, asking, link(made)
+    return made, asking, open_server_connection(made)
 
 
 def test_a_long_answer_goes_out_as_it_comes_and_the_last_of_it_once_it_proves_whole():
@@ -115,7 +115,7 @@
     made = make_proxy(1)
     asking = connect_client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
-    first, second = link(made, 0), link(made, 1)
+    first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.took() == b"" and second.transport.producerState == "paused"
     first.dataReceived(encode_hit(b"first"))
@@ -130,9 +130,9 @@
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = connect_client(made)
     asking.dataReceived(get(fields=b"c=read,d=900"))
-    slow = link(made)
+    slow = open_server_connection(made)
     made.reactor.advance(0.6)
-    quick = link(made)
+    quick = open_server_connection(made)
     quick.dataReceived(HEAD + LONG[:10])
     slow.dataReceived(encode_hit(LONG))
     quick.dataReceived(LONG[10:] + TAIL)
@@ -161,7 +161,7 @@
     made = make_proxy(2)
     asking = connect_client(made)
     asking.dataReceived(get())
-    node = link(made)
+    node = open_server_connection(made)
     node.dataReceived(HEAD + LONG[:9000])
     asking.dataReceived(get(b"2", b"80") + get(b"3", b"81"))  # their connections do not come up
     assert len(made.request_handler.requests) == 2 and len(made.reactor.tcpClients) > 1
@@ -173,7 +173,7 @@
         and not made.client_server.request_ids
     )
     for number in range(1, len(made.reactor.tcpClients)):
-        assert link(made, number).transport.value() == b""
+        assert open_server_connection(made, number).transport.value() == b""
     assert not asking.pending and made.client_server.value_bytes == 0
     asking.connectionLost(Failure(ConnectionDone()))
     assert not made.client_server.connections
@@ -194,7 +194,7 @@
     made = make_proxy(1)
     asking = connect_client(made)
     asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
-    first, second = link(made, 0), link(made, 1)
+    first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     second.connectionLost(Failure(ConnectionLost()))
     first.dataReceived(encode_hit())
@@ -221,7 +221,7 @@
     made.server_pools.PIPELINE_FROM = 1
     asking, other = connect_client(made), connect_client(made)
     asking.dataReceived(get(b"0"))
-    node = link(made)
+    node = open_server_connection(made)
     node.dataReceived(encode_hit())
     asking.dataReceived(get(b"1", fields=b"c=read,d=900"))
     other.dataReceived(get(b"2", fields=b"c=read,d=900"))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,15 @@
 
 import msgspec
 import pytest
-from helpers import S, connect_client, get, encode_hit, link, make_proxy, make_process_configuration
+from helpers import (
+    S,
+    connect_client,
+    get,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+    make_process_configuration,
+)
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -37,7 +45,7 @@
     unknown = ask(made, b"0", b"c=none,d=900").transport.took()
     assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
     asking = ask(made, b"2", b"c=new,d=900")
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
 
@@ -48,7 +56,7 @@
     # Nodes may go by either file by now: what either forbids is not done.
     made = make_proxy(3, run=make_process_configuration(methods=[sheet("read", before)]))
     asking = ask(made, b"1")
-    first = link(made)
+    first = open_server_connection(made)
     made.reload(make_process_configuration(methods=[sheet("read", now, 10**8)]))
     req = next(iter(made.request_handler.active))
     assert (
@@ -60,7 +68,7 @@
     first.connectionLost(Failure(ConnectionLost()))  # it may have run
     assert (len(made.reactor.tcpClients) > before) is again
     if again:
-        link(made).dataReceived(encode_hit())
+        open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == (b"$1\r\nv\r\n" if again else b"-ERR failed\r\n")
 
 
@@ -72,7 +80,7 @@
     asking = ask(made, b"1")
     assert next(iter(made.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
     before = len(made.reactor.tcpClients)
-    link(made).connectionLost(Failure(ConnectionLost()))
+    open_server_connection(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
 
 
@@ -80,7 +88,7 @@
     for most, outs in ((3, 2), (1, 1)):
         made = make_proxy(3)
         asking = ask(made, b"1")
-        first = link(made)
+        first = open_server_connection(made)
         made.reload(make_process_configuration(most_write_outs=most))
         first.connectionLost(Failure(ConnectionLost()))
         assert len(made.reactor.tcpClients) == outs
@@ -92,7 +100,7 @@
     made = make_proxy()
     node = made.balancer.servers["n0"]
     ask(made, b"1")
-    link(made).dataReceived(b"-ERR failed\r\n")
+    open_server_connection(made).dataReceived(b"-ERR failed\r\n")
     assert len(node.class_failures) == 1
     ask(made, b"2")
     old = made.settings.request_classes["read"]
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,7 +1,15 @@
 """Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
 
 import pytest
-from helpers import S, connect_client, entries, encode_hit, link, make_proxy, make_process_configuration
+from helpers import (
+    S,
+    connect_client,
+    entries,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+    make_process_configuration,
+)
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -57,7 +65,7 @@
     """The first attempt was sent; so many milliseconds later it is possibly executed, and a retry waits."""
     asking = connect_client(made)
     asking.dataReceived(put())
-    first = link(made)
+    first = open_server_connection(made)
     assert b"mark" in written(made)
     pass_by(made, after)
     before = len(made.reactor.tcpClients)
@@ -73,7 +81,7 @@
     made = make_proxy(3, run=once(group, streams_per_conn=streams))
     asking = severed(made, 250)
     pass_by(made, 49)  # 300 ms since the first was decided
-    link(made)
+    open_server_connection(made)
     assert written(made) == b"" and asking.transport.took().startswith(answer)
     assert not made.request_handler.in_flight and not made.request_handler.requests
 
@@ -82,7 +90,7 @@
     made = make_proxy(3, run=once())
     asking = severed(made, 250)
     pass_by(made, 40)
-    other = link(made)
+    other = open_server_connection(made)
     assert b"mark" in written(made)
     other.dataReceived(encode_hit(b"receipt"))
     assert asking.transport.took() == b"$7\r\nreceipt\r\n"
@@ -93,7 +101,7 @@
     made = make_proxy(3, run=once())
     severed(made, 250)
     made.reactor.rightNow += 0.2  # with no call made
-    late = link(made)
+    late = open_server_connection(made)
     assert written(made) == b"" and late in made.server_pools.idle_connections  # it serves others
 
 
@@ -108,10 +116,10 @@
     pass_by(made, 490)
     assert len(made.reactor.tcpClients) == 1
     pass_by(made, 12)
-    second = link(made, 1)
+    second = open_server_connection(made, 1)
     assert b"mark" in second.transport.value()
     pass_by(made, 210)
-    assert link(made, 0).transport.value() == b""
+    assert open_server_connection(made, 0).transport.value() == b""
     second.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
@@ -162,7 +170,7 @@
     # The node's second copy of its first -BUSY comes when the next attempt is out: that one runs.
     of = Attempts(semantics)
     of.go()
-    wire = link(of.made)
+    wire = open_server_connection(of.made)
     assert of.said(wire, BUSY) == [Outcome.OVERLOADED]
     pass_by(of.made, gap // 2)
     of.go()
@@ -178,7 +186,7 @@
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.made.server_pools.PIPELINE_FROM = 1
     of.go()
-    wire = link(of.made)
+    wire = open_server_connection(of.made)
     of.go()
     of.go()
     assert len(wire.in_flight) == 3
@@ -193,7 +201,7 @@
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.made.server_pools.PIPELINE_FROM = 1
     of.go()
-    wire = link(of.made)
+    wire = open_server_connection(of.made)
     of.go()
     of.made.server_pools.cancel(wire.in_flight[0])
     assert of.said(wire, BUSY + BUSY) == [Outcome.CANCELLED]
@@ -204,7 +212,7 @@
     of = Attempts(Idempotency.KEYED)
     of.made.server_pools.PIPELINE_FROM = 1
     of.go()
-    wire = link(of.made)
+    wire = open_server_connection(of.made)
     far, near = of.made.now() + 4 * S, of.made.now() + S
     of.go(send_by=far)
     assert len(wire.in_flight) == 2  # in so long a time it gets there, or is given up
@@ -221,7 +229,7 @@
         of = Attempts(Idempotency.NOT_IDEMPOTENT)
         of.made.server_pools.cache_aside = aside
         of.go()
-        assert of.said(link(of.made), lacks) == [outcome]
+        assert of.said(open_server_connection(of.made), lacks) == [outcome]
 
 
 @pytest.mark.parametrize(
@@ -244,7 +252,7 @@
     # Only a -BUSY, or an incomplete sending, proves that it was not executed (PROTOCOL, the nodes' table).
     of = Attempts(Idempotency.NOT_IDEMPOTENT)
     of.go()
-    assert of.said(link(of.made), answer) == [outcome]
+    assert of.said(open_server_connection(of.made), answer) == [outcome]
     assert (outcome in retry_policy.NEVER_EXECUTED) is (
         answer.startswith(b"-BUSY") and answer != b"-BUSYING\r\n"
     )
@@ -255,7 +263,7 @@
         of = Attempts(Idempotency.NOT_IDEMPOTENT)
         out = of.go()
         if written_first:
-            lost(link(of.made))
+            lost(open_server_connection(of.made))
         else:
             pass_by(of.made, 1001)
         ((of_whom, outcome),) = of.ends
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,7 +1,7 @@
 """What the log tells of one request and of the end of a client's connection."""
 
 import pytest
-from helpers import connect_client, get, encode_hit, link, make_proxy
+from helpers import connect_client, get, encode_hit, open_server_connection, make_proxy
 from loguru import logger
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -33,7 +33,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(get(b"r1"))
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert steps(traced, "r1") == ["admitted", "attempt", "sent", "ended", "answered"]
     assert "answer=value" in traced[-1] and "attempts=in-flight" in traced[-1]
 
@@ -52,7 +52,7 @@
 def test_nothing_is_logged_of_a_request_while_the_trace_is_off(lines):
     made = make_proxy()
     connect_client(made).dataReceived(get(b"r4"))
-    link(made).dataReceived(encode_hit())
+    open_server_connection(made).dataReceived(encode_hit())
     assert steps(lines, "r4") == []
 
 
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from helpers import S, connect_client, get, encode_hit, link, make_proxy
+from helpers import S, connect_client, get, encode_hit, open_server_connection, make_proxy
 from ivystack.standin.apart import Node
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -22,7 +22,7 @@
     made = make_proxy(count, **limits)
     asking = connect_client(made)
     asking.dataReceived(head + LONG[:1000])
-    return made, asking, link(made)
+    return made, asking, open_server_connection(made)
 
 
 def test_a_long_write_goes_out_as_it_comes_and_its_last_byte_once_the_clients_has_come():
@@ -79,7 +79,7 @@
     asking.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.producerState == "paused"  # until there is a connection
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    node = link(made, 1)
+    node = open_server_connection(made, 1)
     assert node.transport.took() == HEAD + LONG[:1000] and asking.transport.producerState == "producing"
 
 
