--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -246,7 +246,7 @@
     return made
 
 
-def get(ident=b"1", key=b"7f", fields=b"c=read,t=t,d=500"):
+def encode_get(ident=b"1", key=b"7f", fields=b"c=read,t=t,d=500"):
     return encode_command(b"OBJ.GET", key, ident, fields)
 
 
--- a/tests/test_client_state.py
+++ b/tests/test_client_state.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from helpers import S, connect_client, get, encode_hit, open_server_connection, make_proxy
+from helpers import S, connect_client, encode_get, encode_hit, open_server_connection, make_proxy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -61,9 +61,9 @@
     asking = connect_client(made)
     server = made.client_server
     assert asking.state is ClientState.UNUSED and [*server.unused_connections] == [asking]
-    asking.dataReceived(get()[:10])
+    asking.dataReceived(encode_get()[:10])
     assert asking.state is ClientState.UNUSED
-    asking.dataReceived(get()[10:])
+    asking.dataReceived(encode_get()[10:])
     assert asking.state is ClientState.ACTIVE and not server.unused_connections
     open_server_connection(made).dataReceived(encode_hit())
     assert asking.state is ClientState.IDLE and [*server.idle_connections] == [asking]
@@ -80,7 +80,7 @@
     for one in (unused, used):
         one.close_when_idle("idle")
         assert one.state is ClientState.CLOSING_WHEN_IDLE and one.may_close()
-        one.dataReceived(get()[:10])
+        one.dataReceived(encode_get()[:10])
         assert not one.may_close() and one.code is None
     assert (unused.state, used.state) == (ClientState.UNUSED, ClientState.ACTIVE)
     assert [*made.client_server.unused_connections] == [unused] and not made.client_server.closing_connections
@@ -90,7 +90,7 @@
     made = make_proxy()
     failing, aborting, lost = connect_client(made), connect_client(made), connect_client(made)
     ends = [
-        (failing, lambda: failing.dataReceived(get() + b"?\r\n"), ClientState.CLOSING),
+        (failing, lambda: failing.dataReceived(encode_get() + b"?\r\n"), ClientState.CLOSING),
         (aborting, lambda: aborting.abort("slow-reader"), ClientState.ABORTED),
         (lost, lambda: lost.connectionLost(Failure(ConnectionDone())), ClientState.CLOSED),
     ]
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -13,7 +13,7 @@
 import pytest
 from helpers import (
     connect_client,
-    get,
+    encode_get,
     encode_hit,
     open_server_connection,
     make_proxy,
@@ -311,7 +311,7 @@
         made.client_server.abandon_pending(asking)
 
     made.request_handler.run_due = leaves
-    asking.dataReceived(get(b"1"))
+    asking.dataReceived(encode_get(b"1"))
     assert (
         not made.request_handler.requests
         and not made.request_handler.active
@@ -348,7 +348,7 @@
     begun = made.now()
     made.reactor.advance(1.2)
     asking = connect_client(made)
-    asking.dataReceived(get(b"1", fields=b"c=read,t=t,d=900"))
+    asking.dataReceived(encode_get(b"1", fields=b"c=read,t=t,d=900"))
     (active,) = made.request_handler.requests.values()
     assert active.request.deadline < begun + 1_000_000 + 700_000  # the longest deadline is 1 s here
 
@@ -451,7 +451,7 @@
 def test_nothing_is_tried_again_for_a_client_whose_end_lies_unread():
     made = make_proxy(2)
     asking = leaving(made)
-    asking.dataReceived(get(b"1"))
+    asking.dataReceived(encode_get(b"1"))
     first = open_server_connection(made)
     assert len(made.reactor.tcpClients) == 1
     first.dataReceived(b"-ERR failed\r\n")
@@ -466,7 +466,7 @@
 def test_what_waited_for_a_connection_is_not_written_for_a_client_whose_end_lies_unread():
     made = make_proxy(1)
     asking = leaving(made)
-    asking.dataReceived(get(b"1"))
+    asking.dataReceived(encode_get(b"1"))
     made.reactor.advance(0.1)
     assert open_server_connection(made).transport.took() == b""
     assert (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -6,7 +6,7 @@
     S,
     connect_client,
     entries,
-    get,
+    encode_get,
     encode_hit,
     open_server_connection,
     make_proxy,
@@ -170,7 +170,7 @@
     made.client_server.max_connections = 100
     asking = answered(made, 100)
     for number, one in enumerate(asking[:4]):
-        one.dataReceived(get(b"%d" % number))
+        one.dataReceived(encode_get(b"%d" % number))
     links = [open_server_connection(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(encode_hit())
@@ -203,7 +203,7 @@
     made = make_proxy()
     asking = [connect_client(made) for _ in range(4)]
     for number, one in enumerate(asking):
-        one.dataReceived(get(b"%d" % number))
+        one.dataReceived(encode_get(b"%d" % number))
     links = [open_server_connection(made, number) for number in range(4)]
     for one in links:
         one.dataReceived(encode_hit())
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 import pytest
-from helpers import encode_bulk, encode_command, get
+from helpers import encode_bulk, encode_command, encode_get
 from test_main import connected, free_port, started  # noqa: F401  a fixture
 
 from ivystack.migrate import main
@@ -188,7 +188,7 @@
     clients = [connected(port) for _ in range(most)]
     for turn in range(3):
         for i, one in enumerate(clients):
-            one.sendall(get(b"%d-%d" % (turn, i), fields=b"c=read,d=5000"))
+            one.sendall(encode_get(b"%d-%d" % (turn, i), fields=b"c=read,d=5000"))
         got = {one.recv(100) for one in clients}
         assert got == {b"$2\r\n%d\r\n" % (10 + most * turn + i) for i in range(most)}
         agent.next.set()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
 import re
 
-from helpers import S, connect_client, entries, get, encode_hit, open_server_connection, make_proxy
+from helpers import S, connect_client, entries, encode_get, encode_hit, open_server_connection, make_proxy
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -53,10 +53,10 @@
 def test_a_req_is_answered_with_the_value_as_it_came():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     made.reactor.advance(0.01)
     node = open_server_connection(made)
-    assert node.transport.took() == get(fields=b"c=read,t=t,d=490")
+    assert node.transport.took() == encode_get(fields=b"c=read,t=t,d=490")
     node.dataReceived(encode_hit(b"a\r\n\0"))
     assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
     assert (
@@ -64,14 +64,14 @@
         and not made.request_handler.in_flight
         and not made.request_handler.active
     )
-    asking.dataReceived(get(b"2"))  # the connection is used again
+    asking.dataReceived(encode_get(b"2"))  # the connection is used again
     assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
 
 
 def test_answers_go_out_in_the_order_of_the_commands():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get(b"1") + get(b"2") + encode_command(b"PING"))
+    asking.dataReceived(encode_get(b"1") + encode_get(b"2") + encode_command(b"PING"))
     first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(encode_hit(b"second"))
     assert asking.transport.took() == b""
@@ -95,7 +95,7 @@
     # Guards against losing the req before them, and against reading on in what is no command.
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get() + b"GET / HTTP/1.1\r\n\r\n" + get(b"2"))
+    asking.dataReceived(encode_get() + b"GET / HTTP/1.1\r\n\r\n" + encode_get(b"2"))
     assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
     open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
@@ -104,7 +104,11 @@
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
     made = make_proxy()
     asking = connect_client(made)
-    for text in (get(fields=b"c=none,d=5"), get(fields=b"c=read"), encode_command(b"OBJ.GET", b"1")):
+    for text in (
+        encode_get(fields=b"c=none,d=5"),
+        encode_get(fields=b"c=read"),
+        encode_command(b"OBJ.GET", b"1"),
+    ):
         asking.dataReceived(text)
         assert asking.transport.took().startswith(b"-ERR ")
     assert not asking.transport.disconnecting and not made.request_handler.requests
@@ -114,7 +118,7 @@
     # Guards the memory against a client that asks faster than it can be answered.
     made = make_proxy(4)
     asking = connect_client(made)
-    asking.dataReceived(b"".join(get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
+    asking.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
     assert asking.transport.producerState == "paused" and asking.commands_received == asking.MAX_PENDING
 
 
@@ -123,10 +127,10 @@
     made = make_proxy()
     made.client_server.value_bytes = made.client_server.max_value_bytes + 1
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     assert asking.transport.took() == b"-BUSY\r\n"
     made.client_server.value_bytes = 0
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     assert made.client_server.value_bytes > 0
     open_server_connection(made).dataReceived(encode_hit())
     assert made.client_server.value_bytes == 0
@@ -135,7 +139,7 @@
 def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(b"?\r\n" + encode_hit())
     assert node.transport.disconnected and asking.transport.took() == b""
@@ -148,7 +152,7 @@
     made = make_proxy()
     outcomes = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
     assert outcomes == [Outcome.OVERLOADED]
 
@@ -175,7 +179,7 @@
 def test_a_client_that_went_away_ends_its_reqs():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get(b"1") + get(b"2"))
+    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
     node = open_server_connection(made, 0)
     asking.connectionLost(Failure(ConnectionDone()))
     assert (
@@ -189,8 +193,8 @@
     made = make_proxy()
     made.client_server.max_connections = 2
     first, second = connect_client(made), connect_client(made)
-    first.dataReceived(get(b"1"))
-    second.dataReceived(get(b"2") + encode_command(b"PING"))
+    first.dataReceived(encode_get(b"1"))
+    second.dataReceived(encode_get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
         open_server_connection(made, number).dataReceived(encode_hit())
     connect_client(made)
@@ -202,9 +206,9 @@
     made = make_proxy()
     made.client_server.max_connections = 3
     usual, silent, half = connect_client(made), connect_client(made), connect_client(made)
-    usual.dataReceived(get())
+    usual.dataReceived(encode_get())
     open_server_connection(made).dataReceived(encode_hit())
-    half.dataReceived(get()[:-2])
+    half.dataReceived(encode_get()[:-2])
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
     connect_client(made), connect_client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
@@ -221,10 +225,10 @@
     half.dataReceived(b"*")
     made.reactor.advance(made.client_server.MIN_SILENCE / S)
     for at in range(0, 50, 10):
-        slow.dataReceived(get()[at : at + 10])
+        slow.dataReceived(encode_get()[at : at + 10])
     connect_client(made), connect_client(made)
     assert silent.transport.disconnecting and half.transport.disconnecting
-    slow.dataReceived(get()[50:])
+    slow.dataReceived(encode_get()[50:])
     open_server_connection(made).dataReceived(encode_hit())
     assert slow.transport.took() == b"$1\r\nv\r\n"
 
@@ -251,7 +255,7 @@
     # Guards the descriptors: such clients would hold them for good.
     made = make_proxy()
     silent, half, later, usual = (connect_client(made) for _ in range(4))
-    half.dataReceived(get()[:-3])
+    half.dataReceived(encode_get()[:-3])
     for one in (later, usual):
         one.dataReceived(encode_command(b"PING"))
     later.dataReceived(b"*2")
@@ -267,9 +271,9 @@
     # Guards against answering one client's req with what was made for another's.
     made = make_proxy()
     asking, other = connect_client(made), connect_client(made)
-    asking.dataReceived(get(b"1"))
+    asking.dataReceived(encode_get(b"1"))
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
-        other.dataReceived(get(ident, key))
+        other.dataReceived(encode_get(ident, key))
         assert other.transport.took().startswith(b"-ERR ")
     open_server_connection(made).dataReceived(encode_hit())
     assert (
@@ -282,7 +286,7 @@
 def test_an_answer_out_of_time_is_given_up_with_its_connection():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and node.transport.disconnected
@@ -294,7 +298,7 @@
 def test_a_connection_that_breaks_means_it_may_have_run():
     made = make_proxy(3)
     asking = connect_client(made)
-    asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     open_server_connection(made).connectionLost(Failure(ConnectionLost()))
     assert asking.transport.took() == b"-ERR failed\r\n"  # never again, and no word that it is harmless
 
@@ -302,7 +306,7 @@
 def test_a_refused_connection_means_it_never_ran():
     made = make_proxy(3)
     asking = connect_client(made)
-    asking.dataReceived(get(fields=b"c=pay,t=t,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     assert len(made.reactor.tcpClients) == 2  # it goes to another node
 
@@ -311,7 +315,7 @@
     made = make_proxy()
     ended = []
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     made.reactor.advance(0.3)
     assert ended == [Outcome.CONNECTION_REFUSED]
 
@@ -319,7 +323,7 @@
 def test_an_end_is_told_once_whatever_comes_after():
     made = make_proxy()
     ended = []
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     node = open_server_connection(made)
     attempt = node.in_flight[0]
     made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
@@ -333,7 +337,7 @@
     made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = connect_client(made)
-    asking.dataReceived(get(fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
     slow = open_server_connection(made)
     made.reactor.advance(0.6)
     quick = open_server_connection(made)
@@ -348,11 +352,11 @@
     # Guards against keeping connections to a hung node, which answers nothing.
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     made.reactor.advance(0.6)
     assert asking.transport.took() == b"-BUSY\r\n" and not node.transport.disconnected
-    asking.dataReceived(get(b"2"))
+    asking.dataReceived(encode_get(b"2"))
     assert b"$1\r\n2\r\n" not in node.transport.took()
     made.reactor.advance(made.server_pools.ABANDONED_TIMEOUT / S)
     assert node.transport.disconnected and node.code == "out-of-time"
@@ -361,7 +365,7 @@
 def test_nothing_that_waits_goes_to_a_node_that_drains():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     made.endpoints.update(entries(1, "DRAINING"), False)
     node = open_server_connection(made)
     assert node.transport.took() == b"" and node.transport.disconnecting
@@ -372,7 +376,7 @@
 def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     made.endpoints.update(entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
@@ -382,7 +386,7 @@
 
 def test_idle_connections_are_closed_before_the_node_does():
     made = make_proxy()
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(encode_hit())
     made.reactor.advance(8.1)
@@ -395,7 +399,7 @@
     pools.max_connections = 1
     asking = connect_client(made)
     for key in range(40):  # until both nodes have been met
-        asking.dataReceived(get(key=b"%x" % key))
+        asking.dataReceived(encode_get(key=b"%x" % key))
         if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
         if made.reactor.tcpClients and not pools.idle_connections:
@@ -424,11 +428,11 @@
     asking = connect_client(made)
     whole = made.balancer.route
     made.balancer.route = None
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     assert asking.transport.took() == b"-ERR failed\r\n"
     made.balancer.route = whole
     made.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
-    asking.dataReceived(get(b"2"))
+    asking.dataReceived(encode_get(b"2"))
     made.reactor.pump([0.05] * 12)
     assert asking.transport.took() != b"" and not made.request_handler.requests
 
@@ -439,7 +443,7 @@
     made.start()
     idle, asking = connect_client(made), connect_client(made)
     made.terminate()
-    asking.dataReceived(get(fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
     node = open_server_connection(made)
     made.reactor.pump([0.02] * 30)
     assert idle.transport.disconnecting and not asking.transport.disconnecting
@@ -529,7 +533,7 @@
     made.balancer.record_outcome = lambda sent, outcome, *more: seen.append(outcome) or whole(
         sent, outcome, *more
     )
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     open_server_connection(made).dataReceived(encode_hit())
     assert seen == [Outcome.SUCCEEDED]
 
@@ -538,7 +542,7 @@
     # Guards against a machine that was cut off: it resets the connections it no longer knows when it is back.
     made = make_proxy(may_duplicate=True, streams_per_conn=100)
     asking = connect_client(made)
-    asking.dataReceived(get(b"1") + get(b"2"))
+    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
     silent, quick = open_server_connection(made, 0), open_server_connection(made, 1)
     quick.dataReceived(encode_hit())
     made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
@@ -549,10 +553,10 @@
     """Five reqs of one key, on two connections to the one node, and the client."""
     made.server_pools.PIPELINE_FROM = 2
     asking = connect_client(made)
-    asking.dataReceived(get(b"1") + get(b"2"))
+    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
     links = [open_server_connection(made, 0), open_server_connection(made, 1)]
     for ident in (b"3", b"4", b"5"):
-        asking.dataReceived(get(ident))
+        asking.dataReceived(encode_get(ident))
     return asking, links
 
 
@@ -587,7 +591,7 @@
     asking, links = crowd(made)
     for one in links:
         made.server_pools.cancel(one.in_flight[0])
-    asking.dataReceived(get(b"6"))
+    asking.dataReceived(encode_get(b"6"))
     assert len(made.reactor.tcpClients) == 3
 
 
@@ -620,7 +624,7 @@
     for report in (b"?\r\n", b"$5000\r\n", b"*1\r\n$1\r\n{\r\n"):
         made = make_proxy()
         asking = connect_client(made)
-        asking.dataReceived(get())
+        asking.dataReceived(encode_get())
         open_server_connection(made).dataReceived(encode_hit()[:-5] + report)
         assert asking.transport.took() == b"$1\r\nv\r\n"
 
@@ -630,9 +634,9 @@
     for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
         made = make_proxy()
         asking = connect_client(made)
-        asking.dataReceived(get(b"1"))
+        asking.dataReceived(encode_get(b"1"))
         node = open_server_connection(made)
-        connect_client(made).dataReceived(get(b"2"))
+        connect_client(made).dataReceived(encode_get(b"2"))
         node.dataReceived(encode_hit() + more)
         assert asking.transport.took() == b"$1\r\nv\r\n" and node.transport.disconnected
         assert b"$1\r\n2\r\n" not in node.transport.took()
@@ -651,7 +655,7 @@
     # Guards against holding a client's fault against one node after the other.
     made = make_proxy(3)
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     open_server_connection(made).dataReceived(b"-ERR bad request\r\n")
     assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
     assert not any(
@@ -662,7 +666,7 @@
 def test_what_is_known_of_a_node_goes_with_it():
     # Guards the memory: a fleet that is replaced all day has ever new ids.
     made = make_proxy(2)
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     busy = open_server_connection(made)
     for number in range(50):
         made.endpoints.update(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
@@ -680,11 +684,11 @@
     # Guards against taking a node out because connections kept for long end under the next attempt.
     made = make_proxy()
     asking, outcomes = connect_client(made), outcomes_of(made)
-    asking.dataReceived(get(b"1"))
+    asking.dataReceived(encode_get(b"1"))
     open_server_connection(made).dataReceived(encode_hit())
-    asking.dataReceived(get(b"2"))
+    asking.dataReceived(encode_get(b"2"))
     made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
-    asking.dataReceived(get(b"3"))
+    asking.dataReceived(encode_get(b"3"))
     open_server_connection(made).connectionLost(Failure(ConnectionLost()))
     assert (
         outcomes[:3] == [Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.CONNECTION_LOST]
@@ -695,11 +699,11 @@
 def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
     made = make_proxy()
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(encode_hit(b"v" * 400_000))
     assert len(asking.transport.took()) > 400_000
-    asking.dataReceived(get(b"2"))
+    asking.dataReceived(encode_get(b"2"))
     node.dataReceived(b"*3\r\n$900000000\r\n")
     assert node.code == "strange: too long"
 
@@ -712,7 +716,7 @@
     for number in range(5):
         made.reactor.advance(1)
         asking.append(connect_client(made))
-        asking[-1].dataReceived(get(b"%d" % number))
+        asking[-1].dataReceived(encode_get(b"%d" % number))
         for one in [*made.server_pools.connections.values()] or [open_server_connection(made)]:
             if one.in_flight:
                 one.dataReceived(encode_hit())
@@ -725,7 +729,7 @@
 def test_a_nodes_load_report_reaches_the_pick():
     made = make_proxy(2, REPORTS)
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
     open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
     assert loaded.load == 50
@@ -742,12 +746,12 @@
     for report in (*strange, b"", b"9" * 70_000):
         made = make_proxy(1, REPORTS)
         asking = connect_client(made)
-        asking.dataReceived(get())
+        asking.dataReceived(encode_get())
         open_server_connection(made).dataReceived(encode_hit(report=report))
         assert asking.transport.took() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = make_proxy(1)  # nor is one read that the settings do not name
-    connect_client(made).dataReceived(get())
+    connect_client(made).dataReceived(encode_get())
     open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50}'))
     assert made.balancer.servers["n0"].load == 0
 
@@ -757,7 +761,7 @@
     made = make_proxy(1, streams_per_conn=1, may_duplicate=True)
     made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
     asking = connect_client(made)
-    asking.dataReceived(b"".join(get(b"%d" % i) for i in range(10)))
+    asking.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(10)))
     links = [open_server_connection(made, i) for i in range(len(made.reactor.tcpClients))]
     assert len(links) == 10
     assert all(one.transport.took().count(b"OBJ.GET") == 1 for one in links)
@@ -784,7 +788,7 @@
             values[-1]
         ) or after(*values)
         asked = connect_client(made)
-        asked.dataReceived(get())
+        asked.dataReceived(encode_get())
         open_server_connection(made).dataReceived(
             b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n"
         )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,15 @@
 """The operators' address and sending clients away."""
 
-from helpers import S, Transport, connect_client, entries, get, encode_hit, open_server_connection, make_proxy
+from helpers import (
+    S,
+    Transport,
+    connect_client,
+    entries,
+    encode_get,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+)
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -106,7 +115,7 @@
 def test_in_a_drain_answer_and_end_go_out_together_and_ping_says_no():
     made = serving()
     busy, late = connect_client(made), connect_client(made)
-    busy.dataReceived(get(b"1", fields=b"c=read,d=900"))
+    busy.dataReceived(encode_get(b"1", fields=b"c=read,d=900"))
     node = open_server_connection(made)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 20)
@@ -123,7 +132,7 @@
     made = serving()
     asking = connect_client(made)
     ask(made, "POST /_lameduck/on")
-    asking.dataReceived(PING + get(b"1") + PING)
+    asking.dataReceived(PING + encode_get(b"1") + PING)
     open_server_connection(made).dataReceived(encode_hit())
     assert asking.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
     assert asking.transport.disconnecting
@@ -136,7 +145,7 @@
     made.client_server.drain.close_batch = lambda *more: parts.append(more)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 60)
-    asking.dataReceived(get(fields=b"c=read,d=900"))  # between the slice that chose it and its end
+    asking.dataReceived(encode_get(fields=b"c=read,d=900"))  # between the slice that chose it and its end
     del made.client_server.drain.close_batch
     for more in parts:
         made.client_server.drain.close_batch(*more)
@@ -166,7 +175,7 @@
     made = serving()
     idle, half, fresh_half = answered(made, 3)
     for one in (half, fresh_half):
-        one.dataReceived(get()[:-4])
+        one.dataReceived(encode_get()[:-4])
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.1] * 21)
     assert all(one.transport.disconnecting for one in (idle, half, fresh_half))
@@ -188,7 +197,7 @@
     # SIGKILL comes 0.7 s after the longest deadline: what is taken later than that may still be held then.
     made = serving()
     slow = connect_client(made)
-    slow.dataReceived(get()[:-4])
+    slow.dataReceived(encode_get()[:-4])
     made.terminate()
     made.reactor.pump([0.02] * 34)
     assert not slow.transport.disconnecting
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from helpers import connect_client, get, encode_hit, open_server_connection, make_proxy
+from helpers import connect_client, encode_get, encode_hit, open_server_connection, make_proxy
 from ivystack.standin.apart import Node
 from test_net import Reader
 from twisted.internet.error import ConnectionDone, ConnectionLost
@@ -63,7 +63,7 @@
     """A req out on a connection to its node."""
     made = make_proxy(count, **limits)
     asking = connect_client(made)
-    asking.dataReceived(get(fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
     return made, asking, open_server_connection(made)
 
 
@@ -80,7 +80,7 @@
     node.dataReceived(TAIL[2:])
     pools = made.server_pools
     assert asking.transport.took() == b"\r\n" and node in pools.idle_connections and not pools.relays
-    asking.dataReceived(get(b"2"))  # both connections are good for more
+    asking.dataReceived(encode_get(b"2"))  # both connections are good for more
     node.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n"
 
@@ -114,7 +114,7 @@
 def test_an_answer_whose_turn_has_not_come_waits_at_the_node():
     made = make_proxy(1)
     asking = connect_client(made)
-    asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(b"1", fields=b"c=read,d=900") + encode_get(b"2", fields=b"c=read,d=900"))
     first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     assert asking.transport.took() == b"" and second.transport.producerState == "paused"
@@ -129,7 +129,7 @@
     made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     asking = connect_client(made)
-    asking.dataReceived(get(fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
     slow = open_server_connection(made)
     made.reactor.advance(0.6)
     quick = open_server_connection(made)
@@ -160,10 +160,10 @@
     # Its client can't be answered any more and sends it once more elsewhere: here it must not run after that.
     made = make_proxy(2)
     asking = connect_client(made)
-    asking.dataReceived(get())
+    asking.dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(HEAD + LONG[:9000])
-    asking.dataReceived(get(b"2", b"80") + get(b"3", b"81"))  # their connections do not come up
+    asking.dataReceived(encode_get(b"2", b"80") + encode_get(b"3", b"81"))  # their connections do not come up
     assert len(made.request_handler.requests) == 2 and len(made.reactor.tcpClients) > 1
     node.connectionLost(Failure(ConnectionLost()))
     assert asking.transport.disconnecting and asking.code == "cut-short"
@@ -193,7 +193,7 @@
 def test_one_that_breaks_before_its_turn_is_a_plain_failure():
     made = make_proxy(1)
     asking = connect_client(made)
-    asking.dataReceived(get(b"1", fields=b"c=read,d=900") + get(b"2", fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(b"1", fields=b"c=read,d=900") + encode_get(b"2", fields=b"c=read,d=900"))
     first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
     second.connectionLost(Failure(ConnectionLost()))
@@ -220,11 +220,11 @@
     made = make_proxy(1, may_duplicate=True, streams_per_conn=100)
     made.server_pools.PIPELINE_FROM = 1
     asking, other = connect_client(made), connect_client(made)
-    asking.dataReceived(get(b"0"))
+    asking.dataReceived(encode_get(b"0"))
     node = open_server_connection(made)
     node.dataReceived(encode_hit())
-    asking.dataReceived(get(b"1", fields=b"c=read,d=900"))
-    other.dataReceived(get(b"2", fields=b"c=read,d=900"))
+    asking.dataReceived(encode_get(b"1", fields=b"c=read,d=900"))
+    other.dataReceived(encode_get(b"2", fields=b"c=read,d=900"))
     assert [one.attempt.request.key for one in node.in_flight] == [127, 127]
     node.dataReceived(HEAD + LONG[:1000])
     made.server_pools.MAX_DISCARDED_BYTES = 0
@@ -249,7 +249,7 @@
 def test_a_second_copy_of_a_long_answer_is_not_the_next_ones():
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG + TAIL)
-    asking.dataReceived(get(b"2"))
+    asking.dataReceived(encode_get(b"2"))
     asking.transport.clear()
     node.dataReceived(HEAD + LONG + TAIL)
     assert asking.transport.took() == b"" and node.transport.disconnected
@@ -277,7 +277,7 @@
     def read(number):
         for again in range(1000):
             with socket.create_connection(at.address, timeout=30) as one:
-                one.sendall(get(b"%d.%d" % (number, again), b"%x" % number, b"c=read,d=5000"))
+                one.sendall(encode_get(b"%d.%d" % (number, again), b"%x" % number, b"c=read,d=5000"))
                 if one.recv(1, socket.MSG_PEEK) != b"$":  # nacked: 16 connections go to a node at once
                     time.sleep(0.05)
                     continue
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -7,7 +7,7 @@
 from helpers import (
     S,
     connect_client,
-    get,
+    encode_get,
     encode_hit,
     open_server_connection,
     make_proxy,
@@ -35,7 +35,7 @@
 
 def ask(made, ident, fields=b"c=read,d=900"):
     asking = connect_client(made)
-    asking.dataReceived(get(ident, fields=fields))
+    asking.dataReceived(encode_get(ident, fields=fields))
     return asking
 
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -6,7 +6,7 @@
 from helpers import (
     S,
     connect_client,
-    get,
+    encode_get,
     make_balancer,
     make_request,
     make_servers,
@@ -207,7 +207,7 @@
             made.settings.request_classes.clear()
             made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
         asks = connect_client(made)
-        asks.dataReceived(get(fields=b"c=other,t=t,d=500"))
+        asks.dataReceived(encode_get(fields=b"c=other,t=t,d=500"))
         assert (
             asks.transport.took().startswith(b"-ERR")
             and not made.request_handler.requests
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -4,7 +4,7 @@
 from helpers import (
     Transport,
     entries,
-    get,
+    encode_get,
     make_balancer,
     make_servers,
     make_proxy,
@@ -105,7 +105,7 @@
     client = made.client_server.buildProtocol(None)
     client.makeConnection(Transport())
     for number in range(30):
-        client.dataReceived(get(b"%d" % number, b"%x" % (number * 7919)))
+        client.dataReceived(encode_get(b"%d" % number, b"%x" % (number * 7919)))
     assert len(made.server_pools.connections) <= made.server_pools.max_connections < most
     made.reactor.advance(2)
     answers = client.transport.took()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from helpers import S, connect_client, get, encode_hit, open_server_connection, make_proxy
+from helpers import S, connect_client, encode_get, encode_hit, open_server_connection, make_proxy
 from ivystack.standin.apart import Node
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -41,7 +41,7 @@
         and not made.request_handler.requests
         and not made.request_handler.in_flight
     )
-    asking.dataReceived(get(b"2"))  # both connections are good for more
+    asking.dataReceived(encode_get(b"2"))  # both connections are good for more
     node.dataReceived(encode_hit())
     assert asking.transport.took() == encode_bulk(b"v")
 
@@ -69,7 +69,7 @@
         asking.dataReceived(sent)
         node.connectionLost(Failure(ConnectionLost()))
         assert asking.transport.took() == answer and len(made.reactor.tcpClients) == 1
-        asking.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + get(b"2"))  # the rest is thrown away
+        asking.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + encode_get(b"2"))  # the rest is thrown away
         assert made.request_handler.active and not asking.transport.disconnecting
 
 
@@ -188,7 +188,7 @@
     made, asking, node = begun(may_duplicate=True, streams_per_conn=100)
     made.server_pools.PIPELINE_FROM = 1
     other = connect_client(made)
-    other.dataReceived(get(b"2"))
+    other.dataReceived(encode_get(b"2"))
     assert node.transport.took() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
 
 
