--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, "tests")
 
-from helpers import entries, make_proxy, make_process_configuration  # noqa: E402
+from helpers import make_entries, make_proxy, make_process_configuration  # noqa: E402
 
 from ivystack.model import Outcome, Request
 from ivystack.balancing.gossip_codec import (  # noqa: E402
@@ -46,7 +46,7 @@
         run.settings = type(run.settings)(1, msgspec.convert(sheet, type(run.settings.settings)))
         run.peers = [("127.0.0.1", 2000 + number) for number in range(count)]
         made = make_proxy(0, run=run)
-        list_ = entries(count)
+        list_ = make_entries(count)
         method = made.settings.request_classes["read"]
         print(f"{count} nodes, {count} peers")
         print(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -201,7 +201,7 @@
     return Door()
 
 
-def entries(count, state="SERVING", **more):
+def make_entries(count, state="SERVING", **more):
     return [
         {"instanceId": f"n{i}", "hostPort": f"127.0.0.9:{7000 + i}", "lifecycle": state, "weight": 1.0} | more
         for i in range(count)
@@ -229,7 +229,7 @@
         run or make_process_configuration(reporting, **limits), reactor, lambda: round(reactor.seconds() * S)
     )
     made.listen = listen
-    made.endpoints.update(entries(count), True)
+    made.endpoints.update(make_entries(count), True)
     return made
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,7 +6,7 @@
 from types import ModuleType
 
 import pytest
-from helpers import Transport, entries, make_proxy
+from helpers import Transport, make_entries, make_proxy
 from test_consensus import playing
 from test_rig import PACKAGE, altered, ivy
 
@@ -292,7 +292,7 @@
         assert order.adopt(bad) == why and order.encode() == other
     awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
     assert order.adopt(awaited) is None and order.encode() == awaited
-    made.endpoints.update(entries(5), True)
+    made.endpoints.update(make_entries(5), True)
     assert order.encode() == awaited + server_hash(made.balancer.servers["n4"])
 
 
@@ -404,7 +404,7 @@
     made = make_proxy(4)
     duty, now = HealthCheckDuty(made), made.now()
     down_at(made, "n1"), down_at(made, "n2")
-    made.endpoints.update(entries(4, state="DRAINING")[2:3], False)
+    made.endpoints.update(make_entries(4, state="DRAINING")[2:3], False)
     duty.request(["n3", "nx"] * 200, now)
     assert [*duty.requested] == ["n3"]
     duty.run_checks(now, lambda: False)
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -176,14 +176,14 @@
 
 def old_process():
     """A proxy with something to tell the next process."""
-    from helpers import S, entries, make_proxy
+    from helpers import S, make_entries, make_proxy
 
     from ivystack.model import FailureState
 
     made = make_proxy(5)
     now, nodes = made.now(), made.balancer.servers
-    made.endpoints.update(entries(1, "DRAINING"), False)
-    made.endpoints.update([entries(3, "DELETED")[2]], False)
+    made.endpoints.update(make_entries(1, "DRAINING"), False)
+    made.endpoints.update([make_entries(3, "DELETED")[2]], False)
     nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
         3,
         now + S,
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -5,7 +5,7 @@
 from helpers import (
     S,
     connect_client,
-    entries,
+    make_entries,
     encode_get,
     encode_hit,
     open_server_connection,
@@ -55,9 +55,9 @@
     now = old.now()
     nodes = old.balancer.servers
     old.endpoints.update(
-        entries(1, "DRAINING"), False
+        make_entries(1, "DRAINING"), False
     )  # its slot goes to the last node: no order of start times
-    old.endpoints.update([entries(3, "DELETED")[2]], False)  # crashed: its slot is kept
+    old.endpoints.update([make_entries(3, "DELETED")[2]], False)  # crashed: its slot is kept
     nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
         3,
         now + S,
@@ -103,12 +103,12 @@
 def test_a_list_newer_than_the_old_processs_stays(tmp_path):
     old = make_proxy(1)
     new = starting(tmp_path)
-    new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": entries(2)})
+    new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": make_entries(2)})
     end_of(new).dataReceived(asked(old).transport.value())
     assert {*new.balancer.servers} == {"n0", "n1"} and new.endpoint_watch.generation == 9 and new.begun
 
 
-GOOD = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
+GOOD = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, make_entries(1), ["n0"], {}, {}, 1.0)))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,14 @@
 import re
 
-from helpers import S, connect_client, entries, encode_get, encode_hit, open_server_connection, make_proxy
+from helpers import (
+    S,
+    connect_client,
+    make_entries,
+    encode_get,
+    encode_hit,
+    open_server_connection,
+    make_proxy,
+)
 from twisted.internet.error import ConnectBindError, ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -84,7 +92,7 @@
     asking = connect_client(made)
     asking.dataReceived(encode_command(b"PING"))
     assert asking.transport.took().startswith(b"-ERR")
-    made.endpoints.update(entries(1), True)
+    made.endpoints.update(make_entries(1), True)
     asking.dataReceived(
         encode_command(b"PING") + encode_command(b"HELLO", b"3") + encode_command(b"SELECT", b"0")
     )
@@ -366,7 +374,7 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(encode_get())
-    made.endpoints.update(entries(1, "DRAINING"), False)
+    made.endpoints.update(make_entries(1, "DRAINING"), False)
     node = open_server_connection(made)
     assert node.transport.took() == b"" and node.transport.disconnecting
     made.reactor.advance(0.5)
@@ -378,7 +386,7 @@
     asking = connect_client(made)
     asking.dataReceived(encode_get())
     node = open_server_connection(made)
-    made.endpoints.update(entries(1, "DRAINING"), False)
+    made.endpoints.update(make_entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
     node.dataReceived(encode_hit())
     assert asking.transport.took() == b"$1\r\nv\r\n" and node.code == "unlisted"
@@ -416,7 +424,7 @@
 def test_an_entry_that_cannot_be_used_does_not_hide_the_others():
     made = make_proxy(0)
     strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
-    made.endpoints.update([*strange, *entries(1), *entries(2, "NEW-WORD")[1:]], True)
+    made.endpoints.update([*strange, *make_entries(1), *make_entries(2, "NEW-WORD")[1:]], True)
     assert {name: node.state for name, node in made.balancer.servers.items()} == {
         "n0": ServerState.READY,
         "n1": ServerState.DRAINING,
@@ -669,10 +677,10 @@
     connect_client(made).dataReceived(encode_get())
     busy = open_server_connection(made)
     for number in range(50):
-        made.endpoints.update(entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
-        made.endpoints.update(entries(1, "DELETED", instanceId=f"x{number}"), False)
-    made.endpoints.update(entries(2, "DRAINING"), False)
-    made.endpoints.update(entries(2, "DELETED"), False)
+        made.endpoints.update(make_entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
+        made.endpoints.update(make_entries(1, "DELETED", instanceId=f"x{number}"), False)
+    made.endpoints.update(make_entries(2, "DRAINING"), False)
+    made.endpoints.update(make_entries(2, "DELETED"), False)
     assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
     busy.dataReceived(encode_hit())
     busy.connectionLost(Failure(ConnectionDone()))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -4,7 +4,7 @@
     S,
     Transport,
     connect_client,
-    entries,
+    make_entries,
     encode_get,
     encode_hit,
     open_server_connection,
@@ -61,7 +61,7 @@
     assert ask(made, "GET /_ready") == 503  # not started
     made.start()
     assert ask(made, "GET /_ready") == 503  # no node
-    made.endpoints.update(entries(1), True)
+    made.endpoints.update(make_entries(1), True)
     assert ask(made, "GET /_ready") == 200
     assert ask(made, "POST /_lameduck/on") == 200 and ask(made, "GET /_ready") == 503
     assert ask(made, "POST /_lameduck/on") == 200  # no harm in saying it twice
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -4,7 +4,7 @@
 from helpers import (
     S,
     connect_client,
-    entries,
+    make_entries,
     encode_hit,
     open_server_connection,
     make_proxy,
@@ -129,7 +129,7 @@
     asking = connect_client(made)
     asking.dataReceived(put())
     waits = next(iter(made.request_handler.in_flight))
-    made.endpoints.update(entries(1, startedAtMs=999_999), True)
+    made.endpoints.update(make_entries(1, startedAtMs=999_999), True)
     assert (
         waits.outcome == Outcome.NOT_SENT
         and len(made.request_handler.in_flight) == 1
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -3,7 +3,7 @@
 import msgspec
 from helpers import (
     Transport,
-    entries,
+    make_entries,
     encode_get,
     make_balancer,
     make_servers,
@@ -63,7 +63,7 @@
     assert [n.name for n in second.placement.slots] == [n.name for n in first.placement.slots]
     agreed = b"".join(marks)
     taker = make_proxy(0)
-    named = zip(entries(32), [*rest, *pair], strict=True)
+    named = zip(make_entries(32), [*rest, *pair], strict=True)
     taker.endpoints.update([{**one, "instanceId": node.name} for one, node in named], True)
     assert SlotOrder(taker).adopt(agreed) is None
     assert SlotOrder(taker).adopt(agreed + 2 * server_hash(pair[0])) == OrderFault.MALFORMED
