--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -178,7 +178,7 @@
         return text
 
 
-class Door:
+class FakeListeningPort:
     """A listening socket at which nobody waits."""
 
     open = True
@@ -198,7 +198,7 @@
 
 
 def listen(reactor, host, port, factory, backlog):
-    return Door()
+    return FakeListeningPort()
 
 
 def make_entries(count, state="SERVING", **more):
