--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -197,7 +197,7 @@
     pass
 
 
-def listen(reactor, host, port, factory, backlog):
+def fake_listen(reactor, host, port, factory, backlog):
     return FakeListeningPort()
 
 
@@ -228,7 +228,7 @@
     made = Proxy(
         run or make_process_configuration(reporting, **limits), reactor, lambda: round(reactor.seconds() * S)
     )
-    made.listen = listen
+    made.listen = fake_listen
     made.endpoints.update(make_entries(count), True)
     return made
 
