--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -193,7 +193,7 @@
         self.open = False
 
 
-class Reactor(MemoryReactorClock):
+class FakeReactor(MemoryReactorClock):
     pass
 
 
@@ -223,7 +223,7 @@
 
 def make_proxy(count=1, reporting=None, run=None, **limits):
     """A proxy on a reactor that only keeps what it is asked for, told of so many cache nodes."""
-    reactor = Reactor()
+    reactor = FakeReactor()
     reactor.advance(1000)
     made = Proxy(
         run or make_process_configuration(reporting, **limits), reactor, lambda: round(reactor.seconds() * S)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import S, Reactor
+from helpers import S, FakeReactor
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
@@ -76,7 +76,7 @@
 
 def told_at(mode, grace, kinds, back_at, seed=1):
     """When the list is told, and the calls made by then."""
-    reactor = Reactor()
+    reactor = FakeReactor()
     reactor.advance(1000)
     start = round(reactor.seconds() * S)
     rules = {"ask_within": 10**10, "stop_sending_within": grace * 10**6}
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_a_watch_that_falls_silent_is_told_within_them(mode):
     # It is heard for the last time up to an empty line before it falls silent.
-    reactor, calls = Reactor(), []
+    reactor, calls = FakeReactor(), []
     reactor.advance(1000)
     settings = InstanceConfiguration(
         1, {"discovery": mode, "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}}
