--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -148,7 +148,7 @@
     return len(sent), sum(len(datagram) for _, datagram in sent)
 
 
-class Transport(StringTransport):
+class FakeTransport(StringTransport):
     """Keeps what is written, as sockets would pass it on."""
 
     def setTcpNoDelay(self, on):  # noqa: N802
@@ -235,14 +235,14 @@
 
 def connect_client(of):
     made = of.client_server.buildProtocol(None)
-    made.makeConnection(Transport())
+    made.makeConnection(FakeTransport())
     return made
 
 
 def open_server_connection(of, number=-1):
     """The connection that the proxy asked for, come up."""
     made = of.reactor.tcpClients[number][2].buildProtocol(None)
-    made.makeConnection(Transport())
+    made.makeConnection(FakeTransport())
     return made
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,7 +6,7 @@
 from types import ModuleType
 
 import pytest
-from helpers import Transport, make_entries, make_proxy
+from helpers import FakeTransport, make_entries, make_proxy
 from test_consensus import playing
 from test_rig import PACKAGE, altered, ivy
 
@@ -415,7 +415,7 @@
     assert asked == [7001, 7003]
     for answer, (*_, factory, _, _) in zip((b"+PONG\r\n", b"-ERR\r\n"), made.reactor.tcpClients, strict=True):
         ping = factory.buildProtocol(None)
-        ping.makeConnection(Transport())
+        ping.makeConnection(FakeTransport())
         ping.dataReceived(answer)
     assert duty.take_results() == {"n1": True, "n3": False} and duty.take_results() == {}
     for step in range(100):  # once more after 0.5 s, after 1 s, then every 2 s
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from helpers import S, Transport, make_proxy
+from helpers import S, FakeTransport, make_proxy
 from loguru import logger
 from test_rig import ivy
 from twisted.internet.error import CannotListenError, ConnectionDone, ConnectionRefusedError
@@ -29,7 +29,7 @@
 ONE, TWO = {"k1": bytes(32)}, {"k2": b"2" * 32}
 
 
-class Wire(Transport):
+class Wire(FakeTransport):
     """Keeps what is written; its other side is at the address that the test says."""
 
     host = "127.0.0.1"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -2,7 +2,7 @@
 
 from helpers import (
     S,
-    Transport,
+    FakeTransport,
     connect_client,
     make_entries,
     encode_get,
@@ -28,7 +28,7 @@
 
 def caller(made):
     channel = made.admin.buildProtocol(None)
-    channel.makeConnection(Transport())
+    channel.makeConnection(FakeTransport())
     return channel
 
 
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -2,7 +2,7 @@
 
 import msgspec
 from helpers import (
-    Transport,
+    FakeTransport,
     make_entries,
     encode_get,
     make_balancer,
@@ -103,7 +103,7 @@
     most = made.server_pools.max_connections
     made.server_pools.set_limits(64, 1 << 20)
     client = made.client_server.buildProtocol(None)
-    client.makeConnection(Transport())
+    client.makeConnection(FakeTransport())
     for number in range(30):
         client.dataReceived(encode_get(b"%d" % number, b"%x" % (number * 7919)))
     assert len(made.server_pools.connections) <= made.server_pools.max_connections < most
