--- a/tests/moments.py
+++ b/tests/moments.py
@@ -166,7 +166,7 @@
         self.turn(end)
 
 
-def gets(count, name=b"", fields=b"c=read,t=t,d=60000"):
+def encode_gets(count, name=b"", fields=b"c=read,t=t,d=60000"):
     return b"".join(
         encode_command(b"OBJ.GET", b"7f", b"%b%d" % (name, number), fields) for number in range(count)
     )
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -19,7 +19,7 @@
     make_proxy,
     make_process_configuration,
 )
-from moments import Moment, Node, gets
+from moments import Moment, Node, encode_gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -46,7 +46,7 @@
         self.moment.until(lambda: self.client_server.connections)
         (self.ours,) = self.moment.turn(lambda: [*self.client_server.connections.values()])
         if answered:
-            self.asking.send(gets(1, b"first"))
+            self.asking.send(encode_gets(1, b"first"))
             value = self.answer()
             assert self.asking.take() == value
 
@@ -58,7 +58,7 @@
         self.to_node.send(encode_hit(value))
         return value
 
-    def arrives(self, close, *values, data: bytes = gets(1, b"late")) -> None:
+    def arrives(self, close, *values, data: bytes = encode_gets(1, b"late")) -> None:
         """In one turn: the bytes are in the kernel, unread, and then `close` is called."""
 
         def both() -> None:
@@ -116,19 +116,19 @@
 
 def half_a_command_whose_rest_is_there():
     case = Resting(answered=False)
-    case.asking.send(gets(1, b"late")[:30])
+    case.asking.send(encode_gets(1, b"late")[:30])
     case.moment.until(lambda: not case.ours.at_message_boundary())
-    case.arrives(case.passes, ClientConnection.COMMAND_TIMEOUT, data=gets(1, b"late")[30:])
+    case.arrives(case.passes, ClientConnection.COMMAND_TIMEOUT, data=encode_gets(1, b"late")[30:])
     return case
 
 
 def half_a_command_on_an_idle_connection():
     case = Resting(answered=True)
     case.client_server.max_connections = 1
-    case.asking.send(gets(1, b"late")[:30])
+    case.asking.send(encode_gets(1, b"late")[:30])
     case.moment.until(lambda: not case.ours.at_message_boundary())
     case.moment.pass_by(ClientServer.SHORT_IDLE_TIMEOUT + 1)
-    case.arrives(lambda: case.client_server.close_idle(case.proxy.now()), data=gets(1, b"late")[30:])
+    case.arrives(lambda: case.client_server.close_idle(case.proxy.now()), data=encode_gets(1, b"late")[30:])
     return case
 
 
@@ -140,10 +140,10 @@
 
 def halves_given_up_in_a_drain():
     case = Resting(answered=True)
-    case.asking.send(gets(1, b"late")[:30])
+    case.asking.send(encode_gets(1, b"late")[:30])
     case.moment.until(lambda: not case.ours.at_message_boundary())
     case.arrives(
-        case.client_server.drain.close_batch, [case.ours], True, "drained", data=gets(1, b"late")[30:]
+        case.client_server.drain.close_batch, [case.ours], True, "drained", data=encode_gets(1, b"late")[30:]
     )
     return case
 
@@ -151,7 +151,7 @@
 def drained_with_its_answer():
     """The next request was sent before the answer to this one goes out, and the end with it."""
     case = Resting(answered=False)
-    case.asking.send(gets(1, b"first"))
+    case.asking.send(encode_gets(1, b"first"))
     case.to_node = case.node.accept()
     case.to_node.take()
     case.moment.turn(case.proxy.start_draining)
@@ -284,7 +284,7 @@
     made = Moment(streams_per_conn=8, may_duplicate=True).start(node)
     try:
         asking = made.client()
-        asking.send(gets(1, b"first"))
+        asking.send(encode_gets(1, b"first"))
         to_node = node.accept()
         to_node.take()
         to_node.send(encode_hit(b"first"))
@@ -368,10 +368,14 @@
 
     monkeypatch.setattr(socket.socket, "recv", short)
     try:
-        case.asking.send(gets(1, b"late")[:30])
+        case.asking.send(encode_gets(1, b"late")[:30])
         case.moment.until(lambda: not case.ours.at_message_boundary())
         case.arrives(
-            case.client_server.drain.close_batch, [case.ours], True, "drained", data=gets(1, b"late")[30:]
+            case.client_server.drain.close_batch,
+            [case.ours],
+            True,
+            "drained",
+            data=encode_gets(1, b"late")[30:],
         )
         assert case.served() == "served"
     finally:
@@ -401,7 +405,7 @@
     try:
         assert made.client().take() is None
         asking = made.client()
-        asking.send(gets(1))
+        asking.send(encode_gets(1))
         to_node = node.accept()
         to_node.take()
         to_node.send(encode_hit())
@@ -425,7 +429,7 @@
 
         def asks_and_goes() -> None:
             asking = made.client()
-            asking.send(gets(1))
+            asking.send(encode_gets(1))
             getattr(asking, how)()
 
         made.turn(asks_and_goes)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from moments import Agent, Node, Wire, gets
+from moments import Agent, Node, Wire, encode_gets
 from test_main import connected, free_port
 
 from ivystack.net.resp import encode_command
@@ -42,7 +42,7 @@
         watch, since = agent.call()  # the call for the list finds a descriptor
         agent.line(watch, 1, node.entry(), whole=True)
         new = Wire(socket.create_connection(("127.0.0.1", port), timeout=10))
-        new.send(gets(1, b"x", b"c=read,d=9000"))
+        new.send(encode_gets(1, b"x", b"c=read,d=9000"))
         to_node = node.accept()  # and so do a new client and its connection to a node
         assert to_node.take()[0] == b"OBJ.GET"
         to_node.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import METHODS
 from helpers import connect_client, encode_hit, make_proxy, make_process_configuration
-from moments import Agent, Moment, Node, gets
+from moments import Agent, Moment, Node, encode_gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -66,13 +66,13 @@
     made = moment()
     asking = made.client()
     if state == "owed":
-        asking.send(gets(ClientConnection.MAX_PENDING + 9))
+        asking.send(encode_gets(ClientConnection.MAX_PENDING + 9))
         made.until(lambda: len(made.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
     elif state == "upload":
         asking.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
         made.until(lambda: made.proxy.request_handler.requests and clients(made)[0].upload.paused)
     else:
-        asking.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
+        asking.send(encode_gets(2) + (b"no command\r\n" if state == "malformed" else b""))
         made.until(lambda: len(made.proxy.request_handler.requests) == 2)
         if state == "stuck":  # the transport's call, where more is written than the client takes
             made.turn(clients(made)[0].pauseProducing)
@@ -92,7 +92,7 @@
     made = moment()
     asking = [made.client() for _ in range(300)]
     for number, one in enumerate(asking):
-        one.send(gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
+        one.send(encode_gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
     made.until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
     made.turn(lambda: [one.end() for one in asking])
     never_sent_on(made)
@@ -103,7 +103,7 @@
     node = Node("n0")
     made = moment(node)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     to_node = node.accept()
     assert to_node.take()[0] == b"OBJ.GET"
     made.turn(clients(made)[0].pauseProducing)
@@ -120,7 +120,7 @@
     made.until(lambda: made.proxy.client_server.connections)
     (ours,) = clients(made)
     made.turn(ours.pauseProducing)  # the transport's call: the client takes no more for now
-    asking.send(gets(8))
+    asking.send(encode_gets(8))
     asking.socket.shutdown(socket.SHUT_WR)
     made.until(lambda: ours.input_closed)
     made.until(lambda: not made.proxy.client_server.connections)
@@ -131,7 +131,7 @@
     # Ending the first one's attempt settles what is due, and the second one is due just then.
     made = make_proxy(3)
     asking = connect_client(made)
-    asking.dataReceived(gets(2))
+    asking.dataReceived(encode_gets(2))
     first, second = made.request_handler.active
     seen, where = [], made.balancer.route
     made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
@@ -160,7 +160,7 @@
         full.append(one)
     made.start(node)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     made.until(lambda: len(made.proxy.server_pools.connections) == 1)
     assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
@@ -183,11 +183,11 @@
     node = Node("n0")
     made = moment(node)
     first, second = made.client(), made.client()
-    first.send(gets(1))
+    first.send(encode_gets(1))
     node.accept().take()
     first.reset()
     made.until(lambda: not made.proxy.request_handler.requests)
-    second.send(gets(1))
+    second.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
     to_node.send(encode_hit(b"second"))
@@ -261,13 +261,13 @@
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
     made.until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     made.until(lambda: made.proxy.request_handler.requests)
     made.turn(made.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
     made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
-    late.send(gets(1, b"late"))
+    late.send(encode_gets(1, b"late"))
     made.until(lambda: len(made.proxy.request_handler.requests) == 2)
     assert made.turn(
         lambda: [len(active.request.attempts) for active in made.proxy.request_handler.requests.values()]
@@ -402,7 +402,7 @@
     )
     asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
-        one.send(gets(1, b"%d." % number))
+        one.send(encode_gets(1, b"%d." % number))
         made.until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
     wires = [node.accept() for _ in asking]
     for wire in wires:
@@ -432,7 +432,7 @@
     node = Node("n0")
     made = moment(node)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     kept = node.accept()
     kept.take()
     kept.send(encode_hit())
@@ -462,7 +462,7 @@
 
     def turn():  # both within one turn: the connection is not up yet
         made.client_side = clients(made)[0]
-        made.client_side.dataReceived(gets(1))
+        made.client_side.dataReceived(encode_gets(1))
         first = next(iter(made.proxy.request_handler.in_flight.values())).pool
         left = next(one for one in (node, other) if one.name == first.name)
         made.proxy.endpoints.update([left.entry("DRAINING")], False)
@@ -485,7 +485,7 @@
     node = Node("n0")
     made = moment(node)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
 
@@ -503,7 +503,7 @@
     node = Node("n0")
     made = moment(node, streams_per_conn=streams, may_duplicate=True)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
 
@@ -514,7 +514,7 @@
 
     made.turn(turn)
     assert asking.take() == "-BUSY"
-    asking.send(gets(1, b"next"))
+    asking.send(encode_gets(1, b"next"))
     links = made.proxy.server_pools.connections
     made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
     if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
@@ -529,7 +529,7 @@
     made = moment(node)
     for how in ("end", "reset"):
         asking = made.client()
-        asking.send(gets(1))
+        asking.send(encode_gets(1))
         to_node = node.accept()
         to_node.take()
 
@@ -554,7 +554,7 @@
     agent.line(watch, 1, node.entry(), whole=True)
     made.until(lambda: made.proxy.balancer.servers)
     asking = made.client()
-    asking.send(gets(1))
+    asking.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
     agent.line(watch, 2, whole=True)
