--- a/tests/moments.py
+++ b/tests/moments.py
@@ -109,7 +109,7 @@
         one.sendall(b"%x\r\n%b\r\n" % (len(text), text))
 
 
-class Moment:
+class ProxyHarness:
     def __init__(self, run=None, discovery=None, **limits):
         self.at = 1_000_000_000_000
         self.loop = Loop()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import METHODS
 from helpers import connect_client, encode_hit, make_proxy, make_process_configuration
-from moments import Agent, Moment, Node, encode_gets
+from moments import Agent, ProxyHarness, Node, encode_gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -31,7 +31,7 @@
     made = []
 
     def start(*nodes, begun=True, **more):
-        made.append(Moment(**more))
+        made.append(ProxyHarness(**more))
         return made[-1].start(*nodes) if begun else made[-1]
 
     yield start
