--- a/tests/moments.py
+++ b/tests/moments.py
@@ -86,7 +86,7 @@
         return Wire(self.door.accept()[0])
 
 
-class Agent:
+class DiscoveryServer:
     """Discovery: each call is taken, and answered line by line, by the test."""
 
     def __init__(self):
@@ -117,7 +117,7 @@
         # An address that nothing calls from: a port that was free just now is not taken by a call's own end.
         with socket.create_server(("127.0.0.77", 0)) as free:
             run.listen = free.getsockname()
-        self.discovery = discovery or Agent()
+        self.discovery = discovery or DiscoveryServer()
         run.discovery = self.discovery.address
         self.run = run
         self.proxy = in_reactor(Proxy, run, self.loop, lambda: self.at)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from moments import Agent, Node, Wire, encode_gets
+from moments import DiscoveryServer, Node, Wire, encode_gets
 from test_main import connected, free_port
 
 from ivystack.net.resp import encode_command
@@ -36,7 +36,7 @@
             crowd.append(Wire(socket.create_connection(("127.0.0.1", port), timeout=10)))
             if said == "answered":
                 crowd[-1].send(encode_command(b"PING"))
-        agent = Agent.__new__(Agent)
+        agent = DiscoveryServer.__new__(DiscoveryServer)
         agent.door = socket.create_server(("127.0.0.1", listed_at))
         agent.door.settimeout(10)
         watch, since = agent.call()  # the call for the list finds a descriptor
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import METHODS
 from helpers import connect_client, encode_hit, make_proxy, make_process_configuration
-from moments import Agent, ProxyHarness, Node, encode_gets
+from moments import DiscoveryServer, ProxyHarness, Node, encode_gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -255,7 +255,7 @@
 
 
 def test_a_drain_that_is_told_after_sigterm_counts(moment):
-    agent, node, other = Agent(), Node("n0"), Node("n1")
+    agent, node, other = DiscoveryServer(), Node("n0"), Node("n1")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
@@ -277,7 +277,7 @@
 def test_a_sighup_during_the_start_is_not_lost(tmp_path):
     # Guards against old settings for ever: the configuration is replaced after it was read, before the signal
     # has its handler.  The file is a pipe, so the test says when each reading ends.
-    path, agents, listen = tmp_path / "config", [Agent(), Agent()], free_port()
+    path, agents, listen = tmp_path / "config", [DiscoveryServer(), DiscoveryServer()], free_port()
     os.mkfifo(path)
     process = subprocess.Popen(
         [sys.executable, "-B", "-m", "ivystack"], env=os.environ | {"LB_CONFIG": str(path)},
@@ -329,7 +329,7 @@
 
 def test_a_spoilt_entry_is_asked_for_again_once_and_the_rest_is_taken(moment):
     # Guards against news lost for good: the version goes on, so nobody would ever tell it again.
-    agent, nodes = Agent(), [Node("n0"), Node("n1")]
+    agent, nodes = DiscoveryServer(), [Node("n0"), Node("n1")]
     made = moment(discovery=agent)
     watch, since = agent.call()
     agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
@@ -353,7 +353,7 @@
 
 
 def test_a_drain_counts_though_its_address_is_spoilt(moment):
-    agent, node = Agent(), Node("n0")
+    agent, node = DiscoveryServer(), Node("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
@@ -363,7 +363,7 @@
 
 
 def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
-    agent, nodes = Agent(), [Node("n0"), Node("n1")]
+    agent, nodes = DiscoveryServer(), [Node("n0"), Node("n1")]
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, nodes[0].entry(), whole=True)
@@ -548,7 +548,7 @@
 
 
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
-    agent, node = Agent(), Node("n0")
+    agent, node = DiscoveryServer(), Node("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
@@ -564,7 +564,7 @@
 
 
 def test_a_move_of_discovery_in_its_pause_in_a_call_and_to_an_address_that_refuses(moment):
-    first, second = Agent(), Agent()
+    first, second = DiscoveryServer(), DiscoveryServer()
     made = moment(discovery=first)
     watch, _ = first.call()
     first.line(watch, 7, Node("n0").entry(), whole=True)
