--- a/tests/moments.py
+++ b/tests/moments.py
@@ -16,10 +16,10 @@
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import RespProtocol, encode_command
 
-PATIENCE = 10  # seconds for what must come
+TIMEOUT_S = 10  # seconds for what must come
 
 
-class Loop:
+class ReactorWithoutStop:
     """The reactor, which an ending proxy must leave to the other tests."""
 
     def __init__(self):
@@ -34,19 +34,19 @@
         return getattr(self.real, name)
 
 
-class Reader(RespProtocol):
+class ValueReader(RespProtocol):
     def __init__(self):
         super().__init__()
         self.values = []
         self.value_received = self.values.append
 
 
-class Wire:
+class SocketConnection:
     """One end of a connection, held by the test."""
 
     def __init__(self, of: socket.socket):
-        self.socket, self.reader = of, Reader()
-        of.settimeout(PATIENCE)
+        self.socket, self.reader = of, ValueReader()
+        of.settimeout(TIMEOUT_S)
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
@@ -71,19 +71,19 @@
         self.socket.close()
 
 
-class Node:
+class CacheServer:
     """A cache node that does nothing by itself."""
 
     def __init__(self, name: str):
         self.name, self.door = name, socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.door.settimeout(PATIENCE)
+        self.door.settimeout(TIMEOUT_S)
 
     def entry(self, state="SERVING", **more):
         where = "{}:{}".format(*self.door.getsockname())
         return {"instanceId": self.name, "hostPort": where, "lifecycle": state, "weight": 1.0} | more
 
-    def accept(self) -> Wire:
-        return Wire(self.door.accept()[0])
+    def accept(self) -> SocketConnection:
+        return SocketConnection(self.door.accept()[0])
 
 
 class DiscoveryServer:
@@ -91,13 +91,13 @@
 
     def __init__(self):
         self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(PATIENCE)
+        self.door.settimeout(TIMEOUT_S)
         self.address = self.door.getsockname()
 
     def call(self):
         """The next call, and the version that it goes on from."""
         one = self.door.accept()[0]
-        one.settimeout(PATIENCE)
+        one.settimeout(TIMEOUT_S)
         text = b""
         while b"\r\n\r\n" not in text:
             text += one.recv(65_536)
@@ -112,7 +112,7 @@
 class ProxyHarness:
     def __init__(self, run=None, discovery=None, **limits):
         self.at = 1_000_000_000_000
-        self.loop = Loop()
+        self.loop = ReactorWithoutStop()
         run = run or make_process_configuration(**limits)
         # An address that nothing calls from: a port that was free just now is not taken by a call's own end.
         with socket.create_server(("127.0.0.77", 0)) as free:
@@ -141,14 +141,14 @@
 
     def until(self, condition) -> None:
         """Waits for what must come; time stands still for the proxy meanwhile."""
-        for _ in range(100 * PATIENCE):
+        for _ in range(100 * TIMEOUT_S):
             if self.turn(condition):
                 return
             time.sleep(0.01)
         raise AssertionError("it never came")
 
-    def client(self) -> Wire:
-        return Wire(socket.create_connection(self.run.listen, timeout=PATIENCE))
+    def client(self) -> SocketConnection:
+        return SocketConnection(socket.create_connection(self.run.listen, timeout=TIMEOUT_S))
 
     def stop(self) -> None:
         def end():
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -19,7 +19,7 @@
     make_proxy,
     make_process_configuration,
 )
-from moments import ProxyHarness, Node, encode_gets
+from moments import ProxyHarness, CacheServer, encode_gets
 from test_rig import ivy
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -37,7 +37,7 @@
     """A proxy with one node, and a client whose connection rests: after an answer, or new and silent."""
 
     def __init__(self, answered: bool):
-        self.node = Node("n0")
+        self.node = CacheServer("n0")
         self.moment = ProxyHarness().start(self.node)
         self.proxy, self.client_server = self.moment.proxy, self.moment.proxy.client_server
         self.asking = self.moment.client()
@@ -216,7 +216,7 @@
 
 def answer_while_failing(monkeypatch, call: str, error: str) -> list:
     """Two clients' answers while three of such calls fail on the proxy's side of clients' connections."""
-    node = Node("n0")
+    node = CacheServer("n0")
     made = ProxyHarness().start(node)
     left, true_call = [3], getattr(socket.socket, call)
 
@@ -279,7 +279,7 @@
 
 def test_bytes_of_an_attempt_that_has_ended_never_go_out():
     """The node takes nothing for a while, so an attempt waits in our own buffer when its request ends."""
-    node = Node("n0")
+    node = CacheServer("n0")
     node.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     made = ProxyHarness(streams_per_conn=8, may_duplicate=True).start(node)
     try:
@@ -324,7 +324,7 @@
     run = make_process_configuration()
     with socket.create_server(("127.0.0.78", 0)) as free:
         run.admin = free.getsockname()
-    made = ProxyHarness(run=run).start(Node("n0"))
+    made = ProxyHarness(run=run).start(CacheServer("n0"))
     try:
         callers = []
 
@@ -385,7 +385,7 @@
 
 def test_a_connection_that_cannot_be_set_up_costs_no_other(monkeypatch):
     """The listening port stays, whatever the first connection's set-up raises; so with epoll_ctl."""
-    node = Node("n0")
+    node = CacheServer("n0")
     made = ProxyHarness().start(node)
     build, failures = made.proxy.client_server.buildProtocol, [RuntimeError("planted")]
     monkeypatch.setattr(
@@ -422,7 +422,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_what_a_client_asked_that_has_gone_before_it_is_read_is_sent_nowhere(how):
     """It was accepted late, or the process was held up: its request and its end lie there together."""
-    made = ProxyHarness().start(Node("n0"))
+    made = ProxyHarness().start(CacheServer("n0"))
     true_send, sent = made.proxy.server_pools.send, []
     made.proxy.server_pools.send = lambda one, *values: (sent.append(one), true_send(one, *values))
     try:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from moments import DiscoveryServer, Node, Wire, encode_gets
+from moments import DiscoveryServer, CacheServer, SocketConnection, encode_gets
 from test_main import connected, free_port
 
 from ivystack.net.resp import encode_command
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("sockets", [128, 1024])
 @pytest.mark.parametrize("said", ["silent", "answered"])
 def test_news_and_a_new_client_find_a_descriptor_when_discovery_is_back(tmp_path, sockets, said):
-    node, port, listed_at = Node("n0"), free_port(), free_port()
+    node, port, listed_at = CacheServer("n0"), free_port(), free_port()
     path = tmp_path / "config.json"
     method = {"name": "read", "semantics": "pure", "latency_budget": 10**10, "give_up": 10**10}
     path.write_text(json.dumps({
@@ -30,10 +30,10 @@
         stderr=log, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets,) * 2),
     )  # fmt: skip
     try:
-        first = Wire(connected(port))  # it serves, but knows no node
+        first = SocketConnection(connected(port))  # it serves, but knows no node
         crowd = [first]
         for _ in range(2 * sockets):  # all that come are accepted, the oldest make way
-            crowd.append(Wire(socket.create_connection(("127.0.0.1", port), timeout=10)))
+            crowd.append(SocketConnection(socket.create_connection(("127.0.0.1", port), timeout=10)))
             if said == "answered":
                 crowd[-1].send(encode_command(b"PING"))
         agent = DiscoveryServer.__new__(DiscoveryServer)
@@ -41,7 +41,7 @@
         agent.door.settimeout(10)
         watch, since = agent.call()  # the call for the list finds a descriptor
         agent.line(watch, 1, node.entry(), whole=True)
-        new = Wire(socket.create_connection(("127.0.0.1", port), timeout=10))
+        new = SocketConnection(socket.create_connection(("127.0.0.1", port), timeout=10))
         new.send(encode_gets(1, b"x", b"c=read,d=9000"))
         to_node = node.accept()  # and so do a new client and its connection to a node
         assert to_node.take()[0] == b"OBJ.GET"
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import METHODS
 from helpers import connect_client, encode_hit, make_proxy, make_process_configuration
-from moments import DiscoveryServer, ProxyHarness, Node, encode_gets
+from moments import DiscoveryServer, ProxyHarness, CacheServer, encode_gets
 from test_main import free_port
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -49,7 +49,7 @@
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
     of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
-    of.turn(of.proxy.endpoints.update, [Node("late").entry()], True)
+    of.turn(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
     of.pass_by(20_000)
     proxy = of.proxy
     assert of.turn(
@@ -100,7 +100,7 @@
 
 def test_a_client_that_has_sent_all_and_still_reads_keeps_its_answers(moment):
     # An end that is seen early must not take from a client what is on its way to it.
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     asking = made.client()
     asking.send(encode_gets(1))
@@ -148,7 +148,7 @@
 
 def test_a_client_that_leaves_while_its_connection_to_a_node_does_not_come_up(moment):
     # It comes up after the client has left: nothing is written to it.
-    node = Node("n0")
+    node = CacheServer("n0")
     node.door.listen(0)
     made = moment(begun=False)
     made.run.connect_timeout_us = made.proxy.server_pools.connect_timeout = 1 << 40
@@ -180,7 +180,7 @@
 
 
 def test_one_id_is_used_again_right_after_its_client_has_left(moment):
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     first, second = made.client(), made.client()
     first.send(encode_gets(1))
@@ -237,7 +237,7 @@
 
 def test_sigterm_twice_and_with_an_attempt_that_no_node_answers(moment):
     # The req that can't be repeated is waited for, to its own end, and answered once.
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     asking = made.client()
     asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
@@ -255,7 +255,7 @@
 
 
 def test_a_drain_that_is_told_after_sigterm_counts(moment):
-    agent, node, other = DiscoveryServer(), Node("n0"), Node("n1")
+    agent, node, other = DiscoveryServer(), CacheServer("n0"), CacheServer("n1")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
@@ -329,7 +329,7 @@
 
 def test_a_spoilt_entry_is_asked_for_again_once_and_the_rest_is_taken(moment):
     # Guards against news lost for good: the version goes on, so nobody would ever tell it again.
-    agent, nodes = DiscoveryServer(), [Node("n0"), Node("n1")]
+    agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
     watch, since = agent.call()
     agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
@@ -353,7 +353,7 @@
 
 
 def test_a_drain_counts_though_its_address_is_spoilt(moment):
-    agent, node = DiscoveryServer(), Node("n0")
+    agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
@@ -363,7 +363,7 @@
 
 
 def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
-    agent, nodes = DiscoveryServer(), [Node("n0"), Node("n1")]
+    agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, nodes[0].entry(), whole=True)
@@ -395,7 +395,7 @@
 def test_with_one_stream_a_connection_from_now_on_no_other_attempt_is_torn_down(moment):
     # SIGHUP takes a connection's streams to one while it carries two: one client leaves, the other is a write
     # that can't be repeated and has nothing to do with it.
-    node = Node("n0")
+    node = CacheServer("n0")
     patient = [one | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for one in METHODS]
     made = moment(
         node, run=make_process_configuration(methods=patient, streams_per_conn=10, may_duplicate=True)
@@ -429,7 +429,7 @@
 def test_a_kept_connection_that_its_node_has_ended_takes_no_effect_twice(moment, how):
     # The end is in the kernel, not read yet, when the write goes out.  After an orderly end the kernel takes
     # the bytes, and for all we know it has run.  After a reset it takes none: it goes out once more.
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     asking = made.client()
     asking.send(encode_gets(1))
@@ -456,7 +456,7 @@
 
 def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
     # The connection comes up only after the drain was told: nothing is written to it.
-    node, other = Node("n0"), Node("n1")
+    node, other = CacheServer("n0"), CacheServer("n1")
     made = moment(node, other)
     asking = made.client()
 
@@ -482,7 +482,7 @@
 
 
 def test_an_answer_and_a_reset_in_one_read_are_an_answer(moment):
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     asking = made.client()
     asking.send(encode_gets(1))
@@ -500,7 +500,7 @@
 
 @pytest.mark.parametrize("streams", [1, 10])
 def test_an_answer_in_the_turn_of_its_deadline_is_nobodys_and_never_the_next_ones(moment, streams):
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node, streams_per_conn=streams, may_duplicate=True)
     asking = made.client()
     asking.send(encode_gets(1))
@@ -525,7 +525,7 @@
 
 
 def test_an_answer_in_the_turn_in_which_its_client_goes_ends_all_once(moment):
-    node = Node("n0")
+    node = CacheServer("n0")
     made = moment(node)
     for how in ("end", "reset"):
         asking = made.client()
@@ -548,7 +548,7 @@
 
 
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
-    agent, node = DiscoveryServer(), Node("n0")
+    agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
@@ -567,7 +567,7 @@
     first, second = DiscoveryServer(), DiscoveryServer()
     made = moment(discovery=first)
     watch, _ = first.call()
-    first.line(watch, 7, Node("n0").entry(), whole=True)
+    first.line(watch, 7, CacheServer("n0").entry(), whole=True)
     made.until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
@@ -579,7 +579,7 @@
         nowhere = free.getsockname()
     made.turn(made.proxy.endpoint_watch.change_address, nowhere)
     made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
-    second.line(watch, 9, Node("n0").entry("DRAINING"))  # nobody listens there any more
+    second.line(watch, 9, CacheServer("n0").entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
     made.turn(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
@@ -589,5 +589,5 @@
     watch, since = first.call()
     assert since == 7
     late.close()
-    first.line(watch, 8, Node("n1").entry())
+    first.line(watch, 8, CacheServer("n1").entry())
     made.until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 
 import pytest
 from ivystack.standin.apart import Discovery, Node
-from moments import Wire, encode_command
+from moments import SocketConnection, encode_command
 from test_main import connected, free_port
 
 PLACE = Path(__file__).parent.parent / "deploy" / "sites"
@@ -73,7 +73,7 @@
             [sys.executable, "-B", "-m", "ivystack"], env=os.environ | {"LB_CONFIG": str(path)},
             stderr=subprocess.PIPE,
         ))  # fmt: skip
-        return running[0], Wire(connected(port)), config
+        return running[0], SocketConnection(connected(port)), config
 
     yield start
     for process in running:
