--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -171,7 +171,7 @@
     def doWrite(self):  # noqa: N802
         """Nothing waits in our own buffer."""
 
-    def took(self):
+    def take_output(self):
         """What has been written since this was asked last."""
         text = self.value()
         self.clear()
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -472,7 +472,7 @@
     asking = leaving(made)
     asking.dataReceived(encode_get(b"1"))
     made.reactor.advance(0.1)
-    assert open_server_connection(made).transport.took() == b""
+    assert open_server_connection(made).transport.take_output() == b""
     assert (
         not made.request_handler.requests
         and not made.request_handler.in_flight
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -82,7 +82,7 @@
 
     def pump(self):
         while True:
-            there, back = self.caller.transport.took(), self.called.transport.took()
+            there, back = self.caller.transport.take_output(), self.called.transport.take_output()
             if not there and not back:
                 return
             self.called.dataReceived(there)
@@ -110,7 +110,7 @@
     assert [link.incarnation for link in pair.b.peers["a"]] == [old_called.incarnation, pair.a.incarnation]
     pair.b.handlers["ask"] = lambda peer, body: pair.b.reply(pair.b.current_link, "x", body)
     old_caller.send("ask", 7)
-    old_called.dataReceived(old_caller.transport.took())
+    old_called.dataReceived(old_caller.transport.take_output())
     assert old_called.transport.value() and not pair.called.transport.value()
     old_called.transport.clear()
     pair.b.send("a", "x", 1)
@@ -159,13 +159,13 @@
     recorded = MeshPair()
     caller = meshes.DialFactory(recorded.a, "b").buildProtocol(None)
     caller.makeConnection(Wire())
-    handshake = caller.transport.took()
+    handshake = caller.transport.take_output()
     called = meshes.AcceptFactory(recorded.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
     called.makeConnection(Wire())
     called.dataReceived(handshake)
-    caller.dataReceived(called.transport.took())
+    caller.dataReceived(called.transport.take_output())
     recorded.a.send("b", "x", "pay")
-    record = handshake + caller.transport.took()
+    record = handshake + caller.transport.take_output()
     again = meshes.AcceptFactory(recorded.b).buildProtocol(type("A", (), {"host": "127.0.0.1"}))
     again.makeConnection(Wire())
     again.dataReceived(record)
@@ -179,13 +179,13 @@
 def test_no_message_with_a_byte_flipped_is_accepted_and_none_out_of_order():
     pair = MeshPair().connect()
     pair.a.send("b", "x", "first")
-    first = pair.caller.transport.took()
+    first = pair.caller.transport.take_output()
     pair.a.send("b", "x", "second")
-    second = pair.caller.transport.took()
+    second = pair.caller.transport.take_output()
     for at in range(len(first)):
         other = MeshPair().connect()
         other.a.send("b", "x", "first")
-        text = bytearray(other.caller.transport.took())
+        text = bytearray(other.caller.transport.take_output())
         text[at] ^= 1 << at % 8
         other.called.dataReceived(bytes(text))
         assert not other.received
@@ -237,7 +237,7 @@
     assert pair.caller.code is None and heartbeats > 5
     for _ in range(30):
         pair.clock.advance(0.2)
-        pair.caller.transport.took(), pair.called.transport.took()
+        pair.caller.transport.take_output(), pair.called.transport.take_output()
     assert pair.caller.code == pair.called.code == "silent"
     pair.end(pair.caller)
     times = []
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -64,16 +64,16 @@
     asking.dataReceived(encode_get())
     made.reactor.advance(0.01)
     node = open_server_connection(made)
-    assert node.transport.took() == encode_get(fields=b"c=read,t=t,d=490")
+    assert node.transport.take_output() == encode_get(fields=b"c=read,t=t,d=490")
     node.dataReceived(encode_hit(b"a\r\n\0"))
-    assert asking.transport.took() == b"$4\r\na\r\n\0\r\n"
+    assert asking.transport.take_output() == b"$4\r\na\r\n\0\r\n"
     assert (
         not made.request_handler.requests
         and not made.request_handler.in_flight
         and not made.request_handler.active
     )
     asking.dataReceived(encode_get(b"2"))  # the connection is used again
-    assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.took()
+    assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.take_output()
 
 
 def test_answers_go_out_in_the_order_of_the_commands():
@@ -82,21 +82,21 @@
     asking.dataReceived(encode_get(b"1") + encode_get(b"2") + encode_command(b"PING"))
     first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(encode_hit(b"second"))
-    assert asking.transport.took() == b""
+    assert asking.transport.take_output() == b""
     first.dataReceived(encode_hit(b"first"))
-    assert asking.transport.took() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
+    assert asking.transport.take_output() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
 
 
 def test_ready_only_with_a_node_to_send_to():
     made = make_proxy(0)
     asking = connect_client(made)
     asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.took().startswith(b"-ERR")
+    assert asking.transport.take_output().startswith(b"-ERR")
     made.endpoints.update(make_entries(1), True)
     asking.dataReceived(
         encode_command(b"PING") + encode_command(b"HELLO", b"3") + encode_command(b"SELECT", b"0")
     )
-    assert asking.transport.took() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
+    assert asking.transport.take_output() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
 
 
 def test_strange_bytes_end_their_connection_after_what_is_owed():
@@ -104,9 +104,11 @@
     made = make_proxy()
     asking = connect_client(made)
     asking.dataReceived(encode_get() + b"GET / HTTP/1.1\r\n\r\n" + encode_get(b"2"))
-    assert asking.transport.took() == b"" and len(made.request_handler.requests) == 1
+    assert asking.transport.take_output() == b"" and len(made.request_handler.requests) == 1
     open_server_connection(made).dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
+    assert (
+        asking.transport.take_output() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
+    )
 
 
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
@@ -118,7 +120,7 @@
         encode_command(b"OBJ.GET", b"1"),
     ):
         asking.dataReceived(text)
-        assert asking.transport.took().startswith(b"-ERR ")
+        assert asking.transport.take_output().startswith(b"-ERR ")
     assert not asking.transport.disconnecting and not made.request_handler.requests
 
 
@@ -136,7 +138,7 @@
     made.client_server.value_bytes = made.client_server.max_value_bytes + 1
     asking = connect_client(made)
     asking.dataReceived(encode_get())
-    assert asking.transport.took() == b"-BUSY\r\n"
+    assert asking.transport.take_output() == b"-BUSY\r\n"
     made.client_server.value_bytes = 0
     asking.dataReceived(encode_get())
     assert made.client_server.value_bytes > 0
@@ -150,10 +152,10 @@
     asking.dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(b"?\r\n" + encode_hit())
-    assert node.transport.disconnected and asking.transport.took() == b""
+    assert node.transport.disconnected and asking.transport.take_output() == b""
     node.connectionLost(Failure(ConnectionDone()))
     made.reactor.pump([0.02] * 10)
-    assert asking.transport.took() == b"-BUSY\r\n"
+    assert asking.transport.take_output() == b"-BUSY\r\n"
 
 
 def test_without_a_descriptor_no_node_is_blamed():
@@ -181,7 +183,7 @@
     asking.resumeProducing()
     made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
     asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.took() == b"+PONG\r\n" and not asking.transport.disconnected
+    assert asking.transport.take_output() == b"+PONG\r\n" and not asking.transport.disconnected
 
 
 def test_a_client_that_went_away_ends_its_reqs():
@@ -238,7 +240,7 @@
     assert silent.transport.disconnecting and half.transport.disconnecting
     slow.dataReceived(encode_get()[50:])
     open_server_connection(made).dataReceived(encode_hit())
-    assert slow.transport.took() == b"$1\r\nv\r\n"
+    assert slow.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
@@ -268,9 +270,13 @@
         one.dataReceived(encode_command(b"PING"))
     later.dataReceived(b"*2")
     made.reactor.advance(made.client_server.buildProtocol(None).COMMAND_TIMEOUT / S)
-    assert silent.transport.took() == b"" and silent.code == "silent" and silent.transport.disconnecting
+    assert (
+        silent.transport.take_output() == b"" and silent.code == "silent" and silent.transport.disconnecting
+    )
     for one in (half, later):
-        assert one.transport.took().endswith(b"-ERR half a command\r\n") and one.transport.disconnecting
+        assert (
+            one.transport.take_output().endswith(b"-ERR half a command\r\n") and one.transport.disconnecting
+        )
     made.reactor.advance(60)
     assert not usual.transport.disconnecting
 
@@ -282,11 +288,11 @@
     asking.dataReceived(encode_get(b"1"))
     for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
         other.dataReceived(encode_get(ident, key))
-        assert other.transport.took().startswith(b"-ERR ")
+        assert other.transport.take_output().startswith(b"-ERR ")
     open_server_connection(made).dataReceived(encode_hit())
     assert (
-        asking.transport.took() == b"$1\r\nv\r\n"
-        and other.transport.took() == b""
+        asking.transport.take_output() == b"$1\r\nv\r\n"
+        and other.transport.take_output() == b""
         and not made.client_server.request_ids
     )
 
@@ -297,7 +303,7 @@
     asking.dataReceived(encode_get())
     node = open_server_connection(made)
     made.reactor.advance(0.6)
-    assert asking.transport.took() == b"-BUSY\r\n" and node.transport.disconnected
+    assert asking.transport.take_output() == b"-BUSY\r\n" and node.transport.disconnected
     node.connectionLost(Failure(ConnectionDone()))
     assert not made.server_pools.connections
     assert node.end_code(Failure(ConnectionDone()), "node") == "out-of-time"
@@ -308,7 +314,9 @@
     asking = connect_client(made)
     asking.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     open_server_connection(made).connectionLost(Failure(ConnectionLost()))
-    assert asking.transport.took() == b"-ERR failed\r\n"  # never again, and no word that it is harmless
+    assert (
+        asking.transport.take_output() == b"-ERR failed\r\n"
+    )  # never again, and no word that it is harmless
 
 
 def test_a_refused_connection_means_it_never_ran():
@@ -351,9 +359,9 @@
     quick = open_server_connection(made)
     assert quick is not slow and quick.in_flight
     quick.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
+    assert asking.transport.take_output() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
     slow.dataReceived(encode_hit(b"late"))  # nobody waits for it, and its connection is good again
-    assert asking.transport.took() == b"" and slow in made.server_pools.idle_connections
+    assert asking.transport.take_output() == b"" and slow in made.server_pools.idle_connections
 
 
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
@@ -363,9 +371,9 @@
     asking.dataReceived(encode_get())
     node = open_server_connection(made)
     made.reactor.advance(0.6)
-    assert asking.transport.took() == b"-BUSY\r\n" and not node.transport.disconnected
+    assert asking.transport.take_output() == b"-BUSY\r\n" and not node.transport.disconnected
     asking.dataReceived(encode_get(b"2"))
-    assert b"$1\r\n2\r\n" not in node.transport.took()
+    assert b"$1\r\n2\r\n" not in node.transport.take_output()
     made.reactor.advance(made.server_pools.ABANDONED_TIMEOUT / S)
     assert node.transport.disconnected and node.code == "out-of-time"
 
@@ -376,9 +384,9 @@
     asking.dataReceived(encode_get())
     made.endpoints.update(make_entries(1, "DRAINING"), False)
     node = open_server_connection(made)
-    assert node.transport.took() == b"" and node.transport.disconnecting
+    assert node.transport.take_output() == b"" and node.transport.disconnecting
     made.reactor.advance(0.5)
-    assert asking.transport.took() == b"-BUSY\r\n"
+    assert asking.transport.take_output() == b"-BUSY\r\n"
 
 
 def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
@@ -389,7 +397,7 @@
     made.endpoints.update(make_entries(1, "DRAINING"), False)
     assert not node.transport.disconnecting
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and node.code == "unlisted"
+    assert asking.transport.take_output() == b"$1\r\nv\r\n" and node.code == "unlisted"
 
 
 def test_idle_connections_are_closed_before_the_node_does():
@@ -437,12 +445,12 @@
     whole = made.balancer.route
     made.balancer.route = None
     asking.dataReceived(encode_get())
-    assert asking.transport.took() == b"-ERR failed\r\n"
+    assert asking.transport.take_output() == b"-ERR failed\r\n"
     made.balancer.route = whole
     made.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
     asking.dataReceived(encode_get(b"2"))
     made.reactor.pump([0.05] * 12)
-    assert asking.transport.took() != b"" and not made.request_handler.requests
+    assert asking.transport.take_output() != b"" and not made.request_handler.requests
 
 
 def test_after_sigterm_all_that_is_held_is_finished():
@@ -456,7 +464,7 @@
     made.reactor.pump([0.02] * 30)
     assert idle.transport.disconnecting and not asking.transport.disconnecting
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and asking.transport.disconnecting
+    assert asking.transport.take_output() == b"$1\r\nv\r\n" and asking.transport.disconnecting
     for one in (idle, asking):
         one.connectionLost(Failure(ConnectionDone()))
     made.reactor.advance(0.02)
@@ -573,9 +581,9 @@
     asking, links = crowd(made)
     assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
     for one in links:
-        for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.took()):
+        for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.take_output()):
             one.dataReceived(encode_hit(ident))
-    assert not made.request_handler.requests and asking.transport.took() == b"".join(
+    assert not made.request_handler.requests and asking.transport.take_output() == b"".join(
         encode_bulk(b"%d" % i) for i in range(1, 6)
     )
 
@@ -623,7 +631,7 @@
             outcomes[:3] == [Outcome.ERROR, Outcome.CANCELLED, Outcome.CANCELLED]
             and links[0].transport.disconnected
         )
-        assert asking.transport.took() == b"" and [
+        assert asking.transport.take_output() == b"" and [
             one.consecutive_failures for one in made.balancer.servers["n0"].class_failures.values()
         ] == [1]
 
@@ -634,7 +642,7 @@
         asking = connect_client(made)
         asking.dataReceived(encode_get())
         open_server_connection(made).dataReceived(encode_hit()[:-5] + report)
-        assert asking.transport.took() == b"$1\r\nv\r\n"
+        assert asking.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_what_comes_too_much_never_answers_the_next_req():
@@ -646,8 +654,8 @@
         node = open_server_connection(made)
         connect_client(made).dataReceived(encode_get(b"2"))
         node.dataReceived(encode_hit() + more)
-        assert asking.transport.took() == b"$1\r\nv\r\n" and node.transport.disconnected
-        assert b"$1\r\n2\r\n" not in node.transport.took()
+        assert asking.transport.take_output() == b"$1\r\nv\r\n" and node.transport.disconnected
+        assert b"$1\r\n2\r\n" not in node.transport.take_output()
 
 
 def test_a_copy_that_crosses_the_next_attempt_is_not_its_answer():
@@ -665,7 +673,7 @@
     asking = connect_client(made)
     asking.dataReceived(encode_get())
     open_server_connection(made).dataReceived(b"-ERR bad request\r\n")
-    assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
+    assert asking.transport.take_output() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
     assert not any(
         node.health.consecutive_failures or node.class_failures for node in made.balancer.servers.values()
     )
@@ -710,7 +718,7 @@
     asking.dataReceived(encode_get())
     node = open_server_connection(made)
     node.dataReceived(encode_hit(b"v" * 400_000))
-    assert len(asking.transport.took()) > 400_000
+    assert len(asking.transport.take_output()) > 400_000
     asking.dataReceived(encode_get(b"2"))
     node.dataReceived(b"*3\r\n$900000000\r\n")
     assert node.code == "strange: too long"
@@ -756,7 +764,7 @@
         asking = connect_client(made)
         asking.dataReceived(encode_get())
         open_server_connection(made).dataReceived(encode_hit(report=report))
-        assert asking.transport.took() == b"$1\r\nv\r\n"
+        assert asking.transport.take_output() == b"$1\r\nv\r\n"
         assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
     made = make_proxy(1)  # nor is one read that the settings do not name
     connect_client(made).dataReceived(encode_get())
@@ -772,7 +780,7 @@
     asking.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(10)))
     links = [open_server_connection(made, i) for i in range(len(made.reactor.tcpClients))]
     assert len(links) == 10
-    assert all(one.transport.took().count(b"OBJ.GET") == 1 for one in links)
+    assert all(one.transport.take_output().count(b"OBJ.GET") == 1 for one in links)
 
 
 def test_calls_for_the_list_are_spaced_where_it_is_asked_for():
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -121,10 +121,14 @@
     made.reactor.pump([0.02] * 20)
     assert not busy.transport.disconnecting
     node.dataReceived(encode_hit())
-    assert busy.transport.took() == b"$1\r\nv\r\n" and busy.transport.disconnecting and busy.code == "drained"
+    assert (
+        busy.transport.take_output() == b"$1\r\nv\r\n"
+        and busy.transport.disconnecting
+        and busy.code == "drained"
+    )
     new = connect_client(made)  # the front may send some for a while: it is served, and then closed
     new.dataReceived(PING)
-    assert new.transport.took() == b"-ERR draining\r\n" and new.transport.disconnecting
+    assert new.transport.take_output() == b"-ERR draining\r\n" and new.transport.disconnecting
     assert late.transport.disconnecting  # had said nothing
 
 
@@ -134,7 +138,7 @@
     ask(made, "POST /_lameduck/on")
     asking.dataReceived(PING + encode_get(b"1") + PING)
     open_server_connection(made).dataReceived(encode_hit())
-    assert asking.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
+    assert asking.transport.take_output() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
     assert asking.transport.disconnecting
 
 
@@ -151,7 +155,7 @@
         made.client_server.drain.close_batch(*more)
     assert parts and not asking.transport.disconnecting
     open_server_connection(made).dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and asking.transport.disconnecting
+    assert asking.transport.take_output() == b"$1\r\nv\r\n" and asking.transport.disconnecting
 
 
 def test_off_in_the_middle_keeps_the_rest_and_says_yes_at_once():
@@ -164,7 +168,7 @@
     made.reactor.pump([0.02] * 100)
     assert 0 < some == len(left(asking)) < 50
     asking[-1].dataReceived(PING)
-    assert asking[-1].transport.took() == b"+PONG\r\n" and not asking[-1].transport.disconnecting
+    assert asking[-1].transport.take_output() == b"+PONG\r\n" and not asking[-1].transport.disconnecting
     for _ in range(3):  # and again, as often as one likes
         ask(made, "POST /_lameduck/on"), ask(made, "POST /_lameduck/off")
     made.reactor.pump([0.02] * 100)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -71,18 +71,19 @@
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG[:1000])
     assert (
-        asking.transport.took() == b"$%d\r\n" % len(LONG) + LONG[:1000] and not made.request_handler.requests
+        asking.transport.take_output() == b"$%d\r\n" % len(LONG) + LONG[:1000]
+        and not made.request_handler.requests
     )
     for at in range(1000, len(LONG), 65_536):
         node.dataReceived(LONG[at : at + 65_536])
     node.dataReceived(TAIL[:2])
-    assert asking.transport.took() == LONG[1000:]
+    assert asking.transport.take_output() == LONG[1000:]
     node.dataReceived(TAIL[2:])
     pools = made.server_pools
-    assert asking.transport.took() == b"\r\n" and node in pools.idle_connections and not pools.relays
+    assert asking.transport.take_output() == b"\r\n" and node in pools.idle_connections and not pools.relays
     asking.dataReceived(encode_get(b"2"))  # both connections are good for more
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n"
+    assert asking.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_no_deadline_cuts_an_answer_that_has_begun():
@@ -92,7 +93,7 @@
         made.reactor.advance(2)
         node.dataReceived(LONG[at : at + 32_768])
     node.dataReceived(TAIL)
-    assert asking.transport.took() == encode_bulk(LONG) and not asking.transport.disconnecting
+    assert asking.transport.take_output() == encode_bulk(LONG) and not asking.transport.disconnecting
 
 
 def test_reading_stops_while_the_client_takes_no_more():
@@ -106,7 +107,7 @@
     asking.resumeProducing()
     assert node.transport.producerState == "producing"
     node.dataReceived(TAIL)
-    assert asking.transport.took() == encode_bulk(LONG)
+    assert asking.transport.take_output() == encode_bulk(LONG)
     made.reactor.advance(60)
     assert not asking.transport.disconnecting  # it had made progress
 
@@ -117,12 +118,12 @@
     asking.dataReceived(encode_get(b"1", fields=b"c=read,d=900") + encode_get(b"2", fields=b"c=read,d=900"))
     first, second = open_server_connection(made, 0), open_server_connection(made, 1)
     second.dataReceived(HEAD + LONG[:1000])
-    assert asking.transport.took() == b"" and second.transport.producerState == "paused"
+    assert asking.transport.take_output() == b"" and second.transport.producerState == "paused"
     first.dataReceived(encode_hit(b"first"))
-    assert asking.transport.took() == b"$5\r\nfirst\r\n" + encode_bulk(LONG)[: 9 + 1000]
+    assert asking.transport.take_output() == b"$5\r\nfirst\r\n" + encode_bulk(LONG)[: 9 + 1000]
     assert second.transport.producerState == "producing"
     second.dataReceived(LONG[1000:] + TAIL)
-    assert asking.transport.took() == LONG[1000:] + b"\r\n"
+    assert asking.transport.take_output() == LONG[1000:] + b"\r\n"
 
 
 def test_the_first_copy_to_begin_wins_and_the_other_is_called_off():
@@ -136,7 +137,7 @@
     quick.dataReceived(HEAD + LONG[:10])
     slow.dataReceived(encode_hit(LONG))
     quick.dataReceived(LONG[10:] + TAIL)
-    assert asking.transport.took() == encode_bulk(LONG) and not made.request_handler.in_flight
+    assert asking.transport.take_output() == encode_bulk(LONG) and not made.request_handler.in_flight
     assert {slow, quick} == {*made.server_pools.idle_connections}
 
 
@@ -150,7 +151,7 @@
         node.dataReceived(HEAD + LONG[:1000])
         end(node)
         assert asking.transport.disconnecting and asking.code == "cut-short"
-        got = asking.transport.took()
+        got = asking.transport.take_output()
         assert encode_bulk(LONG).startswith(got) and got != encode_bulk(LONG)
         asking.connectionLost(Failure(ConnectionDone()))
         assert not made.request_handler.requests and not made.request_handler.in_flight
@@ -198,7 +199,9 @@
     second.dataReceived(HEAD + LONG[:1000])
     second.connectionLost(Failure(ConnectionLost()))
     first.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n-ERR failed\r\n" and not asking.transport.disconnecting
+    assert (
+        asking.transport.take_output() == b"$1\r\nv\r\n-ERR failed\r\n" and not asking.transport.disconnecting
+    )
 
 
 def test_a_client_that_leaves_in_the_middle_costs_a_connection_at_most():
@@ -230,20 +233,20 @@
     made.server_pools.MAX_DISCARDED_BYTES = 0
     asking.connectionLost(Failure(ConnectionDone()))
     node.dataReceived(LONG[1000:] + TAIL + encode_hit(b"other"))
-    assert other.transport.took() == b"$5\r\nother\r\n"
+    assert other.transport.take_output() == b"$5\r\nother\r\n"
 
 
 def test_a_report_that_never_ends_keeps_no_value_back():
     made, asking, node = asked()
     node.dataReceived(HEAD + LONG + b"\r\n$3\r\nhit\r\n$500\r\nno")
-    assert asking.transport.took() == encode_bulk(LONG)
+    assert asking.transport.take_output() == encode_bulk(LONG)
 
 
 def test_long_noise_is_no_answer():
     for text in (b"$%d\r\n" % len(LONG), b"*2\r\n$%d\r\n" % len(LONG), b"*3\r\n$%d\r\n" % (MAX_VALUE + 1)):
         made, asking, node = asked()
         node.dataReceived(text + LONG)
-        assert node.transport.disconnected and b"$" not in asking.transport.took()
+        assert node.transport.disconnected and b"$" not in asking.transport.take_output()
 
 
 def test_a_second_copy_of_a_long_answer_is_not_the_next_ones():
@@ -252,7 +255,7 @@
     asking.dataReceived(encode_get(b"2"))
     asking.transport.clear()
     node.dataReceived(HEAD + LONG + TAIL)
-    assert asking.transport.took() == b"" and node.transport.disconnected
+    assert asking.transport.take_output() == b"" and node.transport.disconnected
 
 
 def test_a_drain_finishes_what_is_being_passed_on():
@@ -264,7 +267,7 @@
     made.reactor.pump([0.1] * 40)
     assert not asking.transport.disconnecting
     node.dataReceived(LONG[1000:] + TAIL)
-    assert asking.transport.took() == encode_bulk(LONG) and asking.transport.disconnecting
+    assert asking.transport.take_output() == encode_bulk(LONG) and asking.transport.disconnecting
 
 
 def test_more_long_values_at_once_than_memory_holds(platform):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -42,11 +42,11 @@
 def test_new_classes_are_in_use_at_once_and_one_that_has_gone_is_an_unknown_one():
     made = make_proxy()
     made.reload(make_process_configuration(methods=[sheet("read"), sheet("new")]))
-    unknown = ask(made, b"0", b"c=none,d=900").transport.took()
-    assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
+    unknown = ask(made, b"0", b"c=none,d=900").transport.take_output()
+    assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.take_output() == unknown
     asking = ask(made, b"2", b"c=new,d=900")
     open_server_connection(made).dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n"
+    assert asking.transport.take_output() == b"$1\r\nv\r\n"
 
 
 @pytest.mark.parametrize("before, now, again", [
@@ -69,7 +69,7 @@
     assert (len(made.reactor.tcpClients) > before) is again
     if again:
         open_server_connection(made).dataReceived(encode_hit())
-    assert asking.transport.took() == (b"$1\r\nv\r\n" if again else b"-ERR failed\r\n")
+    assert asking.transport.take_output() == (b"$1\r\nv\r\n" if again else b"-ERR failed\r\n")
 
 
 def test_a_class_made_stricter_is_strict_for_every_new_req():
@@ -81,7 +81,7 @@
     assert next(iter(made.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
     before = len(made.reactor.tcpClients)
     open_server_connection(made).connectionLost(Failure(ConnectionLost()))
-    assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
+    assert asking.transport.take_output() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
 
 
 def test_fewer_attempts_count_between_the_first_and_the_second():
@@ -92,7 +92,7 @@
         made.reload(make_process_configuration(most_write_outs=most))
         first.connectionLost(Failure(ConnectionLost()))
         assert len(made.reactor.tcpClients) == outs
-        assert (asking.transport.took() == b"-BUSY\r\n") == (most == 1)
+        assert (asking.transport.take_output() == b"-BUSY\r\n") == (most == 1)
 
 
 def test_what_nodes_hold_of_former_classes_goes_with_their_last_reqs():
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -82,7 +82,7 @@
     asking = severed(made, 250)
     pass_by(made, 49)  # 300 ms since the first was decided
     open_server_connection(made)
-    assert written(made) == b"" and asking.transport.took().startswith(answer)
+    assert written(made) == b"" and asking.transport.take_output().startswith(answer)
     assert not made.request_handler.in_flight and not made.request_handler.requests
 
 
@@ -93,7 +93,7 @@
     other = open_server_connection(made)
     assert b"mark" in written(made)
     other.dataReceived(encode_hit(b"receipt"))
-    assert asking.transport.took() == b"$7\r\nreceipt\r\n"
+    assert asking.transport.take_output() == b"$7\r\nreceipt\r\n"
 
 
 def test_a_connection_that_comes_up_in_a_late_reactor_turn_sends_nothing_past_the_window():
@@ -121,7 +121,7 @@
     pass_by(made, 210)
     assert open_server_connection(made, 0).transport.value() == b""
     second.dataReceived(encode_hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n"
+    assert asking.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_an_attempt_that_waits_for_a_process_that_has_gone_is_decided_anew():
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -209,7 +209,7 @@
         asks = connect_client(made)
         asks.dataReceived(encode_get(fields=b"c=other,t=t,d=500"))
         assert (
-            asks.transport.took().startswith(b"-ERR")
+            asks.transport.take_output().startswith(b"-ERR")
             and not made.request_handler.requests
             and made.has_ready_server()
         )
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -108,7 +108,7 @@
         client.dataReceived(encode_get(b"%d" % number, b"%x" % (number * 7919)))
     assert len(made.server_pools.connections) <= made.server_pools.max_connections < most
     made.reactor.advance(2)
-    answers = client.transport.took()
+    answers = client.transport.take_output()
     assert answers.count(b"-") + answers.count(b"$") == 30  # each has its one answer
     assert made.has_ready_server()
 
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -27,23 +27,23 @@
 
 def test_a_long_write_goes_out_as_it_comes_and_its_last_byte_once_the_clients_has_come():
     made, asking, node = begun()
-    assert node.transport.took() == HEAD + LONG[:1000]
+    assert node.transport.take_output() == HEAD + LONG[:1000]
     for at in range(1000, len(LONG), 65_536):
         asking.dataReceived(LONG[at : at + 65_536])
-    assert node.transport.took() == LONG[1000:]
+    assert node.transport.take_output() == LONG[1000:]
     asking.dataReceived(TAIL[:1])
-    assert node.transport.took() == b""
+    assert node.transport.take_output() == b""
     asking.dataReceived(TAIL[1:])
-    assert node.transport.took() == TAIL
+    assert node.transport.take_output() == TAIL
     node.dataReceived(encode_hit(b"receipt"))
     assert (
-        asking.transport.took() == encode_bulk(b"receipt")
+        asking.transport.take_output() == encode_bulk(b"receipt")
         and not made.request_handler.requests
         and not made.request_handler.in_flight
     )
     asking.dataReceived(encode_get(b"2"))  # both connections are good for more
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == encode_bulk(b"v")
+    assert asking.transport.take_output() == encode_bulk(b"v")
 
 
 def test_its_time_counts_from_the_last_byte():
@@ -53,10 +53,10 @@
         asking.dataReceived(LONG[at : at + 32_768])
     asking.dataReceived(TAIL)
     made.reactor.advance(0.8)
-    assert asking.transport.took() == b""
+    assert asking.transport.take_output() == b""
     made.reactor.advance(0.2)
     assert (
-        asking.transport.took() == b"-ERR failed\r\n" and not made.request_handler.requests
+        asking.transport.take_output() == b"-ERR failed\r\n" and not made.request_handler.requests
     )  # it may have run
     assert [*made.settings.request_classes["pay"].attempt_times] == [
         1_000_000
@@ -68,7 +68,7 @@
         made, asking, node = begun(3)
         asking.dataReceived(sent)
         node.connectionLost(Failure(ConnectionLost()))
-        assert asking.transport.took() == answer and len(made.reactor.tcpClients) == 1
+        assert asking.transport.take_output() == answer and len(made.reactor.tcpClients) == 1
         asking.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + encode_get(b"2"))  # the rest is thrown away
         assert made.request_handler.active and not asking.transport.disconnecting
 
@@ -80,7 +80,9 @@
     assert asking.transport.producerState == "paused"  # until there is a connection
     made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     node = open_server_connection(made, 1)
-    assert node.transport.took() == HEAD + LONG[:1000] and asking.transport.producerState == "producing"
+    assert (
+        node.transport.take_output() == HEAD + LONG[:1000] and asking.transport.producerState == "producing"
+    )
 
 
 def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind():
@@ -99,7 +101,9 @@
     made, asking, node = begun()
     asking.dataReceived(LONG[1000:] + b"more than said")
     assert node.transport.disconnected and not node.transport.value().endswith(TAIL)
-    assert asking.transport.took().endswith(b"after a bulk string\r\n") and asking.transport.disconnecting
+    assert (
+        asking.transport.take_output().endswith(b"after a bulk string\r\n") and asking.transport.disconnecting
+    )
 
 
 def test_progress_is_what_counts_for_a_slow_client():
@@ -126,7 +130,7 @@
     assert asking.transport.producerState == "producing"
     asking.dataReceived(LONG[1000:] + TAIL)
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == encode_bulk(b"v")
+    assert asking.transport.take_output() == encode_bulk(b"v")
 
 
 def test_a_node_that_takes_nothing_is_given_up():
@@ -135,14 +139,14 @@
     made.reactor.advance(10)
     assert node.code == "stalled"
     node.connectionLost(Failure(ConnectionLost()))
-    assert asking.transport.took() == b"-BUSY\r\n"  # it never ran
+    assert asking.transport.take_output() == b"-BUSY\r\n"  # it never ran
 
 
 def test_an_answer_to_half_a_write_ends_it_there():
     for early, answer in ((b"-BUSY\r\n", b"-BUSY\r\n"), (encode_hit(), b"-ERR failed\r\n")):
         made, asking, node = begun()
         node.dataReceived(early)
-        assert asking.transport.took() == answer and node.transport.disconnected
+        assert asking.transport.take_output() == answer and node.transport.disconnected
         asking.dataReceived(LONG[1000:] + TAIL)
         assert asking.commands_received == 1 and not asking.transport.disconnecting
 
@@ -152,14 +156,14 @@
     asking = connect_client(made)
     for head in (HEAD.replace(b"c=pay", b"c=pax"), HEAD.replace(b"$1\r\n1", b"$0\r\n")):
         asking.dataReceived(head + LONG[:10])
-        assert asking.transport.took().startswith(b"-ERR ")
+        assert asking.transport.take_output().startswith(b"-ERR ")
         asking.dataReceived(LONG[10:] + TAIL)
     asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.took() == b"+PONG\r\n" and not made.reactor.tcpClients
+    assert asking.transport.take_output() == b"+PONG\r\n" and not made.reactor.tcpClients
     for bad in (HEAD.replace(b"OBJ.SET", b"OBJ.GET"), HEAD.replace(b"$262144", b"$%d" % (MAX_VALUE + 1))):
         asking = connect_client(made)
         asking.dataReceived(bad)
-        assert asking.transport.took() == b"-ERR too long\r\n" and asking.transport.disconnecting
+        assert asking.transport.take_output() == b"-ERR too long\r\n" and asking.transport.disconnecting
 
 
 def test_with_nowhere_to_go_it_is_nacked_within_an_eighth_of_its_time():
@@ -169,9 +173,9 @@
     asking = connect_client(made)
     asking.dataReceived(HEAD + LONG[:1000])
     made.reactor.pump([0.01] * 12)
-    assert asking.transport.took() == b"-BUSY\r\n"
+    assert asking.transport.take_output() == b"-BUSY\r\n"
     asking.dataReceived(LONG[1000:] + TAIL + encode_command(b"PING"))
-    assert asking.transport.took() == b"+PONG\r\n" and not made.request_handler.requests
+    assert asking.transport.take_output() == b"+PONG\r\n" and not made.request_handler.requests
 
 
 def test_what_is_under_way_to_a_node_that_drains_is_finished():
@@ -181,7 +185,7 @@
     )
     asking.dataReceived(LONG[1000:] + TAIL)
     node.dataReceived(encode_hit())
-    assert asking.transport.took() == encode_bulk(b"v") and node.code == "unlisted"
+    assert asking.transport.take_output() == encode_bulk(b"v") and node.code == "unlisted"
 
 
 def test_nothing_goes_behind_half_a_write():
@@ -189,7 +193,7 @@
     made.server_pools.PIPELINE_FROM = 1
     other = connect_client(made)
     other.dataReceived(encode_get(b"2"))
-    assert node.transport.took() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
+    assert node.transport.take_output() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
 
 
 def test_more_long_writes_at_once_than_memory_holds(platform):
