--- a/tests/moments.py
+++ b/tests/moments.py
@@ -132,7 +132,7 @@
         """Calls it in a turn of the reactor: nothing that comes over sockets is read meanwhile."""
         return in_reactor(call, *values)
 
-    def pass_by(self, microseconds: int) -> None:
+    def advance_clock(self, microseconds: int) -> None:
         def moved():
             self.at += microseconds
             self.proxy.deadlines.run_due()
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -87,7 +87,7 @@
 def idle_beyond_the_bound():
     case = Resting(answered=True)
     case.client_server.max_connections = 1
-    case.moment.pass_by(ClientServer.SHORT_IDLE_TIMEOUT + 1)
+    case.moment.advance_clock(ClientServer.SHORT_IDLE_TIMEOUT + 1)
     case.arrives(lambda: case.client_server.close_idle(case.proxy.now()))
     return case
 
@@ -95,7 +95,7 @@
 def no_room_after_an_answer():
     case = Resting(answered=True)
     case.client_server.max_connections = 1
-    case.moment.pass_by(ClientServer.MIN_SILENCE + 1)
+    case.moment.advance_clock(ClientServer.MIN_SILENCE + 1)
     case.arrives(lambda: case.client_server.buildProtocol(None).makeConnection(Silent()))
     return case
 
@@ -103,7 +103,7 @@
 def no_room_before_the_first_request():
     case = Resting(answered=False)
     case.client_server.max_connections = 1
-    case.moment.pass_by(ClientServer.MIN_SILENCE + 1)
+    case.moment.advance_clock(ClientServer.MIN_SILENCE + 1)
     case.arrives(lambda: case.client_server.buildProtocol(None).makeConnection(Silent()))
     return case
 
@@ -127,7 +127,7 @@
     case.client_server.max_connections = 1
     case.asking.send(encode_gets(1, b"late")[:30])
     case.moment.until(lambda: not case.ours.at_message_boundary())
-    case.moment.pass_by(ClientServer.SHORT_IDLE_TIMEOUT + 1)
+    case.moment.advance_clock(ClientServer.SHORT_IDLE_TIMEOUT + 1)
     case.arrives(lambda: case.client_server.close_idle(case.proxy.now()), data=encode_gets(1, b"late")[30:])
     return case
 
@@ -233,8 +233,8 @@
             one.send(encode_command(b"OBJ.GET", b"7f", b"%d" % number, WAITS))
         for _ in range(500 if call == "accept" else 0):  # the proxy may rest after each, so time has to pass
             if left[0]:
-                made.pass_by(20_000)
-        made.pass_by(20_000)
+                made.advance_clock(20_000)
+        made.advance_clock(20_000)
         links = []
         for _ in clients:  # neither is answered before both are there, so each has a connection of its own
             links.append(node.accept())
@@ -293,7 +293,7 @@
         made.turn(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         asking.send(encode_command(b"OBJ.SET", b"7f", b"big", b"c=pay,t=t,d=500", b"v" * 60_000))
         made.until(lambda: link.transport.dataBuffer)
-        made.pass_by(600_000)
+        made.advance_clock(600_000)
         assert asking.take() == "-BUSY"  # it never ran, provably
         to_node.socket.settimeout(1)
         assert to_node.take() is None  # the end, and no whole command before it
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -50,7 +50,7 @@
     """All that waited is over; a node that comes now gets nothing."""
     of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
     of.turn(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
-    of.pass_by(20_000)
+    of.advance_clock(20_000)
     proxy = of.proxy
     assert of.turn(
         lambda: not proxy.server_pools.connections
@@ -230,7 +230,7 @@
     word.close()
     made.until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
-    made.pass_by(1)
+    made.advance_clock(1)
     assert made.loop.stopped
     os.close(run.inherited_descriptor)
 
@@ -243,14 +243,14 @@
     asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
     node.accept().take()
     made.turn(made.proxy.terminate)
-    made.pass_by(made.proxy.STOP_ACCEPTING_DELAY_US)
+    made.advance_clock(made.proxy.STOP_ACCEPTING_DELAY_US)
     made.turn(made.proxy.terminate)
     made.turn(made.proxy.start_draining)
     assert not made.loop.stopped
-    made.pass_by(2_000_000)
+    made.advance_clock(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
     made.until(lambda: not made.proxy.client_server.connections)
-    made.pass_by(20_000)
+    made.advance_clock(20_000)
     assert made.loop.stopped
 
 
@@ -338,7 +338,7 @@
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
     made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
+    made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
@@ -373,7 +373,7 @@
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
     watch.close()
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
+    made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
     assert agent.call()[1] == 2
 
 
@@ -419,7 +419,7 @@
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
     made.until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
     before = made.turn(lambda: made.proxy.deadlines.scheduled)
-    made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
+    made.advance_clock(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(encode_hit(b"late") + encode_hit(b"receipt"))
     assert paying.take() == b"receipt"
