--- a/tests/moments.py
+++ b/tests/moments.py
@@ -125,10 +125,10 @@
     def start(self, *nodes):
         in_reactor(self.proxy.start)
         if nodes:
-            self.turn(self.proxy.endpoints.update, [node.entry() for node in nodes], True)
+            self.run_in_reactor(self.proxy.endpoints.update, [node.entry() for node in nodes], True)
         return self
 
-    def turn(self, call, *values):
+    def run_in_reactor(self, call, *values):
         """Calls it in a turn of the reactor: nothing that comes over sockets is read meanwhile."""
         return in_reactor(call, *values)
 
@@ -137,12 +137,12 @@
             self.at += microseconds
             self.proxy.deadlines.run_due()
 
-        self.turn(moved)
+        self.run_in_reactor(moved)
 
     def until(self, condition) -> None:
         """Waits for what must come; time stands still for the proxy meanwhile."""
         for _ in range(100 * TIMEOUT_S):
-            if self.turn(condition):
+            if self.run_in_reactor(condition):
                 return
             time.sleep(0.01)
         raise AssertionError("it never came")
@@ -163,7 +163,7 @@
             self.proxy.deadlines.heap.clear()
             self.proxy.deadlines.call_at = lambda *_: None
 
-        self.turn(end)
+        self.run_in_reactor(end)
 
 
 def encode_gets(count, name=b"", fields=b"c=read,t=t,d=60000"):
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -44,7 +44,7 @@
         self.asking.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no piece waits
         self.to_node: Any = None
         self.moment.until(lambda: self.client_server.connections)
-        (self.ours,) = self.moment.turn(lambda: [*self.client_server.connections.values()])
+        (self.ours,) = self.moment.run_in_reactor(lambda: [*self.client_server.connections.values()])
         if answered:
             self.asking.send(encode_gets(1, b"first"))
             value = self.answer()
@@ -65,7 +65,7 @@
             self.asking.send(data)
             close(*values)
 
-        self.moment.turn(both)
+        self.moment.run_in_reactor(both)
 
     def passes(self, microseconds: int) -> None:
         """What the clock calls for once so much time has passed, in the turn that this is called in."""
@@ -78,7 +78,7 @@
             lambda: self.proxy.request_handler.requests
             or self.ours not in self.client_server.connections.values()
         )
-        if not self.moment.turn(lambda: bool(self.proxy.request_handler.requests)):
+        if not self.moment.run_in_reactor(lambda: bool(self.proxy.request_handler.requests)):
             return f"closed, code={self.ours.code}"
         value, took = self.answer(), self.asking.take()
         return "served" if took == value else f"got {took!r}"
@@ -154,7 +154,7 @@
     case.asking.send(encode_gets(1, b"first"))
     case.to_node = case.node.accept()
     case.to_node.take()
-    case.moment.turn(case.proxy.start_draining)
+    case.moment.run_in_reactor(case.proxy.start_draining)
 
     def answered() -> None:
         (link,) = case.proxy.server_pools.connections.values()
@@ -271,7 +271,7 @@
             case.passes(2_000_000)
 
         # As the reactor's own timers are called: what such a call asks for comes after the sockets were read.
-        case.moment.turn(case.moment.loop.real.callLater, 0, goes_on)
+        case.moment.run_in_reactor(case.moment.loop.real.callLater, 0, goes_on)
         assert case.asking.take() == ident
     finally:
         case.moment.stop()
@@ -289,8 +289,8 @@
         to_node.take()
         to_node.send(encode_hit(b"first"))
         assert asking.take() == b"first"
-        (link,) = made.turn(lambda: [*made.proxy.server_pools.connections.values()])
-        made.turn(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        (link,) = made.run_in_reactor(lambda: [*made.proxy.server_pools.connections.values()])
+        made.run_in_reactor(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         asking.send(encode_command(b"OBJ.SET", b"7f", b"big", b"c=pay,t=t,d=500", b"v" * 60_000))
         made.until(lambda: link.transport.dataBuffer)
         made.advance_clock(600_000)
@@ -333,7 +333,7 @@
                 callers.append(socket.create_connection(run.admin, timeout=10))
                 callers[-1].sendall(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
 
-        made.turn(all_at_once)
+        made.run_in_reactor(all_at_once)
         assert [one.recv(12) for one in callers] == [b"HTTP/1.1 200"] * len(callers)
     finally:
         for one in callers:
@@ -432,7 +432,7 @@
             asking.send(encode_gets(1))
             getattr(asking, how)()
 
-        made.turn(asks_and_goes)
+        made.run_in_reactor(asks_and_goes)
         made.until(lambda: made.proxy.port.sessionno and not made.proxy.client_server.connections)
         assert sent == [] and not made.proxy.request_handler.requests
     finally:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -49,10 +49,10 @@
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
     of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
-    of.turn(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
+    of.run_in_reactor(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
     of.advance_clock(20_000)
     proxy = of.proxy
-    assert of.turn(
+    assert of.run_in_reactor(
         lambda: not proxy.server_pools.connections
         and not proxy.request_handler.in_flight
         and not proxy.client_server.request_ids
@@ -75,12 +75,12 @@
         asking.send(encode_gets(2) + (b"no command\r\n" if state == "malformed" else b""))
         made.until(lambda: len(made.proxy.request_handler.requests) == 2)
         if state == "stuck":  # the transport's call, where more is written than the client takes
-            made.turn(clients(made)[0].pauseProducing)
-    assert made.turn(lambda: clients(made)[0].paused) is (state != "read")
+            made.run_in_reactor(clients(made)[0].pauseProducing)
+    assert made.run_in_reactor(lambda: clients(made)[0].paused) is (state != "read")
     getattr(asking, how)()
     never_sent_on(made)
     if state != "read":
-        assert made.turn(
+        assert made.run_in_reactor(
             lambda: made.proxy.client_server.hang_up_monitor.connections
             == made.proxy.client_server.hang_up_monitor.descriptors
             == {}
@@ -94,7 +94,7 @@
     for number, one in enumerate(asking):
         one.send(encode_gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
     made.until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
-    made.turn(lambda: [one.end() for one in asking])
+    made.run_in_reactor(lambda: [one.end() for one in asking])
     never_sent_on(made)
 
 
@@ -106,7 +106,7 @@
     asking.send(encode_gets(1))
     to_node = node.accept()
     assert to_node.take()[0] == b"OBJ.GET"
-    made.turn(clients(made)[0].pauseProducing)
+    made.run_in_reactor(clients(made)[0].pauseProducing)
     to_node.send(encode_hit())
     made.until(lambda: not made.proxy.request_handler.requests)
     asking.socket.shutdown(socket.SHUT_WR)
@@ -119,12 +119,12 @@
     asking = made.client()
     made.until(lambda: made.proxy.client_server.connections)
     (ours,) = clients(made)
-    made.turn(ours.pauseProducing)  # the transport's call: the client takes no more for now
+    made.run_in_reactor(ours.pauseProducing)  # the transport's call: the client takes no more for now
     asking.send(encode_gets(8))
     asking.socket.shutdown(socket.SHUT_WR)
     made.until(lambda: ours.input_closed)
     made.until(lambda: not made.proxy.client_server.connections)
-    assert made.turn(lambda: ours.commands_received) == 0 and ours.code == "client-left"
+    assert made.run_in_reactor(lambda: ours.commands_received) == 0 and ours.code == "client-left"
 
 
 def test_reqs_of_one_client_that_are_due_in_the_turn_of_its_end_are_not_sent_on():
@@ -162,7 +162,7 @@
     asking = made.client()
     asking.send(encode_gets(1))
     made.until(lambda: len(made.proxy.server_pools.connections) == 1)
-    assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
+    assert made.run_in_reactor(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
     made.until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
     for one in full:
@@ -176,7 +176,7 @@
             break
     pools = made.proxy.server_pools
     made.until(lambda: pools.connections and pools.connections[0].is_connected)
-    assert made.turn(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
+    assert made.run_in_reactor(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
 
 
 def test_one_id_is_used_again_right_after_its_client_has_left(moment):
@@ -209,7 +209,7 @@
             came[-1].send(encode_command(b"PING"))
         made.proxy.stop_accepting()
 
-    made.turn(last_turn)
+    made.run_in_reactor(last_turn)
     assert [one.take() for one in came] == ["-ERR draining"] * len(came)
     with pytest.raises(ConnectionRefusedError):
         made.client()
@@ -226,7 +226,7 @@
     old.listen()
     made.start()
     word = old.accept()[0]
-    made.turn(made.proxy.terminate)
+    made.run_in_reactor(made.proxy.terminate)
     word.close()
     made.until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
@@ -242,10 +242,10 @@
     asking = made.client()
     asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
     node.accept().take()
-    made.turn(made.proxy.terminate)
+    made.run_in_reactor(made.proxy.terminate)
     made.advance_clock(made.proxy.STOP_ACCEPTING_DELAY_US)
-    made.turn(made.proxy.terminate)
-    made.turn(made.proxy.start_draining)
+    made.run_in_reactor(made.proxy.terminate)
+    made.run_in_reactor(made.proxy.start_draining)
     assert not made.loop.stopped
     made.advance_clock(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
@@ -263,13 +263,13 @@
     asking = made.client()
     asking.send(encode_gets(1))
     made.until(lambda: made.proxy.request_handler.requests)
-    made.turn(made.proxy.terminate)
+    made.run_in_reactor(made.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
     made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
     late.send(encode_gets(1, b"late"))
     made.until(lambda: len(made.proxy.request_handler.requests) == 2)
-    assert made.turn(
+    assert made.run_in_reactor(
         lambda: [len(active.request.attempts) for active in made.proxy.request_handler.requests.values()]
     ) == [1, 0]
 
@@ -344,7 +344,7 @@
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
     agent.line(watch, 3, nodes[1].entry())
     made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
-    assert made.turn(
+    assert made.run_in_reactor(
         lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
     )
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
@@ -411,16 +411,16 @@
     paying.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
     links = made.proxy.server_pools.connections
     made.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
-    shared = made.turn(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
+    shared = made.run_in_reactor(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
     reading, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
     assert wire.take()[0] == b"OBJ.SET"
-    made.turn(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
+    made.run_in_reactor(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
     made.until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
-    before = made.turn(lambda: made.proxy.deadlines.scheduled)
+    before = made.run_in_reactor(lambda: made.proxy.deadlines.scheduled)
     made.advance_clock(made.proxy.server_pools.ABANDONED_TIMEOUT)
-    assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
+    assert made.run_in_reactor(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(encode_hit(b"late") + encode_hit(b"receipt"))
     assert paying.take() == b"receipt"
 
@@ -443,13 +443,13 @@
         getattr(kept, how)()
         clients(made)[0].dataReceived(encode_command(b"OBJ.SET", b"7f", b"2", PAY, b"v"))
 
-    made.turn(turn)
+    made.run_in_reactor(turn)
     if how == "reset":
         again = node.accept()
         assert again.take()[2] == b"2"
         again.send(encode_hit(b"receipt"))
     assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(
+    assert made.run_in_reactor(
         lambda: not made.proxy.request_handler.in_flight and not made.proxy.request_handler.requests
     )
 
@@ -469,7 +469,7 @@
         return left
 
     made.until(lambda: made.proxy.client_server.connections)
-    left = made.turn(turn)
+    left = made.run_in_reactor(turn)
     stays = other if left is node else node
     to_node = stays.accept()
     to_node.take()
@@ -493,9 +493,9 @@
         to_node.send(encode_hit())
         to_node.reset()
 
-    made.turn(turn)
+    made.run_in_reactor(turn)
     assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
-    assert made.turn(lambda: not made.proxy.request_handler.in_flight)
+    assert made.run_in_reactor(lambda: not made.proxy.request_handler.in_flight)
 
 
 @pytest.mark.parametrize("streams", [1, 10])
@@ -512,12 +512,12 @@
         made.at += 1_000_000
         made.proxy.deadlines.run_due()
 
-    made.turn(turn)
+    made.run_in_reactor(turn)
     assert asking.take() == "-BUSY"
     asking.send(encode_gets(1, b"next"))
     links = made.proxy.server_pools.connections
     made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
-    if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
+    if made.run_in_reactor(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
         to_node = node.accept()
         to_node.take()
     to_node.send(encode_hit(b"own"))
@@ -537,14 +537,14 @@
             to_node.send(encode_hit())
             getattr(asking, how)()
 
-        made.turn(turn)
+        made.run_in_reactor(turn)
         made.until(
             lambda: not made.proxy.client_server.connections
             and not made.proxy.request_handler.in_flight
             and not made.proxy.request_handler.requests
         )
-        assert not made.turn(lambda: made.proxy.client_server.request_ids)
-        made.turn(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
+        assert not made.run_in_reactor(lambda: made.proxy.client_server.request_ids)
+        made.run_in_reactor(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
 
 
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
@@ -571,21 +571,21 @@
     made.until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
     made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
-    made.turn(made.proxy.endpoint_watch.change_address, second.address)
+    made.run_in_reactor(made.proxy.endpoint_watch.change_address, second.address)
     watch, since = second.call()
     assert since == 7
     made.until(lambda: made.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
         nowhere = free.getsockname()
-    made.turn(made.proxy.endpoint_watch.change_address, nowhere)
+    made.run_in_reactor(made.proxy.endpoint_watch.change_address, nowhere)
     made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
     second.line(watch, 9, CacheServer("n0").entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
-    made.turn(made.proxy.endpoint_watch.change_address, hung.getsockname())
+    made.run_in_reactor(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
     late.recv(65_536)
     # Amid the call, whose answer comes too late.
-    made.turn(made.proxy.endpoint_watch.change_address, first.address)
+    made.run_in_reactor(made.proxy.endpoint_watch.change_address, first.address)
     watch, since = first.call()
     assert since == 7
     late.close()
