--- a/tests/moments.py
+++ b/tests/moments.py
@@ -139,7 +139,7 @@
 
         self.run_in_reactor(moved)
 
-    def until(self, condition) -> None:
+    def wait_until(self, condition) -> None:
         """Waits for what must come; time stands still for the proxy meanwhile."""
         for _ in range(100 * TIMEOUT_S):
             if self.run_in_reactor(condition):
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -43,7 +43,7 @@
         self.asking = self.moment.client()
         self.asking.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no piece waits
         self.to_node: Any = None
-        self.moment.until(lambda: self.client_server.connections)
+        self.moment.wait_until(lambda: self.client_server.connections)
         (self.ours,) = self.moment.run_in_reactor(lambda: [*self.client_server.connections.values()])
         if answered:
             self.asking.send(encode_gets(1, b"first"))
@@ -74,7 +74,7 @@
 
     def served(self) -> str:
         """Whether the request gets the value made for it; what became of it otherwise."""
-        self.moment.until(
+        self.moment.wait_until(
             lambda: self.proxy.request_handler.requests
             or self.ours not in self.client_server.connections.values()
         )
@@ -117,7 +117,7 @@
 def half_a_command_whose_rest_is_there():
     case = Resting(answered=False)
     case.asking.send(encode_gets(1, b"late")[:30])
-    case.moment.until(lambda: not case.ours.at_message_boundary())
+    case.moment.wait_until(lambda: not case.ours.at_message_boundary())
     case.arrives(case.passes, ClientConnection.COMMAND_TIMEOUT, data=encode_gets(1, b"late")[30:])
     return case
 
@@ -126,7 +126,7 @@
     case = Resting(answered=True)
     case.client_server.max_connections = 1
     case.asking.send(encode_gets(1, b"late")[:30])
-    case.moment.until(lambda: not case.ours.at_message_boundary())
+    case.moment.wait_until(lambda: not case.ours.at_message_boundary())
     case.moment.advance_clock(ClientServer.SHORT_IDLE_TIMEOUT + 1)
     case.arrives(lambda: case.client_server.close_idle(case.proxy.now()), data=encode_gets(1, b"late")[30:])
     return case
@@ -141,7 +141,7 @@
 def halves_given_up_in_a_drain():
     case = Resting(answered=True)
     case.asking.send(encode_gets(1, b"late")[:30])
-    case.moment.until(lambda: not case.ours.at_message_boundary())
+    case.moment.wait_until(lambda: not case.ours.at_message_boundary())
     case.arrives(
         case.client_server.drain.close_batch, [case.ours], True, "drained", data=encode_gets(1, b"late")[30:]
     )
@@ -292,7 +292,7 @@
         (link,) = made.run_in_reactor(lambda: [*made.proxy.server_pools.connections.values()])
         made.run_in_reactor(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         asking.send(encode_command(b"OBJ.SET", b"7f", b"big", b"c=pay,t=t,d=500", b"v" * 60_000))
-        made.until(lambda: link.transport.dataBuffer)
+        made.wait_until(lambda: link.transport.dataBuffer)
         made.advance_clock(600_000)
         assert asking.take() == "-BUSY"  # it never ran, provably
         to_node.socket.settimeout(1)
@@ -369,7 +369,7 @@
     monkeypatch.setattr(socket.socket, "recv", short)
     try:
         case.asking.send(encode_gets(1, b"late")[:30])
-        case.moment.until(lambda: not case.ours.at_message_boundary())
+        case.moment.wait_until(lambda: not case.ours.at_message_boundary())
         case.arrives(
             case.client_server.drain.close_batch,
             [case.ours],
@@ -433,7 +433,7 @@
             getattr(asking, how)()
 
         made.run_in_reactor(asks_and_goes)
-        made.until(lambda: made.proxy.port.sessionno and not made.proxy.client_server.connections)
+        made.wait_until(lambda: made.proxy.port.sessionno and not made.proxy.client_server.connections)
         assert sent == [] and not made.proxy.request_handler.requests
     finally:
         made.stop()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -48,7 +48,7 @@
 
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
-    of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
+    of.wait_until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
     of.run_in_reactor(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
     of.advance_clock(20_000)
     proxy = of.proxy
@@ -67,13 +67,13 @@
     asking = made.client()
     if state == "owed":
         asking.send(encode_gets(ClientConnection.MAX_PENDING + 9))
-        made.until(lambda: len(made.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
+        made.wait_until(lambda: len(made.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
     elif state == "upload":
         asking.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
-        made.until(lambda: made.proxy.request_handler.requests and clients(made)[0].upload.paused)
+        made.wait_until(lambda: made.proxy.request_handler.requests and clients(made)[0].upload.paused)
     else:
         asking.send(encode_gets(2) + (b"no command\r\n" if state == "malformed" else b""))
-        made.until(lambda: len(made.proxy.request_handler.requests) == 2)
+        made.wait_until(lambda: len(made.proxy.request_handler.requests) == 2)
         if state == "stuck":  # the transport's call, where more is written than the client takes
             made.run_in_reactor(clients(made)[0].pauseProducing)
     assert made.run_in_reactor(lambda: clients(made)[0].paused) is (state != "read")
@@ -93,7 +93,7 @@
     asking = [made.client() for _ in range(300)]
     for number, one in enumerate(asking):
         one.send(encode_gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
-    made.until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
+    made.wait_until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
     made.run_in_reactor(lambda: [one.end() for one in asking])
     never_sent_on(made)
 
@@ -108,7 +108,7 @@
     assert to_node.take()[0] == b"OBJ.GET"
     made.run_in_reactor(clients(made)[0].pauseProducing)
     to_node.send(encode_hit())
-    made.until(lambda: not made.proxy.request_handler.requests)
+    made.wait_until(lambda: not made.proxy.request_handler.requests)
     asking.socket.shutdown(socket.SHUT_WR)
     assert asking.take() == b"v"
 
@@ -117,13 +117,13 @@
     # All that it is owed is known but not taken yet; 8 more commands lie unread, and its end behind them.
     made = moment()
     asking = made.client()
-    made.until(lambda: made.proxy.client_server.connections)
+    made.wait_until(lambda: made.proxy.client_server.connections)
     (ours,) = clients(made)
     made.run_in_reactor(ours.pauseProducing)  # the transport's call: the client takes no more for now
     asking.send(encode_gets(8))
     asking.socket.shutdown(socket.SHUT_WR)
-    made.until(lambda: ours.input_closed)
-    made.until(lambda: not made.proxy.client_server.connections)
+    made.wait_until(lambda: ours.input_closed)
+    made.wait_until(lambda: not made.proxy.client_server.connections)
     assert made.run_in_reactor(lambda: ours.commands_received) == 0 and ours.code == "client-left"
 
 
@@ -161,10 +161,10 @@
     made.start(node)
     asking = made.client()
     asking.send(encode_gets(1))
-    made.until(lambda: len(made.proxy.server_pools.connections) == 1)
+    made.wait_until(lambda: len(made.proxy.server_pools.connections) == 1)
     assert made.run_in_reactor(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
-    made.until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
+    made.wait_until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
     for one in full:
         one.close()
     node.door.listen(64)
@@ -175,7 +175,7 @@
         except TimeoutError:
             break
     pools = made.proxy.server_pools
-    made.until(lambda: pools.connections and pools.connections[0].is_connected)
+    made.wait_until(lambda: pools.connections and pools.connections[0].is_connected)
     assert made.run_in_reactor(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
 
 
@@ -186,7 +186,7 @@
     first.send(encode_gets(1))
     node.accept().take()
     first.reset()
-    made.until(lambda: not made.proxy.request_handler.requests)
+    made.wait_until(lambda: not made.proxy.request_handler.requests)
     second.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
@@ -228,7 +228,7 @@
     word = old.accept()[0]
     made.run_in_reactor(made.proxy.terminate)
     word.close()
-    made.until(lambda: made.proxy.hot_restart.on_state is None)
+    made.wait_until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
     made.advance_clock(1)
     assert made.loop.stopped
@@ -249,7 +249,7 @@
     assert not made.loop.stopped
     made.advance_clock(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
-    made.until(lambda: not made.proxy.client_server.connections)
+    made.wait_until(lambda: not made.proxy.client_server.connections)
     made.advance_clock(20_000)
     assert made.loop.stopped
 
@@ -259,16 +259,16 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
-    made.until(lambda: len(made.proxy.balancer.servers) == 2)
+    made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
     asking.send(encode_gets(1))
-    made.until(lambda: made.proxy.request_handler.requests)
+    made.wait_until(lambda: made.proxy.request_handler.requests)
     made.run_in_reactor(made.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
-    made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
+    made.wait_until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
     late.send(encode_gets(1, b"late"))
-    made.until(lambda: len(made.proxy.request_handler.requests) == 2)
+    made.wait_until(lambda: len(made.proxy.request_handler.requests) == 2)
     assert made.run_in_reactor(
         lambda: [len(active.request.attempts) for active in made.proxy.request_handler.requests.values()]
     ) == [1, 0]
@@ -333,22 +333,22 @@
     made = moment(discovery=agent)
     watch, since = agent.call()
     agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
-    made.until(lambda: len(made.proxy.balancer.servers) == 2)
+    made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
     spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
-    made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
+    made.wait_until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
+    made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
     agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
     agent.line(watch, 3, nodes[1].entry())
-    made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
+    made.wait_until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
     assert made.run_in_reactor(
         lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
     )
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
+    made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
     assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
 
 
@@ -357,9 +357,9 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
+    made.wait_until(lambda: made.proxy.balancer.servers)
     agent.line(watch, 2, node.entry("DRAINING", hostPort="nowhere"))
-    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
+    made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
 
 
 def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
@@ -367,12 +367,12 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, nodes[0].entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
+    made.wait_until(lambda: made.proxy.balancer.servers)
     # One line whole, half of the next, and the end, in one read.
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
     watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
     watch.close()
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
+    made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
     assert agent.call()[1] == 2
 
@@ -403,21 +403,21 @@
     asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
     for number, one in enumerate(asking):
         one.send(encode_gets(1, b"%d." % number))
-        made.until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
+        made.wait_until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
     wires = [node.accept() for _ in asking]
     for wire in wires:
         wire.take()
     paying = made.client()
     paying.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
     links = made.proxy.server_pools.connections
-    made.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
+    made.wait_until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
     shared = made.run_in_reactor(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
     reading, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
     assert wire.take()[0] == b"OBJ.SET"
     made.run_in_reactor(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
-    made.until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
+    made.wait_until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
     before = made.run_in_reactor(lambda: made.proxy.deadlines.scheduled)
     made.advance_clock(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.run_in_reactor(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
@@ -437,7 +437,7 @@
     kept.take()
     kept.send(encode_hit())
     assert asking.take() == b"v"
-    made.until(lambda: made.proxy.server_pools.idle_connections)
+    made.wait_until(lambda: made.proxy.server_pools.idle_connections)
 
     def turn():
         getattr(kept, how)()
@@ -468,7 +468,7 @@
         made.proxy.endpoints.update([left.entry("DRAINING")], False)
         return left
 
-    made.until(lambda: made.proxy.client_server.connections)
+    made.wait_until(lambda: made.proxy.client_server.connections)
     left = made.run_in_reactor(turn)
     stays = other if left is node else node
     to_node = stays.accept()
@@ -476,7 +476,7 @@
     to_node.send(encode_hit())
     assert asking.take() == b"v"
     links = made.proxy.server_pools.connections
-    made.until(lambda: all(link.pool.name == stays.name for link in links.values()))
+    made.wait_until(lambda: all(link.pool.name == stays.name for link in links.values()))
     wire = left.accept()
     assert wire.take() is None  # ended by us with nothing on it
 
@@ -516,7 +516,7 @@
     assert asking.take() == "-BUSY"
     asking.send(encode_gets(1, b"next"))
     links = made.proxy.server_pools.connections
-    made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
+    made.wait_until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
     if made.run_in_reactor(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
         to_node = node.accept()
         to_node.take()
@@ -538,7 +538,7 @@
             getattr(asking, how)()
 
         made.run_in_reactor(turn)
-        made.until(
+        made.wait_until(
             lambda: not made.proxy.client_server.connections
             and not made.proxy.request_handler.in_flight
             and not made.proxy.request_handler.requests
@@ -552,13 +552,13 @@
     made = moment(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
+    made.wait_until(lambda: made.proxy.balancer.servers)
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
     to_node.take()
     agent.line(watch, 2, whole=True)
-    made.until(lambda: made.proxy.endpoint_watch.generation == 2)
+    made.wait_until(lambda: made.proxy.endpoint_watch.generation == 2)
     to_node.send(encode_hit())
     assert asking.take() == b"v" and to_node.take() is None
 
@@ -568,17 +568,17 @@
     made = moment(discovery=first)
     watch, _ = first.call()
     first.line(watch, 7, CacheServer("n0").entry(), whole=True)
-    made.until(lambda: made.proxy.endpoint_watch.generation == 7)
+    made.wait_until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
+    made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, second.address)
     watch, since = second.call()
     assert since == 7
-    made.until(lambda: made.proxy.endpoint_watch.is_streaming)
+    made.wait_until(lambda: made.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
         nowhere = free.getsockname()
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, nowhere)
-    made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
+    made.wait_until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
     second.line(watch, 9, CacheServer("n0").entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, hung.getsockname())
@@ -590,4 +590,4 @@
     assert since == 7
     late.close()
     first.line(watch, 8, CacheServer("n1").entry())
-    made.until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
+    made.wait_until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
