--- a/tests/moments.py
+++ b/tests/moments.py
@@ -111,8 +111,8 @@
 
 class ProxyHarness:
     def __init__(self, run=None, discovery=None, **limits):
-        self.at = 1_000_000_000_000
-        self.loop = ReactorWithoutStop()
+        self.now = 1_000_000_000_000
+        self.reactor = ReactorWithoutStop()
         run = run or make_process_configuration(**limits)
         # An address that nothing calls from: a port that was free just now is not taken by a call's own end.
         with socket.create_server(("127.0.0.77", 0)) as free:
@@ -120,7 +120,7 @@
         self.discovery = discovery or DiscoveryServer()
         run.discovery = self.discovery.address
         self.run = run
-        self.proxy = in_reactor(Proxy, run, self.loop, lambda: self.at)
+        self.proxy = in_reactor(Proxy, run, self.reactor, lambda: self.now)
 
     def start(self, *nodes):
         in_reactor(self.proxy.start)
@@ -134,7 +134,7 @@
 
     def advance_clock(self, microseconds: int) -> None:
         def moved():
-            self.at += microseconds
+            self.now += microseconds
             self.proxy.deadlines.run_due()
 
         self.run_in_reactor(moved)
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -69,7 +69,7 @@
 
     def passes(self, microseconds: int) -> None:
         """What the clock calls for once so much time has passed, in the turn that this is called in."""
-        self.moment.at += microseconds
+        self.moment.now += microseconds
         self.proxy.deadlines.run_due()
 
     def served(self) -> str:
@@ -271,7 +271,7 @@
             case.passes(2_000_000)
 
         # As the reactor's own timers are called: what such a call asks for comes after the sockets were read.
-        case.moment.run_in_reactor(case.moment.loop.real.callLater, 0, goes_on)
+        case.moment.run_in_reactor(case.moment.reactor.real.callLater, 0, goes_on)
         assert case.asking.take() == ident
     finally:
         case.moment.stop()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -231,7 +231,7 @@
     made.wait_until(lambda: made.proxy.hot_restart.on_state is None)
     assert made.proxy.port is None and not made.proxy.started
     made.advance_clock(1)
-    assert made.loop.stopped
+    assert made.reactor.stopped
     os.close(run.inherited_descriptor)
 
 
@@ -246,12 +246,12 @@
     made.advance_clock(made.proxy.STOP_ACCEPTING_DELAY_US)
     made.run_in_reactor(made.proxy.terminate)
     made.run_in_reactor(made.proxy.start_draining)
-    assert not made.loop.stopped
+    assert not made.reactor.stopped
     made.advance_clock(2_000_000)
     assert asking.take() == "-ERR failed" and asking.take() is None
     made.wait_until(lambda: not made.proxy.client_server.connections)
     made.advance_clock(20_000)
-    assert made.loop.stopped
+    assert made.reactor.stopped
 
 
 def test_a_drain_that_is_told_after_sigterm_counts(moment):
@@ -509,7 +509,7 @@
 
     def turn():  # the answer is in the kernel when the deadline is due
         to_node.send(encode_hit(b"late"))
-        made.at += 1_000_000
+        made.now += 1_000_000
         made.proxy.deadlines.run_due()
 
     made.run_in_reactor(turn)
