--- a/tests/moments.py
+++ b/tests/moments.py
@@ -51,7 +51,7 @@
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def take(self):
+    def receive(self):
         """The next value that comes; None when the connection ends first."""
         while not self.reader.values:
             try:
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -48,13 +48,13 @@
         if answered:
             self.asking.send(encode_gets(1, b"first"))
             value = self.answer()
-            assert self.asking.take() == value
+            assert self.asking.receive() == value
 
     def answer(self) -> bytes:
         """The node gives the next request a value of its own: of two alike the second passes for a copy."""
         if self.to_node is None:
             self.to_node = self.node.accept()
-        value = self.to_node.take()[2]
+        value = self.to_node.receive()[2]
         self.to_node.send(encode_hit(value))
         return value
 
@@ -80,7 +80,7 @@
         )
         if not self.moment.run_in_reactor(lambda: bool(self.proxy.request_handler.requests)):
             return f"closed, code={self.ours.code}"
-        value, took = self.answer(), self.asking.take()
+        value, took = self.answer(), self.asking.receive()
         return "served" if took == value else f"got {took!r}"
 
 
@@ -153,7 +153,7 @@
     case = Resting(answered=False)
     case.asking.send(encode_gets(1, b"first"))
     case.to_node = case.node.accept()
-    case.to_node.take()
+    case.to_node.receive()
     case.moment.run_in_reactor(case.proxy.start_draining)
 
     def answered() -> None:
@@ -161,7 +161,7 @@
         link.dataReceived(encode_hit(b"first"))
 
     case.arrives(answered)
-    assert case.asking.take() == b"first"
+    assert case.asking.receive() == b"first"
     return case
 
 
@@ -238,11 +238,11 @@
         links = []
         for _ in clients:  # neither is answered before both are there, so each has a connection of its own
             links.append(node.accept())
-            if links[-1].take() is None:
+            if links[-1].receive() is None:
                 return ["no request"]
         for one in links:
             one.send(encode_hit())
-        return [one.take() for one in clients]
+        return [one.receive() for one in clients]
     except (TimeoutError, AssertionError) as fault:
         return [repr(fault)]
     finally:
@@ -264,7 +264,7 @@
     case = Resting(answered=True)
     try:
         case.asking.send(encode_command(b"OBJ.GET", b"7f", b"late", b"c=read,t=t,d=900"))
-        ident = case.to_node.take()[2]
+        ident = case.to_node.receive()[2]
 
         def goes_on() -> None:
             case.to_node.send(encode_hit(ident))
@@ -272,7 +272,7 @@
 
         # As the reactor's own timers are called: what such a call asks for comes after the sockets were read.
         case.moment.run_in_reactor(case.moment.reactor.real.callLater, 0, goes_on)
-        assert case.asking.take() == ident
+        assert case.asking.receive() == ident
     finally:
         case.moment.stop()
 
@@ -286,17 +286,17 @@
         asking = made.client()
         asking.send(encode_gets(1, b"first"))
         to_node = node.accept()
-        to_node.take()
+        to_node.receive()
         to_node.send(encode_hit(b"first"))
-        assert asking.take() == b"first"
+        assert asking.receive() == b"first"
         (link,) = made.run_in_reactor(lambda: [*made.proxy.server_pools.connections.values()])
         made.run_in_reactor(link.transport.socket.setsockopt, socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         asking.send(encode_command(b"OBJ.SET", b"7f", b"big", b"c=pay,t=t,d=500", b"v" * 60_000))
         made.wait_until(lambda: link.transport.dataBuffer)
         made.advance_clock(600_000)
-        assert asking.take() == "-BUSY"  # it never ran, provably
+        assert asking.receive() == "-BUSY"  # it never ran, provably
         to_node.socket.settimeout(1)
-        assert to_node.take() is None  # the end, and no whole command before it
+        assert to_node.receive() is None  # the end, and no whole command before it
     finally:
         made.stop()
 
@@ -403,13 +403,13 @@
 
     monkeypatch.setattr(ClientTransport.__mro__[1], "startReading", start_reading)
     try:
-        assert made.client().take() is None
+        assert made.client().receive() is None
         asking = made.client()
         asking.send(encode_gets(1))
         to_node = node.accept()
-        to_node.take()
+        to_node.receive()
         to_node.send(encode_hit())
-        assert asking.take() == b"v"
+        assert asking.receive() == b"v"
     finally:
         monkeypatch.undo()
         made.stop()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -44,9 +44,9 @@
         new = SocketConnection(socket.create_connection(("127.0.0.1", port), timeout=10))
         new.send(encode_gets(1, b"x", b"c=read,d=9000"))
         to_node = node.accept()  # and so do a new client and its connection to a node
-        assert to_node.take()[0] == b"OBJ.GET"
+        assert to_node.receive()[0] == b"OBJ.GET"
         to_node.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-        assert since == 0 and new.take() == b"v" and process.poll() is None
+        assert since == 0 and new.receive() == b"v" and process.poll() is None
         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
     finally:
         process.kill()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -105,12 +105,12 @@
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
-    assert to_node.take()[0] == b"OBJ.GET"
+    assert to_node.receive()[0] == b"OBJ.GET"
     made.run_in_reactor(clients(made)[0].pauseProducing)
     to_node.send(encode_hit())
     made.wait_until(lambda: not made.proxy.request_handler.requests)
     asking.socket.shutdown(socket.SHUT_WR)
-    assert asking.take() == b"v"
+    assert asking.receive() == b"v"
 
 
 def test_what_a_client_sent_behind_its_last_answer_is_not_taken_once_it_has_left(moment):
@@ -184,14 +184,14 @@
     made = moment(node)
     first, second = made.client(), made.client()
     first.send(encode_gets(1))
-    node.accept().take()
+    node.accept().receive()
     first.reset()
     made.wait_until(lambda: not made.proxy.request_handler.requests)
     second.send(encode_gets(1))
     to_node = node.accept()
-    to_node.take()
+    to_node.receive()
     to_node.send(encode_hit(b"second"))
-    assert second.take() == b"second"
+    assert second.receive() == b"second"
 
 
 # The end of a proxy.
@@ -210,7 +210,7 @@
         made.proxy.stop_accepting()
 
     made.run_in_reactor(last_turn)
-    assert [one.take() for one in came] == ["-ERR draining"] * len(came)
+    assert [one.receive() for one in came] == ["-ERR draining"] * len(came)
     with pytest.raises(ConnectionRefusedError):
         made.client()
 
@@ -241,14 +241,14 @@
     made = moment(node)
     asking = made.client()
     asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
-    node.accept().take()
+    node.accept().receive()
     made.run_in_reactor(made.proxy.terminate)
     made.advance_clock(made.proxy.STOP_ACCEPTING_DELAY_US)
     made.run_in_reactor(made.proxy.terminate)
     made.run_in_reactor(made.proxy.start_draining)
     assert not made.reactor.stopped
     made.advance_clock(2_000_000)
-    assert asking.take() == "-ERR failed" and asking.take() is None
+    assert asking.receive() == "-ERR failed" and asking.receive() is None
     made.wait_until(lambda: not made.proxy.client_server.connections)
     made.advance_clock(20_000)
     assert made.reactor.stopped
@@ -406,7 +406,7 @@
         made.wait_until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
     wires = [node.accept() for _ in asking]
     for wire in wires:
-        wire.take()
+        wire.receive()
     paying = made.client()
     paying.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
     links = made.proxy.server_pools.connections
@@ -414,7 +414,7 @@
     shared = made.run_in_reactor(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
     reading, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
-    assert wire.take()[0] == b"OBJ.SET"
+    assert wire.receive()[0] == b"OBJ.SET"
     made.run_in_reactor(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
     next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
     made.wait_until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
@@ -422,7 +422,7 @@
     made.advance_clock(made.proxy.server_pools.ABANDONED_TIMEOUT)
     assert made.run_in_reactor(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
     wire.send(encode_hit(b"late") + encode_hit(b"receipt"))
-    assert paying.take() == b"receipt"
+    assert paying.receive() == b"receipt"
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -434,9 +434,9 @@
     asking = made.client()
     asking.send(encode_gets(1))
     kept = node.accept()
-    kept.take()
+    kept.receive()
     kept.send(encode_hit())
-    assert asking.take() == b"v"
+    assert asking.receive() == b"v"
     made.wait_until(lambda: made.proxy.server_pools.idle_connections)
 
     def turn():
@@ -446,9 +446,9 @@
     made.run_in_reactor(turn)
     if how == "reset":
         again = node.accept()
-        assert again.take()[2] == b"2"
+        assert again.receive()[2] == b"2"
         again.send(encode_hit(b"receipt"))
-    assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
+    assert asking.receive() == (b"receipt" if how == "reset" else "-ERR failed")
     assert made.run_in_reactor(
         lambda: not made.proxy.request_handler.in_flight and not made.proxy.request_handler.requests
     )
@@ -472,13 +472,13 @@
     left = made.run_in_reactor(turn)
     stays = other if left is node else node
     to_node = stays.accept()
-    to_node.take()
+    to_node.receive()
     to_node.send(encode_hit())
-    assert asking.take() == b"v"
+    assert asking.receive() == b"v"
     links = made.proxy.server_pools.connections
     made.wait_until(lambda: all(link.pool.name == stays.name for link in links.values()))
     wire = left.accept()
-    assert wire.take() is None  # ended by us with nothing on it
+    assert wire.receive() is None  # ended by us with nothing on it
 
 
 def test_an_answer_and_a_reset_in_one_read_are_an_answer(moment):
@@ -487,14 +487,14 @@
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
-    to_node.take()
+    to_node.receive()
 
     def turn():
         to_node.send(encode_hit())
         to_node.reset()
 
     made.run_in_reactor(turn)
-    assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
+    assert asking.receive() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
     assert made.run_in_reactor(lambda: not made.proxy.request_handler.in_flight)
 
 
@@ -505,7 +505,7 @@
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
-    to_node.take()
+    to_node.receive()
 
     def turn():  # the answer is in the kernel when the deadline is due
         to_node.send(encode_hit(b"late"))
@@ -513,15 +513,15 @@
         made.proxy.deadlines.run_due()
 
     made.run_in_reactor(turn)
-    assert asking.take() == "-BUSY"
+    assert asking.receive() == "-BUSY"
     asking.send(encode_gets(1, b"next"))
     links = made.proxy.server_pools.connections
     made.wait_until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
-    if made.run_in_reactor(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
+    if made.run_in_reactor(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.receive() is None:
         to_node = node.accept()
-        to_node.take()
+        to_node.receive()
     to_node.send(encode_hit(b"own"))
-    assert asking.take() == b"own"
+    assert asking.receive() == b"own"
 
 
 def test_an_answer_in_the_turn_in_which_its_client_goes_ends_all_once(moment):
@@ -531,7 +531,7 @@
         asking = made.client()
         asking.send(encode_gets(1))
         to_node = node.accept()
-        to_node.take()
+        to_node.receive()
 
         def turn(asking=asking, to_node=to_node, how=how):
             to_node.send(encode_hit())
@@ -556,11 +556,11 @@
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
-    to_node.take()
+    to_node.receive()
     agent.line(watch, 2, whole=True)
     made.wait_until(lambda: made.proxy.endpoint_watch.generation == 2)
     to_node.send(encode_hit())
-    assert asking.take() == b"v" and to_node.take() is None
+    assert asking.receive() == b"v" and to_node.receive() is None
 
 
 def test_a_move_of_discovery_in_its_pause_in_a_call_and_to_an_address_that_refuses(moment):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -53,7 +53,7 @@
     value = [b"v"] if one.get("write") else []
     marked = fields + (f",k={ident.decode()}" if one["effect"] == "keyed" else "")
     wire.send(encode_command(*parts, marked.encode(), *value))
-    return wire.take()
+    return wire.receive()
 
 
 @pytest.fixture
