--- a/tests/moments.py
+++ b/tests/moments.py
@@ -75,28 +75,28 @@
     """A cache node that does nothing by itself."""
 
     def __init__(self, name: str):
-        self.name, self.door = name, socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.door.settimeout(TIMEOUT_S)
+        self.name, self.listener = name, socket.create_server(("127.0.0.1", 0), backlog=256)
+        self.listener.settimeout(TIMEOUT_S)
 
-    def entry(self, state="SERVING", **more):
-        where = "{}:{}".format(*self.door.getsockname())
+    def endpoint_entry(self, state="SERVING", **more):
+        where = "{}:{}".format(*self.listener.getsockname())
         return {"instanceId": self.name, "hostPort": where, "lifecycle": state, "weight": 1.0} | more
 
     def accept(self) -> SocketConnection:
-        return SocketConnection(self.door.accept()[0])
+        return SocketConnection(self.listener.accept()[0])
 
 
 class DiscoveryServer:
     """Discovery: each call is taken, and answered line by line, by the test."""
 
     def __init__(self):
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(TIMEOUT_S)
-        self.address = self.door.getsockname()
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.settimeout(TIMEOUT_S)
+        self.address = self.listener.getsockname()
 
     def call(self):
         """The next call, and the version that it goes on from."""
-        one = self.door.accept()[0]
+        one = self.listener.accept()[0]
         one.settimeout(TIMEOUT_S)
         text = b""
         while b"\r\n\r\n" not in text:
@@ -125,7 +125,7 @@
     def start(self, *nodes):
         in_reactor(self.proxy.start)
         if nodes:
-            self.run_in_reactor(self.proxy.endpoints.update, [node.entry() for node in nodes], True)
+            self.run_in_reactor(self.proxy.endpoints.update, [node.endpoint_entry() for node in nodes], True)
         return self
 
     def run_in_reactor(self, call, *values):
--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -280,7 +280,7 @@
 def test_bytes_of_an_attempt_that_has_ended_never_go_out():
     """The node takes nothing for a while, so an attempt waits in our own buffer when its request ends."""
     node = CacheServer("n0")
-    node.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     made = ProxyHarness(streams_per_conn=8, may_duplicate=True).start(node)
     try:
         asking = made.client()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -49,7 +49,7 @@
 def never_sent_on(of):
     """All that waited is over; a node that comes now gets nothing."""
     of.wait_until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
-    of.run_in_reactor(of.proxy.endpoints.update, [CacheServer("late").entry()], True)
+    of.run_in_reactor(of.proxy.endpoints.update, [CacheServer("late").endpoint_entry()], True)
     of.advance_clock(20_000)
     proxy = of.proxy
     assert of.run_in_reactor(
@@ -149,14 +149,14 @@
 def test_a_client_that_leaves_while_its_connection_to_a_node_does_not_come_up(moment):
     # It comes up after the client has left: nothing is written to it.
     node = CacheServer("n0")
-    node.door.listen(0)
+    node.listener.listen(0)
     made = moment(begun=False)
     made.run.connect_timeout_us = made.proxy.server_pools.connect_timeout = 1 << 40
     full = []
     for _ in range(4):  # its table of connections that nobody took yet is full: further ones do not come up
         one = socket.socket()
         one.setblocking(False)
-        one.connect_ex(node.door.getsockname())
+        one.connect_ex(node.listener.getsockname())
         full.append(one)
     made.start(node)
     asking = made.client()
@@ -167,9 +167,9 @@
     made.wait_until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
     for one in full:
         one.close()
-    node.door.listen(64)
+    node.listener.listen(64)
     for _ in full:
-        node.door.settimeout(0.05)
+        node.listener.settimeout(0.05)
         try:
             node.accept()
         except TimeoutError:
@@ -258,13 +258,13 @@
     agent, node, other = DiscoveryServer(), CacheServer("n0"), CacheServer("n1")
     made = moment(discovery=agent)
     watch, _ = agent.call()
-    agent.line(watch, 1, node.entry(), other.entry(), whole=True)
+    agent.line(watch, 1, node.endpoint_entry(), other.endpoint_entry(), whole=True)
     made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
     asking.send(encode_gets(1))
     made.wait_until(lambda: made.proxy.request_handler.requests)
     made.run_in_reactor(made.proxy.terminate)
-    agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
+    agent.line(watch, 2, node.endpoint_entry("DRAINING"), other.endpoint_entry("DRAINING"))
     made.wait_until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
     late = made.client()
     late.send(encode_gets(1, b"late"))
@@ -332,22 +332,22 @@
     agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
     watch, since = agent.call()
-    agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
+    agent.line(watch, 1, *(node.endpoint_entry() for node in nodes), whole=True)
     made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
-    spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
-    agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
+    spoilt = nodes[0].endpoint_entry("DRAINING", startedAtMs="x")
+    agent.line(watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"))
     made.wait_until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
     made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
     watch, since = agent.call()
     assert since == 0  # the whole list
-    agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
-    agent.line(watch, 3, nodes[1].entry())
+    agent.line(watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"), whole=True)  # spoilt at its source: told once
+    agent.line(watch, 3, nodes[1].endpoint_entry())
     made.wait_until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
     assert made.run_in_reactor(
         lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
     )
-    agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
+    agent.line(watch, 4, nodes[0].endpoint_entry("DRAINING"), nodes[1].endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
     assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
 
@@ -356,9 +356,9 @@
     agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
-    agent.line(watch, 1, node.entry(), whole=True)
+    agent.line(watch, 1, node.endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
-    agent.line(watch, 2, node.entry("DRAINING", hostPort="nowhere"))
+    agent.line(watch, 2, node.endpoint_entry("DRAINING", hostPort="nowhere"))
     made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
 
 
@@ -366,7 +366,7 @@
     agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
     watch, _ = agent.call()
-    agent.line(watch, 1, nodes[0].entry(), whole=True)
+    agent.line(watch, 1, nodes[0].endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
     # One line whole, half of the next, and the end, in one read.
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
@@ -465,7 +465,7 @@
         made.client_side.dataReceived(encode_gets(1))
         first = next(iter(made.proxy.request_handler.in_flight.values())).pool
         left = next(one for one in (node, other) if one.name == first.name)
-        made.proxy.endpoints.update([left.entry("DRAINING")], False)
+        made.proxy.endpoints.update([left.endpoint_entry("DRAINING")], False)
         return left
 
     made.wait_until(lambda: made.proxy.client_server.connections)
@@ -551,7 +551,7 @@
     agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
     watch, _ = agent.call()
-    agent.line(watch, 1, node.entry(), whole=True)
+    agent.line(watch, 1, node.endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
     asking = made.client()
     asking.send(encode_gets(1))
@@ -567,7 +567,7 @@
     first, second = DiscoveryServer(), DiscoveryServer()
     made = moment(discovery=first)
     watch, _ = first.call()
-    first.line(watch, 7, CacheServer("n0").entry(), whole=True)
+    first.line(watch, 7, CacheServer("n0").endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
     made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
@@ -579,7 +579,7 @@
         nowhere = free.getsockname()
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, nowhere)
     made.wait_until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
-    second.line(watch, 9, CacheServer("n0").entry("DRAINING"))  # nobody listens there any more
+    second.line(watch, 9, CacheServer("n0").endpoint_entry("DRAINING"))  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
@@ -589,5 +589,5 @@
     watch, since = first.call()
     assert since == 7
     late.close()
-    first.line(watch, 8, CacheServer("n1").entry())
+    first.line(watch, 8, CacheServer("n1").endpoint_entry())
     made.wait_until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
