--- a/tests/moments.py
+++ b/tests/moments.py
@@ -94,7 +94,7 @@
         self.listener.settimeout(TIMEOUT_S)
         self.address = self.listener.getsockname()
 
-    def call(self):
+    def accept_watch(self):
         """The next call, and the version that it goes on from."""
         one = self.listener.accept()[0]
         one.settimeout(TIMEOUT_S)
@@ -104,7 +104,7 @@
         one.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return one, int(text.partition(b"index=")[2].split()[0])
 
-    def line(self, one, generation, *entries, whole=False):
+    def send_update(self, one, generation, *entries, whole=False):
         text = orjson.dumps({"generation": generation, "reset": whole, "instances": entries}) + b"\n"
         one.sendall(b"%x\r\n%b\r\n" % (len(text), text))
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -39,8 +39,8 @@
         agent = DiscoveryServer.__new__(DiscoveryServer)
         agent.listener = socket.create_server(("127.0.0.1", listed_at))
         agent.listener.settimeout(10)
-        watch, since = agent.call()  # the call for the list finds a descriptor
-        agent.line(watch, 1, node.endpoint_entry(), whole=True)
+        watch, since = agent.accept_watch()  # the call for the list finds a descriptor
+        agent.send_update(watch, 1, node.endpoint_entry(), whole=True)
         new = SocketConnection(socket.create_connection(("127.0.0.1", port), timeout=10))
         new.send(encode_gets(1, b"x", b"c=read,d=9000"))
         to_node = node.accept()  # and so do a new client and its connection to a node
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -164,7 +164,9 @@
     made.wait_until(lambda: len(made.proxy.server_pools.connections) == 1)
     assert made.run_in_reactor(lambda: not made.proxy.server_pools.connections[0].is_connected)
     asking.end()
-    made.wait_until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
+    made.wait_until(
+        lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight
+    )
     for one in full:
         one.close()
     node.listener.listen(64)
@@ -257,15 +259,17 @@
 def test_a_drain_that_is_told_after_sigterm_counts(moment):
     agent, node, other = DiscoveryServer(), CacheServer("n0"), CacheServer("n1")
     made = moment(discovery=agent)
-    watch, _ = agent.call()
-    agent.line(watch, 1, node.endpoint_entry(), other.endpoint_entry(), whole=True)
+    watch, _ = agent.accept_watch()
+    agent.send_update(watch, 1, node.endpoint_entry(), other.endpoint_entry(), whole=True)
     made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
     asking = made.client()
     asking.send(encode_gets(1))
     made.wait_until(lambda: made.proxy.request_handler.requests)
     made.run_in_reactor(made.proxy.terminate)
-    agent.line(watch, 2, node.endpoint_entry("DRAINING"), other.endpoint_entry("DRAINING"))
-    made.wait_until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
+    agent.send_update(watch, 2, node.endpoint_entry("DRAINING"), other.endpoint_entry("DRAINING"))
+    made.wait_until(
+        lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values())
+    )
     late = made.client()
     late.send(encode_gets(1, b"late"))
     made.wait_until(lambda: len(made.proxy.request_handler.requests) == 2)
@@ -307,7 +311,7 @@
                 os.replace(tmp_path / "next", path)
             os.write(pipe, told(agent))
             os.close(pipe)
-        assert agents[1].call()[1] == 0
+        assert agents[1].accept_watch()[1] == 0
     finally:
         process.kill()
         process.wait()
@@ -331,23 +335,25 @@
     # Guards against news lost for good: the version goes on, so nobody would ever tell it again.
     agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
-    watch, since = agent.call()
-    agent.line(watch, 1, *(node.endpoint_entry() for node in nodes), whole=True)
+    watch, since = agent.accept_watch()
+    agent.send_update(watch, 1, *(node.endpoint_entry() for node in nodes), whole=True)
     made.wait_until(lambda: len(made.proxy.balancer.servers) == 2)
     spoilt = nodes[0].endpoint_entry("DRAINING", startedAtMs="x")
-    agent.line(watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"))
+    agent.send_update(watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"))
     made.wait_until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
     made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
-    watch, since = agent.call()
+    watch, since = agent.accept_watch()
     assert since == 0  # the whole list
-    agent.line(watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"), whole=True)  # spoilt at its source: told once
-    agent.line(watch, 3, nodes[1].endpoint_entry())
+    agent.send_update(
+        watch, 2, spoilt, nodes[1].endpoint_entry("DRAINING"), whole=True
+    )  # spoilt at its source: told once
+    agent.send_update(watch, 3, nodes[1].endpoint_entry())
     made.wait_until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
     assert made.run_in_reactor(
         lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
     )
-    agent.line(watch, 4, nodes[0].endpoint_entry("DRAINING"), nodes[1].endpoint_entry(), whole=True)
+    agent.send_update(watch, 4, nodes[0].endpoint_entry("DRAINING"), nodes[1].endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
     assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
 
@@ -355,18 +361,18 @@
 def test_a_drain_counts_though_its_address_is_spoilt(moment):
     agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
-    watch, _ = agent.call()
-    agent.line(watch, 1, node.endpoint_entry(), whole=True)
+    watch, _ = agent.accept_watch()
+    agent.send_update(watch, 1, node.endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
-    agent.line(watch, 2, node.endpoint_entry("DRAINING", hostPort="nowhere"))
+    agent.send_update(watch, 2, node.endpoint_entry("DRAINING", hostPort="nowhere"))
     made.wait_until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
 
 
 def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
     agent, nodes = DiscoveryServer(), [CacheServer("n0"), CacheServer("n1")]
     made = moment(discovery=agent)
-    watch, _ = agent.call()
-    agent.line(watch, 1, nodes[0].endpoint_entry(), whole=True)
+    watch, _ = agent.accept_watch()
+    agent.send_update(watch, 1, nodes[0].endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
     # One line whole, half of the next, and the end, in one read.
     whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
@@ -374,7 +380,7 @@
     watch.close()
     made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)
     made.advance_clock(made.proxy.settings.poll_pauses[1] * 2)
-    assert agent.call()[1] == 2
+    assert agent.accept_watch()[1] == 2
 
 
 def test_no_pause_between_calls_comes_near_the_grace_of_a_drain():
@@ -420,7 +426,9 @@
     made.wait_until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
     before = made.run_in_reactor(lambda: made.proxy.deadlines.scheduled)
     made.advance_clock(made.proxy.server_pools.ABANDONED_TIMEOUT)
-    assert made.run_in_reactor(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
+    assert (
+        made.run_in_reactor(lambda: made.proxy.deadlines.scheduled) - before < 20
+    )  # no round after round of nothing
     wire.send(encode_hit(b"late") + encode_hit(b"receipt"))
     assert paying.receive() == b"receipt"
 
@@ -550,14 +558,14 @@
 def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
     agent, node = DiscoveryServer(), CacheServer("n0")
     made = moment(discovery=agent)
-    watch, _ = agent.call()
-    agent.line(watch, 1, node.endpoint_entry(), whole=True)
+    watch, _ = agent.accept_watch()
+    agent.send_update(watch, 1, node.endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.balancer.servers)
     asking = made.client()
     asking.send(encode_gets(1))
     to_node = node.accept()
     to_node.receive()
-    agent.line(watch, 2, whole=True)
+    agent.send_update(watch, 2, whole=True)
     made.wait_until(lambda: made.proxy.endpoint_watch.generation == 2)
     to_node.send(encode_hit())
     assert asking.receive() == b"v" and to_node.receive() is None
@@ -566,28 +574,34 @@
 def test_a_move_of_discovery_in_its_pause_in_a_call_and_to_an_address_that_refuses(moment):
     first, second = DiscoveryServer(), DiscoveryServer()
     made = moment(discovery=first)
-    watch, _ = first.call()
-    first.line(watch, 7, CacheServer("n0").endpoint_entry(), whole=True)
+    watch, _ = first.accept_watch()
+    first.send_update(watch, 7, CacheServer("n0").endpoint_entry(), whole=True)
     made.wait_until(lambda: made.proxy.endpoint_watch.generation == 7)
     watch.close()
     made.wait_until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, second.address)
-    watch, since = second.call()
+    watch, since = second.accept_watch()
     assert since == 7
     made.wait_until(lambda: made.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
         nowhere = free.getsockname()
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, nowhere)
-    made.wait_until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
-    second.line(watch, 9, CacheServer("n0").endpoint_entry("DRAINING"))  # nobody listens there any more
+    made.wait_until(
+        lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming
+    )
+    second.send_update(
+        watch, 9, CacheServer("n0").endpoint_entry("DRAINING")
+    )  # nobody listens there any more
     hung = socket.create_server(("127.0.0.1", 0))
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, hung.getsockname())
     late = hung.accept()[0]
     late.recv(65_536)
     # Amid the call, whose answer comes too late.
     made.run_in_reactor(made.proxy.endpoint_watch.change_address, first.address)
-    watch, since = first.call()
+    watch, since = first.accept_watch()
     assert since == 7
     late.close()
-    first.line(watch, 8, CacheServer("n1").endpoint_entry())
-    made.wait_until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
+    first.send_update(watch, 8, CacheServer("n1").endpoint_entry())
+    made.wait_until(
+        lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2
+    )
