--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds the state that a test needs."""
+"""Factories for balancers, requests and proxies, and fakes of the reactor and of transports."""
 
 from random import Random
 
@@ -29,12 +29,12 @@
 from ivystack.configuration.process import ProcessConfiguration
 from ivystack.configuration.schema import ConfigurationFile, convert
 
-S = 1_000_000
+S = 1_000_000  # microseconds per second
 
 
-def make_servers(count, **more):
-    """So many cache servers, n00, n01, .."""
-    return [Server(f"n{i:02}", **more) for i in range(count)]
+def make_servers(count, **fields):
+    """Return `count` cache servers named n00, n01, .."""
+    return [Server(f"n{i:02}", **fields) for i in range(count)]
 
 
 def make_balancer(
@@ -52,7 +52,10 @@
     gossip=False,
     **parameters,
 ):
-    """A balancer of its own, told of the listed servers.  `live_weights`: these fall with load."""
+    """Return a balancer that has received the listed servers.
+
+    :param live_weights: the servers' weights fall with their load
+    """
     rng = Random(1 + own_number)
     components = Components(
         placement=Placement(weighted, live_weights),
@@ -61,16 +64,16 @@
         connections=ConnectionBudget(60 * S, process_count),
         load=LoadEstimator(live_weights),
     )
-    given = {"max_attempts": 3, "hedging_enabled": True} | parameters
-    made = Balancer(
+    with_defaults = {"max_attempts": 3, "hedging_enabled": True} | parameters
+    balancer = Balancer(
         rng,
-        BalancerParameters(**given),
+        BalancerParameters(**with_defaults),
         components,
         OutcomeGossip(rng, own_number, process_count) if gossip else None,
         SlotOrderExchange(rng, own_number, process_count) if gossip else None,
     )
-    made.update_endpoints(list(listed), True, now)
-    return made
+    balancer.update_endpoints(list(listed), True, now)
+    return balancer
 
 
 def make_request(
@@ -82,9 +85,9 @@
     time_to_deadline=2 * S,
     dedup_group="all",
     dedup_window=0,
-    **more,
+    **fields,
 ):
-    """A request of a class of its own."""
+    """Return a request whose request class has the given properties."""
     request_class = RequestClass(
         "m",
         idempotency,
@@ -92,24 +95,24 @@
         dedup_group=DedupGroup(dedup_group),
         dedup_window=dedup_window,
     )
-    return Request(request_class, arrived_at, arrived_at + time_to_deadline, key, **more)
+    return Request(request_class, arrived_at, arrived_at + time_to_deadline, key, **fields)
 
 
 def make_weighted_servers(*weights, kind=0):
-    """A cache server of each weight."""
+    """Return one cache server for each weight."""
     return [Server(f"n{i:02}", kind, weight) for i, weight in enumerate(weights)]
 
 
-def make_balancer_with_origin(**more):
-    """A balancer whose cache servers answer misses at once, and the origin behind them."""
+def make_balancer_with_origin(**parameters):
+    """Return a balancer with three cache servers and an origin, which takes their misses, and the origin."""
     listed = [*make_servers(3), Server("origin", kind=4)]
-    balancer = make_balancer(listed, origin_kind=4, hedging_enabled=False, max_attempts=2, **more)
+    balancer = make_balancer(listed, origin_kind=4, hedging_enabled=False, max_attempts=2, **parameters)
     return balancer, balancer.servers["origin"]
 
 
-def route_after_miss(balancer, now, **more):
-    """A read that a cache server has just missed, and the next decision of it."""
-    request = make_request(arrived_at=now, time_to_deadline=more.pop("time_to_deadline", 3 * S), **more)
+def route_after_miss(balancer, now, **fields):
+    """Return a read that missed at a cache server, and the balancer's next decision for that request."""
+    request = make_request(arrived_at=now, time_to_deadline=fields.pop("time_to_deadline", 3 * S), **fields)
     balancer.route(request, now)
     balancer.record_outcome(request.attempts[0], Outcome.CACHE_MISS, now)
     balancer.next_wakeup(now)
@@ -117,31 +120,31 @@
 
 
 def make_ranked_request(now):
-    """A request of middle rank that warming servers take too."""
+    """Return a request of middle rank that cold servers accept too."""
     request = make_request(arrived_at=now)
     request.is_ranked, request.limit_fraction, request.warm_up_draw = True, 0.5, 0.1
     return request
 
 
 def make_fleet(count, servers_each=4):
-    """The balancers of so many processes that know the same servers, with a seed of its own each."""
+    """Return the balancers of `count` processes, which know the same servers and have different seeds."""
     balancers = [
         make_balancer(make_servers(servers_each), process_count=count, gossip=True, own_number=me)
         for me in range(count)
     ]
-    for one in balancers:
-        one.slot_order.settled_at = one.slot_order.next_at = -1  # they have run for long
-        one.next_wakeup(0)
+    for balancer in balancers:
+        balancer.slot_order.settled_at = balancer.slot_order.next_at = -1  # as after a long run
+        balancer.next_wakeup(0)
     return balancers
 
 
 def deliver_gossip(balancers, now):
-    """Deliver the datagrams that are due; return how many they were, and of how many bytes."""
+    """Deliver the datagrams that are due; return their count and their total size in bytes."""
     sent = [
-        (r.peer, r.datagram)
-        for one in balancers
-        for r in one.next_wakeup(now).due
-        if isinstance(r, SendGossip)
+        (action.peer, action.datagram)
+        for balancer in balancers
+        for action in balancer.next_wakeup(now).due
+        if isinstance(action, SendGossip)
     ]
     for peer, datagram in sent:
         balancers[peer].receive_gossip(datagram, now)
@@ -149,18 +152,18 @@
 
 
 class FakeTransport(StringTransport):
-    """Keeps what is written, as sockets would pass it on."""
+    """A transport that keeps what is written to it, and never has input of its own."""
 
     def setTcpNoDelay(self, on):  # noqa: N802
         self.no_delay = on
 
     def fileno(self):
-        return -1  # there is no socket
+        return -1  # there is no socket behind this transport
 
-    dataBuffer, offset, _tempDataLen = b"", 0, 0  # noqa: N815  all that is written has gone out
+    dataBuffer, offset, _tempDataLen = b"", 0, 0  # noqa: N815  nothing written is unsent
 
     def read_now(self):
-        """Nothing has come that was not given to the protocol."""
+        """Do nothing: a test passes input to the protocol directly."""
 
     def look_for_end(self):
         return True
@@ -169,17 +172,17 @@
         self.read_now()
 
     def doWrite(self):  # noqa: N802
-        """Nothing waits in our own buffer."""
+        """Do nothing: the transport's own buffer is empty."""
 
     def take_output(self):
-        """What has been written since this was asked last."""
-        text = self.value()
+        """Return the bytes written since the last call."""
+        output = self.value()
         self.clear()
-        return text
+        return output
 
 
 class FakeListeningPort:
-    """A listening socket at which nobody waits."""
+    """A listening port whose backlog is empty."""
 
     open = True
 
@@ -201,15 +204,20 @@
     return FakeListeningPort()
 
 
-def make_entries(count, state="SERVING", **more):
+def make_entries(count, state="SERVING", **fields):
+    """Return `count` entries of an endpoint list, named n0, n1, .."""
     return [
-        {"instanceId": f"n{i}", "hostPort": f"127.0.0.9:{7000 + i}", "lifecycle": state, "weight": 1.0} | more
+        {"instanceId": f"n{i}", "hostPort": f"127.0.0.9:{7000 + i}", "lifecycle": state, "weight": 1.0}
+        | fields
         for i in range(count)
     ]
 
 
 def make_process_configuration(reporting=None, methods=None, **limits):
-    """What a proxy is told, with two classes where no others are given."""
+    """Return a process configuration.
+
+    :param methods: the request classes; without any there are `read` and `pay`
+    """
     methods = methods or [
         {"name": name, "semantics": semantics, "latency_budget": 10**9, "give_up": 10**9, "criticality": 1.0}
         for name, semantics in (("read", "pure"), ("pay", "side_effect"))
@@ -222,38 +230,41 @@
 
 
 def make_proxy(count=1, reporting=None, run=None, **limits):
-    """A proxy on a reactor that only keeps what it is asked for, told of so many cache nodes."""
+    """Return a proxy on a fake reactor, with `count` cache servers in its endpoint list."""
     reactor = FakeReactor()
     reactor.advance(1000)
-    made = Proxy(
+    proxy = Proxy(
         run or make_process_configuration(reporting, **limits), reactor, lambda: round(reactor.seconds() * S)
     )
-    made.listen = fake_listen
-    made.endpoints.update(make_entries(count), True)
-    return made
+    proxy.listen = fake_listen
+    proxy.endpoints.update(make_entries(count), True)
+    return proxy
 
 
-def connect_client(of):
-    made = of.client_server.buildProtocol(None)
-    made.makeConnection(FakeTransport())
-    return made
+def connect_client(proxy):
+    """Return the proxy's side of a new client connection."""
+    connection = proxy.client_server.buildProtocol(None)
+    connection.makeConnection(FakeTransport())
+    return connection
 
 
-def open_server_connection(of, number=-1):
-    """The connection that the proxy asked for, come up."""
-    made = of.reactor.tcpClients[number][2].buildProtocol(None)
-    made.makeConnection(FakeTransport())
-    return made
+def open_server_connection(proxy, number=-1):
+    """Complete a connection to a server that the proxy has requested, by default the last, and return it."""
+    connection = proxy.reactor.tcpClients[number][2].buildProtocol(None)
+    connection.makeConnection(FakeTransport())
+    return connection
 
 
-def encode_get(ident=b"1", key=b"7f", fields=b"c=read,t=t,d=500"):
-    return encode_command(b"OBJ.GET", key, ident, fields)
+def encode_get(request_id=b"1", key=b"7f", fields=b"c=read,t=t,d=500"):
+    """Return an OBJ.GET command."""
+    return encode_command(b"OBJ.GET", key, request_id, fields)
 
 
-def encode_hit(text=b"v", report=None):
+def encode_hit(value=b"v", report=None):
+    """Return a cache server's response to a read that hit, with its load report if there is one."""
     return (
         b"*3\r\n"
-        + encode_bulk(text)
+        + encode_bulk(value)
         + encode_bulk(b"hit")
         + (b"$-1\r\n" if report is None else encode_bulk(report))
     )
--- a/tests/moments.py
+++ b/tests/moments.py
@@ -1,8 +1,7 @@
-"""A proxy on real sockets whose clock stands still until the test moves it: no order is left to chance.
+"""A proxy on real sockets with a clock that only the test advances, so that the order of events is fixed.
 
-What is due by time comes when the test says so, in a turn of the reactor that the test has for itself; what
-comes over sockets is awaited, however long the machine takes.  Nodes, clients and discovery are plain sockets
-that do nothing unless told.
+The test runs what is due by time in a reactor turn of its own, and waits for what arrives over sockets,
+however long the machine takes.  The test controls the plain sockets of cache servers, clients and discovery.
 """
 
 import socket
@@ -16,11 +15,11 @@
 from ivystack.net.proxy import Proxy
 from ivystack.net.resp import RespProtocol, encode_command
 
-TIMEOUT_S = 10  # seconds for what must come
+TIMEOUT_S = 10  # seconds that a test waits for what must arrive
 
 
 class ReactorWithoutStop:
-    """The reactor, which an ending proxy must leave to the other tests."""
+    """The running reactor, except that `stop` is only recorded, because later tests use the reactor too."""
 
     def __init__(self):
         from twisted.internet import reactor
@@ -35,6 +34,8 @@
 
 
 class ValueReader(RespProtocol):
+    """Collects the RESP values that arrive."""
+
     def __init__(self):
         super().__init__()
         self.values = []
@@ -42,17 +43,17 @@
 
 
 class SocketConnection:
-    """One end of a connection, held by the test."""
+    """The test's end of a connection to the proxy."""
 
-    def __init__(self, of: socket.socket):
-        self.socket, self.reader = of, ValueReader()
-        of.settimeout(TIMEOUT_S)
+    def __init__(self, connected: socket.socket):
+        self.socket, self.reader = connected, ValueReader()
+        connected.settimeout(TIMEOUT_S)
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
     def receive(self):
-        """The next value that comes; None when the connection ends first."""
+        """Return the next value that arrives, or None if the connection ends first."""
         while not self.reader.values:
             try:
                 data = self.socket.recv(65_536)
@@ -64,30 +65,34 @@
         return self.reader.values.pop(0)
 
     def end(self) -> None:
+        """Close the connection."""
         self.socket.close()
 
     def reset(self) -> None:
+        """Close the connection with a reset."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
 
 class CacheServer:
-    """A cache node that does nothing by itself."""
+    """A cache server whose listening socket the test controls; it answers nothing by itself."""
 
     def __init__(self, name: str):
         self.name, self.listener = name, socket.create_server(("127.0.0.1", 0), backlog=256)
         self.listener.settimeout(TIMEOUT_S)
 
-    def endpoint_entry(self, state="SERVING", **more):
-        where = "{}:{}".format(*self.listener.getsockname())
-        return {"instanceId": self.name, "hostPort": where, "lifecycle": state, "weight": 1.0} | more
+    def endpoint_entry(self, state="SERVING", **fields):
+        """Return the server's entry in the endpoint list."""
+        address = "{}:{}".format(*self.listener.getsockname())
+        return {"instanceId": self.name, "hostPort": address, "lifecycle": state, "weight": 1.0} | fields
 
     def accept(self) -> SocketConnection:
+        """Accept the next connection from the proxy."""
         return SocketConnection(self.listener.accept()[0])
 
 
 class DiscoveryServer:
-    """Discovery: each call is taken, and answered line by line, by the test."""
+    """A discovery server; the test accepts each watch and sends each line of the response."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -95,26 +100,29 @@
         self.address = self.listener.getsockname()
 
     def accept_watch(self):
-        """The next call, and the version that it goes on from."""
-        one = self.listener.accept()[0]
-        one.settimeout(TIMEOUT_S)
-        text = b""
-        while b"\r\n\r\n" not in text:
-            text += one.recv(65_536)
-        one.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        return one, int(text.partition(b"index=")[2].split()[0])
+        """Return the connection of the next watch, and the generation from which it continues."""
+        connection = self.listener.accept()[0]
+        connection.settimeout(TIMEOUT_S)
+        request = b""
+        while b"\r\n\r\n" not in request:
+            request += connection.recv(65_536)
+        connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        return connection, int(request.partition(b"index=")[2].split()[0])
 
-    def send_update(self, one, generation, *entries, whole=False):
-        text = orjson.dumps({"generation": generation, "reset": whole, "instances": entries}) + b"\n"
-        one.sendall(b"%x\r\n%b\r\n" % (len(text), text))
+    def send_update(self, connection, generation, *entries, whole=False):
+        """Send a line of the watch: the changed entries, or with `whole` the complete list."""
+        line = orjson.dumps({"generation": generation, "reset": whole, "instances": entries}) + b"\n"
+        connection.sendall(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class ProxyHarness:
+    """A proxy in the running reactor whose clock, in microseconds, only the test advances."""
+
     def __init__(self, run=None, discovery=None, **limits):
         self.now = 1_000_000_000_000
         self.reactor = ReactorWithoutStop()
         run = run or make_process_configuration(**limits)
-        # An address that nothing calls from: a port that was free just now is not taken by a call's own end.
+        # No connection is made from 127.0.0.77, so its local port can't take the port that was just free.
         with socket.create_server(("127.0.0.77", 0)) as free:
             run.listen = free.getsockname()
         self.discovery = discovery or DiscoveryServer()
@@ -122,41 +130,49 @@
         self.run = run
         self.proxy = in_reactor(Proxy, run, self.reactor, lambda: self.now)
 
-    def start(self, *nodes):
+    def start(self, *servers):
+        """Start the proxy, with these cache servers in its endpoint list."""
         in_reactor(self.proxy.start)
-        if nodes:
-            self.run_in_reactor(self.proxy.endpoints.update, [node.endpoint_entry() for node in nodes], True)
+        if servers:
+            self.run_in_reactor(
+                self.proxy.endpoints.update, [server.endpoint_entry() for server in servers], True
+            )
         return self
 
     def run_in_reactor(self, call, *values):
-        """Calls it in a turn of the reactor: nothing that comes over sockets is read meanwhile."""
+        """Make the call in one turn of the reactor, during which nothing is read from sockets."""
         return in_reactor(call, *values)
 
     def advance_clock(self, microseconds: int) -> None:
-        def moved():
+        """Advance the proxy's clock, and make the calls that are then due."""
+
+        def advance():
             self.now += microseconds
             self.proxy.deadlines.run_due()
 
-        self.run_in_reactor(moved)
+        self.run_in_reactor(advance)
 
     def wait_until(self, condition) -> None:
-        """Waits for what must come; time stands still for the proxy meanwhile."""
+        """Wait until the condition holds; the proxy's clock does not advance meanwhile."""
         for _ in range(100 * TIMEOUT_S):
             if self.run_in_reactor(condition):
                 return
             time.sleep(0.01)
-        raise AssertionError("it never came")
+        raise AssertionError("the condition did not become true in time")
 
     def client(self) -> SocketConnection:
+        """Connect a client."""
         return SocketConnection(socket.create_connection(self.run.listen, timeout=TIMEOUT_S))
 
     def stop(self) -> None:
+        """Close all connections and stop listening, watching and the proxy's timers."""
+
         def end():
-            for one in [
+            for connection in [
                 *self.proxy.client_server.connections.values(),
                 *self.proxy.server_pools.connections.values(),
             ]:
-                one.transport.abortConnection()
+                connection.transport.abortConnection()
             if self.proxy.port is not None and self.proxy.port.connected:
                 self.proxy.port.stopListening()
             self.proxy.endpoint_watch.stop()
@@ -166,7 +182,8 @@
         self.run_in_reactor(end)
 
 
-def encode_gets(count, name=b"", fields=b"c=read,t=t,d=60000"):
+def encode_gets(count, prefix=b"", fields=b"c=read,t=t,d=60000"):
+    """Return `count` OBJ.GET commands whose ids are the prefix and a number."""
     return b"".join(
-        encode_command(b"OBJ.GET", b"7f", b"%b%d" % (name, number), fields) for number in range(count)
+        encode_command(b"OBJ.GET", b"7f", b"%b%d" % (prefix, number), fields) for number in range(count)
     )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -270,10 +270,10 @@
     assert asking.transport.take_output() == encode_bulk(LONG) and asking.transport.disconnecting
 
 
-def test_more_long_values_at_once_than_memory_holds(platform):
+def test_more_long_values_at_once_than_memory_holds(make_launcher):
     # 40 of 4 MiB through a proxy of 64 MB, to clients that begin to read late.
     value = b"long" * (1 << 20)
-    at = platform(Node(value=value), Node(value=value))
+    at = make_launcher(Node(value=value), Node(value=value))
     process = at.start(limits={"memory_mb": 64}, settings=wide())
     whole = []
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,9 +16,9 @@
     return process.returncode, told
 
 
-def test_reqs_without_a_pause_pass_through_two_upgrades(platform):
+def test_reqs_without_a_pause_pass_through_two_upgrades(make_launcher):
     node = Node(0.002)
-    at = platform(node)
+    at = make_launcher(node)
     old = at.start()
     clients = [Client(at.address, b"%c" % letter) for letter in b"abcdefgh"]
     try:
@@ -43,8 +43,8 @@
     assert not set(nacked) & set(node.ids) and len(node.ids) == len(set(node.ids)) and new.poll() is None
 
 
-def test_a_new_process_that_cannot_start_leaves_the_old_one_serving(platform):
-    at = platform(Node())
+def test_a_new_process_that_cannot_start_leaves_the_old_one_serving(make_launcher):
+    at = make_launcher(Node())
     at.start()
     assert ended(at.start(settings=5))[0] == 2
     client = Client(at.address, b"x")
@@ -68,9 +68,9 @@
             assert b"LB_FD" in process.stderr
 
 
-def test_the_old_process_finishes_what_it_holds_and_the_new_one_takes_the_rest(platform):
+def test_the_old_process_finishes_what_it_holds_and_the_new_one_takes_the_rest(make_launcher):
     node = Node(0.5)
-    at = platform(node)
+    at = make_launcher(node)
     old = at.start()
     with socket.create_connection(at.address, timeout=10) as asking:
         asking.sendall(b"*4\r\n$7\r\nOBJ.GET\r\n$2\r\n7f\r\n$2\r\nid\r\n$11\r\nc=pay,d=900\r\n")
@@ -82,8 +82,8 @@
     assert ended(old)[0] == 0 and node.ids == [b"id"]
 
 
-def test_datagrams_go_to_the_new_process_once_the_old_one_lets_go(platform):
-    at = platform(Node())
+def test_datagrams_go_to_the_new_process_once_the_old_one_lets_go(make_launcher):
+    at = make_launcher(Node())
     talk = f"127.0.0.1:{free_port()}"
     old = at.start(peer_listen=talk, peers=[talk])
     new = at.start(peer_listen=talk, peers=[talk])  # serves though the address is taken
@@ -100,8 +100,8 @@
     raise AssertionError("the new process never took the address")
 
 
-def test_the_new_process_learns_the_slot_order_and_bounds_go_back_when_the_old_one_is_killed(platform):
-    at = platform(Node(), Node(), Node())
+def test_the_new_process_learns_the_slot_order_and_bounds_go_back_when_the_old_one_is_killed(make_launcher):
+    at = make_launcher(Node(), Node(), Node())
     old = at.start()
     new = at.start()
     client = Client(at.address, b"x")
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -196,9 +196,9 @@
     assert node.transport.take_output() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
 
 
-def test_more_long_writes_at_once_than_memory_holds(platform):
+def test_more_long_writes_at_once_than_memory_holds(make_launcher):
     nodes = [Node(), Node(), Node()]
-    at = platform(*nodes)
+    at = make_launcher(*nodes)
     budget = 5 * 10**9
     one = {"name": "put", "semantics": "token", "latency_budget": budget, "give_up": budget, "window": budget}
     limits = {"most_write_outs": 3, "streams_per_conn": 1, "may_duplicate": True}
