--- a/ivystack/net/client_connection.py
+++ b/ivystack/net/client_connection.py
@@ -1,7 +1,7 @@
-"""One client's connection: commands in, responses out in the order of the commands.
+"""The connection of one client, which reads commands and writes responses in the order of the commands.
 
-No command is answered twice, out of order or in part, and no more is kept for a client than a few commands
-and their responses.
+No command is answered twice, out of order or in part.  The connection holds only a few commands and their
+responses at a time.
 """
 
 from __future__ import annotations
@@ -35,36 +35,36 @@
 
 
 class ClientConnection(RespProtocol):
-    """A connection from a client, with what it owes and what it is in the middle of.
+    """A connection from a client, with its pending responses and the command that is being received.
 
-    `state` is its only record of whether it is read, idle or closing; whether the transport is paused is
-    Twisted's (`paused`).
+    `state` alone records whether the connection is unused, active, idle or closing.  Twisted's `paused`
+    records whether reading is paused.
     """
 
     max_value_size = MAX_VALUE
     value_index = 4
-    first_array_index = MAX_ARRAY_LENGTH  # no array in a command
+    first_array_index = MAX_ARRAY_LENGTH  # a command can't contain an array
     arrays_only = True
-    MAX_PENDING = 32  # commands without a response; what comes after stays unread
-    # Microseconds for a whole command, from its first byte or from the connection's start: below the 3 s that
-    # clients which can't be served wait for a response at most.
+    MAX_PENDING = 32  # commands without a response; further commands stay unread
+    # Microseconds to receive a whole command, from its first byte or from the connection's start.  Less than
+    # the 3 s after which a client that can't be served must have a response.
     COMMAND_TIMEOUT = 2_500_000
-    WRITE_TIMEOUT = 10_000_000  # microseconds for a client to read its responses, above our longest deadline
+    WRITE_TIMEOUT = 10_000_000  # microseconds for a client to read its responses; above the longest deadline
 
     def __init__(self, server: ClientServer) -> None:
         super().__init__()
         self.server = server
         self.state = ClientState.UNUSED
         self.pending = ResponsePipeline()
-        self.slot = -1  # in the server's table
+        self.slot = -1  # in the server's table of connections
         self.commands_received = 0
-        self.idle_since = 0  # microseconds: when it connected, or was answered last
+        self.idle_since = 0  # microseconds: when the client connected or was last answered
         self.last_input_at = 0  # microseconds
-        self.command_timeout: Deadline | None = None  # the deadline for the rest of a command
-        self.write_timeout: Deadline | None = None  # the deadline for reading what was written
-        self.write_blocked = False  # the transport holds more than it could send
-        self.handling_input = False  # more commands may follow the one just read
-        self.upload: RequestStream | None = None  # the long write that is arriving
+        self.command_timeout: Deadline | None = None  # for receiving the rest of a command
+        self.write_timeout: Deadline | None = None  # for the client to read what was written
+        self.write_blocked = False  # the transport holds output that it could not send
+        self.handling_input = False  # further commands may follow the one that was just read
+        self.upload: RequestStream | None = None  # the long write that is being received
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         disable_nagle(self.transport)
@@ -87,25 +87,24 @@
         self.command_begun()
         if self in self.server.unused_connections:
             self.server.unused_connections.move_to_end(self)
-        if (
-            self.command_timeout is None or self.upload is not None
-        ):  # each piece of a long write has that time
+        # The timeout restarts with each piece of a long write.
+        if self.command_timeout is None or self.upload is not None:
             if self.command_timeout is not None:
                 self.command_timeout.cancel()
             self._start_command_timeout(self.last_input_at)
 
     def command_begun(self) -> None:
-        """Count as idle no longer."""
+        """Record that bytes of a command have arrived, so that the connection is not idle."""
         self.state = next_state(self.state, ClientEvent.COMMAND_BEGUN)
         self.server.idle_connections.pop(self, None)
 
     def request_admitted(self) -> None:
-        """Count as in use: one of its commands is a request in hand."""
+        """Record that a command of this connection was admitted as a request."""
         self.state = next_state(self.state, ClientEvent.REQUEST_ADMITTED)
         self.server.unused_connections.pop(self, None)
 
     def value_received(self, value: Any) -> None:
-        """Execute a command, or finish the long write that has arrived."""
+        """Execute a command, or finish a long write whose value has arrived completely."""
         self.command_begun()
         self._stop_command_timeout()
         if value and isinstance(value[-1], StreamedValue):
@@ -129,12 +128,12 @@
         self.flush()
 
     def stream_started(self, size: int) -> ValueSink | None:
-        """Execute a long write whose value of `size` bytes follows."""
+        """Begin a long write whose value of `size` bytes follows, and return the receiver of its pieces."""
         arrays = self.open_arrays
         is_command = len(arrays) == 1 and arrays[0].length == WRITE_ARGUMENTS
         arguments = arrays[0].elements if is_command else []
-        known = len(arguments) == WRITE_ARGUMENTS - 1 and _all_bytes(arguments)
-        if not known or not IS_WRITE.get(arguments[0].upper()):
+        well_formed = len(arguments) == WRITE_ARGUMENTS - 1 and _all_bytes(arguments)
+        if not well_formed or not IS_WRITE.get(arguments[0].upper()):
             self.fail_protocol("too long")
             return None
         self.command_begun()
@@ -146,13 +145,13 @@
         return self.upload.piece_received
 
     def fail_protocol(self, reason: str) -> None:
-        """Write an error behind what is owed, and close: no more bytes are taken for commands."""
+        """Write an error after the pending responses and close; no further commands are read."""
         upload, self.upload = self.upload, None
         if upload is not None and upload.request is not None:
             self.server.callbacks.abort_upload(upload)
         self.server.idle_connections.pop(self, None)
         self.stop_reading_commands()
-        self.pause_reading()  # one that goes on sending at full speed would cost our time
+        self.pause_reading()  # reading and discarding further input at full speed would cost too much time
         self.code = f"malformed: {reason}"
         self.pending.add(b"-ERR %b\r\n" % reason.encode())
         self.flush()
@@ -167,9 +166,9 @@
             self.command_timeout = None
 
     def command_timed_out(self) -> None:
-        """Close a connection that has sent nothing, or half a command and no more.
+        """Close a connection on which no command, or only part of a command, has arrived.
 
-        What it has sent by now may lie unread, since a process that was suspended finds its timers due first.
+        Input is read first, because timers run before reads after the process was suspended.
         """
         self.command_timeout = None
         self.transport.read_now()
@@ -184,7 +183,7 @@
     # Responses.
 
     def respond(self, pending: PendingResponse, response: bytes | ResponseStream) -> None:
-        """Give a command its response, which is written when it is its turn."""
+        """Set a command's response, which is written after the responses of all earlier commands."""
         pending.response = response
         self.server.value_bytes -= pending.value_size
         if isinstance(response, ResponseStream):
@@ -192,7 +191,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what can be written in order; once nothing is owed, become idle or close."""
+        """Write the responses that are next in order; without pending responses, become idle or close."""
         if self._write_responses():
             return
         if not self.pending and self.transport.connected:
@@ -200,12 +199,12 @@
                 self.close_after_writes("stopping")
             elif self.commands_received and self.state.is_open:
                 if self.server.drain.code and self.is_finished():
-                    return self.close_when_idle(self.server.drain.code)  # response and end are sent together
+                    return self.close_when_idle(self.server.drain.code)  # the response and FIN leave together
                 self._become_idle()
         self.resume_reading()
 
     def _write_responses(self) -> bool:
-        """Write the responses that are known, and return whether one of them is still streaming."""
+        """Write the responses that are next in order, and return whether one of them is still streaming."""
         while self.pending and (response := self.pending[0].response) is not None:
             if isinstance(response, ResponseStream):
                 if not response.started:
@@ -226,21 +225,21 @@
         self.server.close_idle(self.idle_since)
 
     def response_completed(self, stream: ResponseStream) -> None:
-        """Finish a streamed response: all of it has arrived."""
+        """Finish a streamed response, all of which has arrived."""
         if stream.started:
             self.transport.write(b"\r\n")
             self.pending.popleft()
             self.transport.bufferSize = MAX_BUFFERED_VALUE
-        else:  # it fitted into the window before it was its turn
+        else:  # the whole response fitted into the window before its turn came
             value = b"".join([b"$%d\r\n" % stream.size, *stream.buffered, b"\r\n"])
             self.pending.of_stream(stream).response = value
         self.flush()
 
     def response_failed(self, stream: ResponseStream) -> None:
-        """End a streamed response that broke off; if part of it was written, the connection ends with it."""
+        """Fail a streamed response that broke off; if part of it was written, close the connection."""
         if stream.started:
-            # Responses behind it can't be written any more, so that their requests must not be forwarded:
-            # the client retries them elsewhere.
+            # Later responses can't be written any more.  Their requests must not be forwarded, because the
+            # client retries them elsewhere.
             self.stop_reading_commands()
             self.server.abandon_pending(self)
             return self.close_after_writes("cut-short")
@@ -250,33 +249,33 @@
     # Predicates.
 
     def is_finished(self) -> bool:
-        """Return whether all that has arrived was read, executed and answered."""
+        """Return whether all commands that have arrived were read, executed and answered."""
         if not self.commands_received or self.pending or self.handling_input:
             return False
         return self.state.accepts_commands and self.at_message_boundary()
 
     def is_connected(self) -> bool:
-        """Return whether the client is still there, as far as the kernel knows.
+        """Return whether the client is still connected, as far as the kernel knows.
 
-        A connection that is being read, or that is paused, counts as there: its end is seen without this.
+        This is assumed while input is handled or reading is paused, where a hang-up is noticed otherwise.
         """
         if self.handling_input or self.paused or not self.state.accepts_commands:
             return True
         return bool(self.transport.look_for_end())
 
-    def owes_nothing(self) -> bool:
-        """Return whether nothing of what has arrived so far is owed a response."""
+    def all_answered(self) -> bool:
+        """Return whether the connection accepts commands and no command that was read lacks its response."""
         return self.state.accepts_commands and not self.pending
 
     # Reading.
 
     def pause_reading(self) -> None:
-        """Read nothing for now; a hang-up is noticed all the same."""
+        """Pause reading; a hang-up is still noticed."""
         super().pauseProducing()
         self.server.hang_up_monitor.watch(self)
 
     def resume_reading(self) -> None:
-        """Read again, unless one of the reasons for a pause remains."""
+        """Resume reading, unless a reason for the pause remains."""
         upload_paused = self.upload is not None and self.upload.paused
         blocked = self.write_blocked or len(self.pending) >= self.MAX_PENDING or upload_paused
         if self.paused and self.state.accepts_commands and not blocked:
@@ -284,21 +283,21 @@
             super().resumeProducing()
 
     def pause_upload(self) -> None:
-        """Read nothing for now: the server of a long write takes no more."""
+        """Pause reading because the server of a long write accepts no more data for now."""
         self.pause_reading()
         self._stop_command_timeout()
 
     def stop_reading_commands(self) -> None:
-        """Execute nothing more, not even what was read."""
+        """Execute no further commands, including those that were read but not executed."""
         self.state = next_state(self.state, ClientEvent.INPUT_CLOSED)
         self.close_input()
 
     # Ending the connection.
 
     def close_when_idle(self, code: str, even_if_partial: bool = False) -> None:
-        """Close once all is written, unless a command has arrived by then, which is executed.
+        """Close after all output is written, unless a command has arrived by then, which is executed.
 
-        :param even_if_partial: close also if half a command has arrived
+        :param even_if_partial: close even if part of a command has arrived
         """
         self._unregister()
         if not self.state.is_open:
@@ -308,13 +307,13 @@
         self._close_transport(code)
 
     def close_after_writes(self, code: str) -> None:
-        """Close once all is written, and read nothing more; a client that does not read it is cut off."""
+        """Stop reading, and close after all output is written or the client has not read it in time."""
         self._unregister()
         self.stop_reading_commands()
         self._close_transport(code)
 
     def abort(self, code: str) -> None:
-        """End the connection at once; what was written and not sent is lost."""
+        """Close the connection at once; output that was not sent is lost."""
         self.state = next_state(self.state, ClientEvent.ABORTED)
         super().abort(code)
 
@@ -324,13 +323,13 @@
 
     def _close_transport(self, code: str) -> None:
         self._start_write_timeout()
-        self.transport.unregisterProducer()  # a paused one would keep the transport from closing
+        self.transport.unregisterProducer()  # a paused producer would keep the transport from closing
         self.close(code)
 
     def may_close(self) -> bool:
-        """Return whether nothing has arrived that is owed a response; the transport asks after its last read.
+        """Return whether the transport may close now; it calls this after its last read.
 
-        If something has, the connection is as it was before its end was requested.
+        If a command has arrived, the close is withdrawn, and the state is as before the request to close.
         """
         if not self.state.accepts_commands:
             return True
@@ -349,12 +348,12 @@
             self.server.unused_connections[self] = None
         return False
 
-    # Calls of the transport: more is written than it could send, all of it has been sent, it has ended.
+    # Called by the transport when its output buffer is full, when the buffer is empty again, and at the end.
 
     def _start_write_timeout(self) -> None:
         if self.write_timeout is None:
-            at = self.server.now() + self.WRITE_TIMEOUT
-            self.write_timeout = self.server.deadlines.call_at(at, self.abort, "slow-reader")
+            due_at = self.server.now() + self.WRITE_TIMEOUT
+            self.write_timeout = self.server.deadlines.call_at(due_at, self.abort, "slow-reader")
 
     def _stop_write_timeout(self) -> None:
         if self.write_timeout is not None:
@@ -378,7 +377,7 @@
         self.resume_reading()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
-        self.close_input()  # what was read and waits must not be executed any more
+        self.close_input()  # commands that were read but not executed must not be executed any more
         self.state = next_state(self.state, ClientEvent.LOST)
         self.server.hang_up_monitor.forget(self)
         if self.write_timeout is not None:
--- a/ivystack/net/client_drain.py
+++ b/ivystack/net/client_drain.py
@@ -74,5 +74,5 @@
         code = self.code or code
         for client in batch:
             partial_allowed = even_if_partial or client.at_message_boundary()
-            if code and client.owes_nothing() and partial_allowed:
+            if code and client.all_answered() and partial_allowed:
                 client.close_when_idle(code, even_if_partial)
--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -1,4 +1,4 @@
-"""The clients' side of the proxy: its connections, their limits, and the requests they send."""
+"""The server for clients: accepts their connections, enforces limits, and submits their requests."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """A request as a client sent it, and how to answer it."""
+    """A request as received from a client, and the callback that answers it."""
 
     reply: Callable[[Reply], None]  # called once
     frame: RequestFrame
@@ -53,43 +53,44 @@
     is_write: bool
     is_client_retry: bool
     upload: RequestStream | None  # the value of a long write
-    is_connected: Callable[[], bool]  # whether the client is still there
+    is_connected: Callable[[], bool]  # whether the client is still connected
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCallbacks:
-    """What the clients' side asks of the one that forwards requests."""
+    """The operations of the request handler that the server for clients uses."""
 
-    admit: Callable[[ClientRequest], int]  # returns the request's slot; nothing is decided yet
-    begin: Callable[[int], None]  # decide on the request in that slot
-    abandon: Callable[[list[int]], None]  # the client of the requests in these slots has gone
-    abort_upload: Callable[[RequestStream], None]  # the long write will never be complete
-    is_ready: Callable[[], bool]  # whether requests can be forwarded
+    admit: Callable[[ClientRequest], int]  # admits a request and returns its slot, without deciding on it
+    begin: Callable[[int], None]  # decides on the request in the slot
+    abandon: Callable[[list[int]], None]  # drops the requests in the slots: their client has disconnected
+    abort_upload: Callable[[RequestStream], None]  # fails a long write that will never be complete
+    is_ready: Callable[[], bool]  # returns whether requests can be forwarded
 
 
 class ClientServer(ServerFactory):
-    """Accepts clients' connections within bounds and takes their requests.
+    """Accepts a bounded number of client connections and submits their requests.
 
-    :param reactor: Twisted's
-    :param now: the clock, microseconds
-    :param max_connections: from clients at once; a few more while others make way
-    :param memory: bytes, of which a part may be values in hand
+    :param reactor: the Twisted reactor
+    :param now: returns the time in microseconds
+    :param max_connections: the bound for client connections, exceeded by a few while others are closing
+    :param memory: bytes of memory, of which a fixed part may hold the values of requests
     """
 
     noisy = False
-    VALUE_MEMORY_DIVISOR = 8  # one byte in so many of the memory may be of values in hand
-    IDLE_DIVISOR = 7  # one in so many of the connections may be idle for long
-    IDLE_TIMEOUT = 2_000_000  # microseconds after which idle connections beyond that are closed
-    # The same beyond twice as many, or where busy ones hold most of the part that clients may have: hundreds
-    # of clients a second send one request and stay connected.
+    VALUE_MEMORY_DIVISOR = 8  # the values of requests may occupy 1/8 of the memory
+    IDLE_DIVISOR = 7  # 1/7 of the connections may be idle without a timeout
+    IDLE_TIMEOUT = 2_000_000  # microseconds after which idle connections beyond that share are closed
+    # Microseconds: the idle timeout while more than twice that share is idle, or while busy connections hold
+    # most of the clients' descriptors.  Hundreds of clients a second send one request and stay connected.
     SHORT_IDLE_TIMEOUT = 50_000
-    MIN_SILENCE = 100_000  # microseconds by which a usual client's first request has arrived
-    SHORT_MIN_SILENCE = 20_000  # nearly as surely; where no other connection could make way
-    EXTRA_CONNECTIONS = 16  # beyond the bound for as long as others make way
-    # Descriptors for these and for all else: the endpoint list, peers, operators, the log, Python's own.
+    MIN_SILENCE = 100_000  # microseconds within which the first request of a usual client arrives
+    SHORT_MIN_SILENCE = 20_000  # microseconds; nearly as certain, used if no idle connection can be closed
+    EXTRA_CONNECTIONS = 16  # beyond the bound, while other connections are closing
+    # Descriptors for the extra connections and for all else: the endpoint list, peers, operators, the log and
+    # those that Python opens.
     RESERVED_DESCRIPTORS = 32
-    IDS_LOGGED = 8  # ids of unanswered requests in the log line of a connection's end
-    EVICTION_BATCH = 8  # connections closed at once where they are beyond a bound that has changed
+    IDS_LOGGED = 8  # ids of unanswered requests in the log line of a closed connection
+    EVICTION_BATCH = 8  # connections closed at once when the bound is lowered
 
     def __init__(
         self,
@@ -106,21 +107,21 @@
         self.hang_up_monitor = HangUpMonitor[ClientConnection](reactor, self.client_hung_up)
         self.set_names(request_classes, tenants)
         self.max_connections, self.max_value_bytes = max_connections, memory // self.VALUE_MEMORY_DIVISOR
-        self.next_eviction: Deadline | None = None  # closes more beyond a changed bound
+        self.next_eviction: Deadline | None = None  # for the next batch beyond a lowered bound
         self.connections: SlotTable[ClientConnection] = SlotTable()
         self.unused_connections: OrderedDict[ClientConnection, None] = OrderedDict()  # longest silent first
         self.idle_connections: OrderedDict[ClientConnection, None] = OrderedDict()  # longest idle first
-        # Those whose end was requested, with whether half a command keeps them from it.
+        # Connections whose close was requested, and whether they close even with part of a command received.
         self.closing_connections: dict[ClientConnection, bool] = {}
-        self.request_ids: set[bytes] = set()  # of the requests in hand
-        self.value_bytes = 0  # of values in hand
+        self.request_ids: set[bytes] = set()  # of the active requests
+        self.value_bytes = 0  # size of the active requests' values
         self.drain = ClientDrain(self)
 
     def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802, D102
         return ClientConnection(self)
 
     def set_names(self, request_classes: Mapping[str, RequestClass], tenants: Mapping[str, Tenant]) -> None:
-        """Set the classes and tenants that new requests may name; requests in hand keep theirs."""
+        """Set the classes and tenants that new requests may name; active requests keep theirs."""
         self.request_classes: dict[bytes | None, RequestClass] = {
             name.encode(): request_class for name, request_class in request_classes.items()
         }
@@ -129,18 +130,20 @@
     # Limits.
 
     def set_limits(self, max_connections: int, memory: int) -> None:
-        """Set other bounds; idle connections beyond them are closed in batches."""
+        """Change the limits; idle connections beyond the new bound are closed in batches."""
         self.max_connections, self.max_value_bytes = max_connections, memory // self.VALUE_MEMORY_DIVISOR
         if self.next_eviction is not None:
             self.next_eviction.cancel()
         self._close_beyond_limit()
 
     def _close_beyond_limit(self) -> None:
-        leaving = sum(
+        already_closing = sum(
             not client.state.accepts_commands and client not in self.closing_connections
             for client in self.connections.values()
         )
-        excess = len(self.connections) - leaving - len(self.closing_connections) - self.max_connections
+        excess = (
+            len(self.connections) - already_closing - len(self.closing_connections) - self.max_connections
+        )
         idle = [client for client in self.idle_connections if client.at_message_boundary()]
         batch = idle[: min(self.EVICTION_BATCH, max(0, excess))]
         if batch:
@@ -150,36 +153,38 @@
             )
 
     def close_idle(self, now: int) -> None:
-        """Close connections that are idle for too long or too many.
+        """Close idle connections that are too many or have been idle for too long.
 
-        Idle clients would otherwise use up the descriptors that active ones need.
+        Idle clients would otherwise use up the descriptors that active clients need.
         """
         busy = len(self.connections) - len(self.unused_connections) - len(self.idle_connections)
-        # A third of the process's descriptors may be for clients' requests, as many as are for connections to
-        # servers (`ServerPools.SOCKETS_PER_CONNECTION`): the bound and the reserved ones are the other two.
+        # Clients' requests may use a third of the process's descriptors, as many as connections to servers do
+        # (`ServerPools.SOCKETS_PER_CONNECTION`).  The connection bound and the reserved descriptors add up to
+        # the other two thirds.
         client_share = (self.max_connections + self.RESERVED_DESCRIPTORS) // 2
-        most = self.max_connections // self.IDLE_DIVISOR
-        kept = min(most, max(2, client_share // 2 - busy))
-        while len(self.idle_connections) > kept:
+        usual_limit = self.max_connections // self.IDLE_DIVISOR
+        limit = min(usual_limit, max(2, client_share // 2 - busy))
+        while len(self.idle_connections) > limit:
             oldest = next(iter(self.idle_connections))
-            relaxed = kept == most and len(self.idle_connections) <= 2 * kept
+            relaxed = limit == usual_limit and len(self.idle_connections) <= 2 * limit
             timeout = self.IDLE_TIMEOUT if relaxed else self.SHORT_IDLE_TIMEOUT
             if now - oldest.idle_since < timeout:
                 return
             oldest.close_when_idle("idle")
 
     def available_capacity(self) -> int:
-        """Return how many more may be accepted now.
+        """Return how many more connections may be accepted now.
 
-        Connections that make way keep their descriptors until the reactor's next turn.
+        Connections that are closing keep their descriptors until the reactor's next turn.
         """
         return self.max_connections + self.EXTRA_CONNECTIONS - len(self.connections)
 
     def evict_for_capacity(self, least: int = 0) -> int:
-        """Close connections beyond the bound, at least so many if there are any; return how many.
+        """Close connections beyond the bound, and at least `least` of them; return how many were closed.
 
-        Connections without a request: the longest silent first, then the longest idle.  A slow sender is not
-        silent, and one that has just connected is kept: the next one waits.
+        Only connections without a request are closed: first those silent for longest, then those idle for
+        longest.  A slow sender is not silent.  A connection that has just been made is not closed, so that a
+        client that connects next has to wait.
         """
         wanted = max(least, len(self.connections) - len(self.closing_connections) - self.max_connections)
         for evicted in range(wanted):
@@ -197,19 +202,19 @@
         return idle
 
     def upload_window(self) -> int:
-        """Return how many bytes of a long write are read at once, so that all of them fit the memory."""
+        """Return how many bytes of a long write are read at once, so that all long writes fit the memory."""
         uploads = sum(client.upload is not None for client in self.connections.values())
         return max(MIN_WINDOW, min(MAX_BUFFERED_VALUE, self.max_value_bytes // (3 * (uploads + 1))))
 
     # Commands.
 
     def answer_plain_command(self, name: bytes) -> bytes:
-        """Return the response to a command that is no request."""
+        """Return the response to a command that is not a request."""
         if name == b"PING" and self.drain.refuses_pings:
             return DRAINING
         if name == b"PING":
             return PONG if self.callbacks.is_ready() else NO_SERVER_READY
-        if name in (b"CLIENT", b"SELECT"):  # what clients' libraries begin with
+        if name in (b"CLIENT", b"SELECT"):  # sent by client libraries when they connect
             return OK
         return UNKNOWN_COMMAND
 
@@ -221,15 +226,15 @@
         is_write: bool,
         upload: RequestStream | None = None,
     ) -> None:
-        """Admit a request and begin it, or give it the error that keeps it from being admitted."""
-        # The value of an upload is not among the arguments.
+        """Admit a request and begin it, or answer the command with an error."""
+        # The value of a long write is not among the arguments.
         argument_count = WRITE_ARGUMENTS if is_write and upload is None else READ_ARGUMENTS
         if len(arguments) != argument_count:
             return self._refuse(client, pending, arguments, upload, WRONG_ARGUMENT_COUNT)
         fields = parse_fields(arguments[3])
-        fault = self._fault(arguments, fields)
-        if fault:
-            return self._refuse(client, pending, arguments, upload, fault)
+        error = self._admission_error(arguments, fields)
+        if error:
+            return self._refuse(client, pending, arguments, upload, error)
         request = self._client_request(client, pending, arguments, fields, is_write, upload)
         client.request_admitted()
         request_id = request.frame.request_id
@@ -241,18 +246,18 @@
         self.value_bytes += pending.value_size
         pending.request_id = request_id
         pending.request_slot = self.callbacks.admit(request)
-        # Only now that the slot is known: what this ends may abandon the client, and this request with it.
+        # The slot must be set before this, because it may abandon the client and all its requests.
         self.callbacks.begin(pending.request_slot)
 
-    def _fault(self, arguments: list[bytes], fields: RequestFields) -> bytes | None:
+    def _admission_error(self, arguments: list[bytes], fields: RequestFields) -> bytes | None:
         key, request_id = arguments[1], arguments[2]
         if self.request_classes.get(fields.class_name) is None or fields.timeout_ms is None:
             return CLASS_OR_TIMEOUT_MISSING
         if not key or not request_id:
             return KEY_OR_ID_MISSING
-        if request_id in self.request_ids:  # the responses to both could not be told apart
+        if request_id in self.request_ids:  # the responses to the two could not be told apart
             return ID_IN_USE
-        if self.value_bytes > self.max_value_bytes:  # nothing of it has been executed
+        if self.value_bytes > self.max_value_bytes:  # a retry is safe, because nothing was executed
             return BUSY
         return None
 
@@ -262,11 +267,11 @@
         pending: PendingResponse,
         arguments: list[bytes],
         upload: RequestStream | None,
-        fault: bytes,
+        error: bytes,
     ) -> None:
-        pending.response = fault
+        pending.response = error
         if trace.enabled and len(arguments) > 2:
-            trace.step(arguments[2], "not-admitted", client=client.slot, answer=fault[:40])
+            trace.step(arguments[2], "not-admitted", client=client.slot, answer=error[:40])
         if upload is not None:
             upload.discard()
 
@@ -301,13 +306,13 @@
             is_connected=client.is_connected,
         )
 
-    # Ends of connections.
+    # Closed connections.
 
     def client_hung_up(self, client: ClientConnection) -> None:
-        """Handle a client's end on a connection that is not read.
+        """Handle a client's hang-up on a connection whose reading is paused.
 
-        One that waits for nothing more may still read what is on its way to it; what it has sent behind that
-        is not executed.
+        A client that has all its answers may still read the output that is being sent.  Commands that it sent
+        but that were not read are not executed.
         """
         if client.pending.unanswered():
             return client.abort("client-left")
@@ -316,7 +321,7 @@
         client.flush()
 
     def connection_lost(self, client: ClientConnection, code: str) -> None:
-        """Log the end of a connection, and abandon its requests."""
+        """Log that a connection has closed, and abandon its requests."""
         client.upload = None
         self.idle_connections.pop(client, None)
         self.unused_connections.pop(client, None)
@@ -324,8 +329,8 @@
         self.connections.remove(client.slot)
         unanswered = [pending.request_id for pending in client.pending.unanswered()]
         logger.info(
-            "end client={} commands={} open={} code={}{}", client.slot, client.commands_received,
-            len(unanswered), code, self._close_fields(client, unanswered),
+            "client connection closed client={} commands={} open={} code={}{}", client.slot,
+            client.commands_received, len(unanswered), code, self._close_fields(client, unanswered),
         )  # fmt: skip
         if trace.enabled:
             for request_id in unanswered:
@@ -334,24 +339,24 @@
         self.abandon_pending(client)
 
     def _close_fields(self, client: ClientConnection, unanswered: list[bytes | None]) -> str:
-        """Return further fields for the log line of a connection's end: what was open, unread or idle.
+        """Return the optional fields of the log line: unanswered ids, unread input and idle time.
 
-        :param unanswered: the ids of the requests that were left without a response
+        :param unanswered: the ids of the requests that have no response
         """
-        text = ""
+        fields = ""
         if unanswered:
             ids = [request_id.decode("latin-1") for request_id in unanswered[: self.IDS_LOGGED] if request_id]
-            text += f" ids={','.join(ids)}"
+            fields += f" ids={','.join(ids)}"
         if client.closed_mid_message:
-            text += " partial_command=1"
+            fields += " partial_command=1"
         if client.discarded_bytes:
-            text += f" discarded_bytes={client.discarded_bytes}"
+            fields += f" discarded_bytes={client.discarded_bytes}"
         if client.commands_received and not unanswered:
-            text += f" idle_ms={(self.now() - client.idle_since) // 1000}"
-        return text
+            fields += f" idle_ms={(self.now() - client.idle_since) // 1000}"
+        return fields
 
     def abandon_pending(self, client: ClientConnection) -> None:
-        """Abandon the requests whose responses can't reach the client any more."""
+        """Abandon the requests whose responses can no longer reach the client."""
         unanswered, streams = client.pending.unanswered(), [*client.pending.streams()]
         for pending in unanswered:
             self.value_bytes -= pending.value_size
@@ -360,5 +365,5 @@
         client.pending.clear()
         slots = [pending.request_slot for pending in unanswered if pending.request_slot is not None]
         self.callbacks.abandon(slots)
-        for stream in streams:  # last: what waits behind a stream may end one of those requests
+        for stream in streams:  # last, because input behind a stream may end one of the abandoned requests
             stream.client_lost()
--- a/ivystack/net/endpoint_list.py
+++ b/ivystack/net/endpoint_list.py
@@ -43,7 +43,7 @@
         :returns: whether all entries could be used, and whether one that could not is new.
         """
         servers, all_usable, has_new_faults = [], True, False
-        with self.request_handler.hold_off():  # attempts ended by the update are decided by all of it
+        with self.request_handler.defer_run_due():  # attempts ended by the update are decided by all of it
             for entry in entries:
                 try:
                     servers.append(self._parse_endpoint(entry))
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -51,7 +51,7 @@
 class ClientTransport(tcp.Server):
     """The transport of a client's connection.
 
-    Its protocol says in `may_close` whether it may end now that all is written, and in `owes_nothing` whether
+    Its protocol says in `may_close` whether it may end now that all is written, and in `all_answered` whether
     what has arrived so far asks for nothing yet.
     """
 
@@ -100,7 +100,7 @@
             if not data:
                 return ReadResult.ENDED
             protocol.dataReceived(data)
-            if not protocol.owes_nothing():
+            if not protocol.all_answered():
                 break
         return ReadResult.REQUEST
 
--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -1,7 +1,7 @@
-"""The requests that are active, and every call to the balancer that concerns them.
+"""Handling of active requests: every call to the balancer that concerns a request is made here.
 
-The balancer decides; the handler carries its decisions out.  Each request gets one answer at most, and an
-exception raised by the balancer ends only the request for which it was called.
+The balancer decides and the handler carries out its decisions.  Each request gets at most one answer, and an
+exception raised by the balancer ends only the request for which the balancer was called.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 from .streams import RequestStream, ResponseStream
 from .trace import trace
 
-UPLOAD_TIMEOUT_US = 60_000_000  # for a long write to arrive; the client's timeout counts from its last byte
-ANSWER_GRACE_US = 2_000  # after its deadline a request fails whatever the balancer does; that acts first
-CLIENT_CHECK_AGE_US = 20_000  # of a request, from which on its client is looked for before each attempt
-BALANCER_RETRY_DELAY_US = 50_000  # after `next_wakeup` has raised
-PLACEMENT_TIMEOUT_DIVISOR = 8  # a long write may wait for a server for one in so many of its timeout
+UPLOAD_TIMEOUT_US = 60_000_000  # to receive a long write; the client's timeout starts at its last byte
+ANSWER_GRACE_US = 2_000  # from a request's deadline until it fails; the balancer can act before that
+CLIENT_CHECK_AGE_US = 20_000  # age of a request from which its client is checked before each attempt
+BALANCER_RETRY_DELAY_US = 50_000  # after `next_wakeup` has raised an exception
+PLACEMENT_TIMEOUT_DIVISOR = 8  # a long write waits for a server for 1/8 of its timeout at most
 MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """An attempt's outcome that the balancer has not been notified of."""
+    """An attempt that has ended, whose outcome the balancer has not been notified of."""
 
     attempt: Attempt
     outcome: Outcome
@@ -64,9 +64,9 @@
 
 
 class RequestHandler:
-    """Admits requests, has the balancer decide on them, carries that out and answers the clients.
+    """Admits requests, carries out the balancer's decisions on them, and answers the clients.
 
-    Call `connect` before anything else.
+    `connect` must be called before any other method.
     """
 
     server_pools: ServerPools
@@ -78,33 +78,34 @@
         self.settings, self.balancer = settings, settings.balancer
         self.deadlines, self.now = deadlines, now
         self.requests: SlotTable[ActiveRequest] = SlotTable()
-        self.active: dict[Request, ActiveRequest] = {}  # the same ones
+        self.active: dict[Request, ActiveRequest] = {}  # the same requests as in `requests`
         self.in_flight: dict[Attempt, InFlightAttempt] = {}
-        self.answer_by: int | None = None  # microseconds: once terminating, when all must be answered
+        # Microseconds: the time by which all requests must be answered, once the process is terminating.
+        self.answer_by: int | None = None
         self._ended: deque[EndedAttempt] = deque()
-        self._is_running = False  # `run_due` is, or is held off
+        self._is_running = False  # `run_due` is running or deferred
         self._wakeup: Deadline | None = None
 
     def connect(self, server_pools: ServerPools, gossip: GossipSocket) -> None:
-        """Set where attempts and gossip are sent."""
+        """Set the server pools that send attempts and the socket that sends gossip."""
         self.server_pools, self.gossip = server_pools, gossip
 
     def latest_deadline(self) -> int:
-        """Return the latest deadline of the active requests in microseconds, 0 without any."""
+        """Return the latest deadline of the active requests in microseconds, or 0 if there are none."""
         return max((active.request.deadline for active in self.active.values()), default=0)
 
     # Clients.
 
     def admit(self, client_request: ClientRequest) -> int:
-        """Add a request to the table and return its slot; nothing is decided yet."""
+        """Add a request to the table and return its slot, before the balancer decides on the request."""
         now, upload, timeout = self.now(), client_request.upload, client_request.timeout
         if self.answer_by is not None:
             timeout = max(0, min(timeout, self.answer_by - now))
-        arrives = now if upload is None else now + UPLOAD_TIMEOUT_US
+        arrives_at = now if upload is None else now + UPLOAD_TIMEOUT_US
         request = Request(
             client_request.request_class,
-            arrives,
-            arrives + timeout,
+            arrives_at,
+            arrives_at + timeout,
             client_request.key,
             client_request.tenant,
             client_request.is_write,
@@ -115,7 +116,7 @@
         )
         if upload is not None:
             upload.request, upload.on_sent = request, self.upload_sent
-            server_timeout = self.balancer.retry_policy.answer_deadline(request) - arrives
+            server_timeout = self.balancer.retry_policy.answer_deadline(request) - arrives_at
             upload.server_timeout_ms = max(1, server_timeout // MICROSECONDS_PER_MILLISECOND)
         active.slot = self.requests.add(active)
         self.active[request] = active
@@ -123,18 +124,18 @@
         return active.slot
 
     def begin(self, slot: int) -> None:
-        """Decide on an admitted request; whatever fails here, its answer deadline stays."""
+        """Have the balancer decide on an admitted request, whose answer deadline stays even if this fails."""
         active = self.requests[slot]
         request = active.request
         try:
             self.decide(request, request.arrived_at if active.upload is None else self.now())
             self.run_due()
-        except Exception:  # the client's connection and its other requests go on
-            logger.exception("a request could not be begun")
+        except Exception:  # must not affect the client's connection and its other requests
+            logger.exception("request could not be started; answering it as failed")
             self.answer(request, Failed())
 
     def upload_sent(self, upload: RequestStream) -> None:
-        """Start the timeouts of a long write: its last byte was sent, and the server can begin."""
+        """Start the timeouts of a long write whose last byte was sent, so that the server can execute it."""
         active = None if upload.request is None else self.active.get(upload.request)
         if active is None:
             return
@@ -149,15 +150,15 @@
 
     def upload_aborted(self, upload: RequestStream) -> None:
         """Fail a long write that will never be complete."""
-        request = cast(Request, upload.request)  # set when it was admitted
+        request = cast(Request, upload.request)  # set when the request was admitted
         self.answer(request, Failed())
         self.cancel(request.outstanding())
 
     def abandon(self, slots: list[int]) -> None:
-        """Drop the requests in these slots, whose client has gone.
+        """Drop the requests in these slots, whose client has disconnected.
 
-        All are closed first: to cancel the attempts of one runs what is due, and none of the others may be
-        forwarded by that.
+        All of them are closed first, because cancelling the attempts of one request runs what is due, which
+        must not forward any of the others.
         """
         abandoned = [self.requests[slot] for slot in slots]
         for active in abandoned:
@@ -166,13 +167,15 @@
             try:
                 attempts = self.balancer.client_gone(request)
             except Exception:
-                logger.exception("decisions failed: a client went away")
+                logger.exception(
+                    "balancer.client_gone raised an exception; cancelling the request's attempts"
+                )
                 attempts = request.outstanding()
             self.cancel(attempts)
         self.run_due()
 
     def answer(self, request: Request, reply: Reply) -> None:
-        """Give a request its one final answer; one that is not active any more is left alone."""
+        """Give a request its final answer; do nothing if the request is no longer active."""
         active = self.active.get(request)
         if active is not None:
             if trace.enabled:
@@ -181,19 +184,19 @@
             active.reply(reply)
 
     def client_is_waiting(self, request: Request) -> bool:
-        """Return whether the request's client is still there.
+        """Return whether the request's client is still connected.
 
-        Asked before what is sent later than in the turn that read the request: after a stall the client's
-        end may lie unread behind what is acted on.
+        This is checked before sending anything later than in the reactor turn that read the request: after a
+        stall, the client's hang-up may still be unread behind the input that is being processed.
         """
         if len(request.attempts) <= 1 and self.now() - request.arrived_at < CLIENT_CHECK_AGE_US:
             return True
         active = self.active.get(request)
-        # To look for the client may read its end, and so abandon the request.
+        # The check may read the client's hang-up, and so abandon the request.
         return active is not None and active.is_connected() and request in self.active
 
     def _start_answer_deadline(self, active: ActiveRequest) -> None:
-        """Have the request answered in any case, also where the balancer has lost it."""
+        """Schedule the request's failure, so that it is answered even if the balancer loses track of it."""
         request = active.request
         due_at = request.deadline + ANSWER_GRACE_US
         active.answer_deadline = self.deadlines.call_at(due_at, self._answer_deadline_expired, request)
@@ -209,7 +212,7 @@
         self.requests.remove(active.slot)
 
     def _trace_answer(self, active: ActiveRequest, reply: Reply) -> None:
-        """Log the answer and the outcomes of the request's attempts."""
+        """Log the request's answer and the outcomes of its attempts."""
         attempts = active.request.attempts
         outcomes = ",".join(str(attempt.outcome or "in-flight") for attempt in attempts) or "none"
         fields: dict[str, object] = {
@@ -224,12 +227,12 @@
     # Decisions.
 
     def decide(self, request: Request, now: int) -> None:
-        """Have the balancer route a request, and apply its decision."""
+        """Have the balancer route a request, and apply the decision."""
         decision: Decision
         try:
             decision = self.balancer.route(request, now)
-        except Exception:  # it is unknown whether an attempt was executed, so it is not rejected
-            logger.exception("decisions failed: route")
+        except Exception:  # not rejected, because it is unknown whether an attempt was executed
+            logger.exception("balancer.route raised an exception; answering the request as failed")
             decision = Fail()
         self.apply_decision(request, decision)
 
@@ -248,11 +251,11 @@
             case Fail():
                 self.answer(request, Failed())
             case Done() if request in self.active:
-                logger.error("decisions failed: a request was let go without an answer")
+                logger.error("balancer dropped a request that has no answer; answering it as failed")
                 self.answer(request, Failed())
 
     def send(self, request: Request, server: Server, timeout_at: int) -> None:
-        """Send the request's last attempt to a server, which has until `timeout_at` (microseconds)."""
+        """Send the request's last attempt to a server, which must answer by `timeout_at` (microseconds)."""
         attempt, active = request.attempts[-1], self.active[request]
         if active.placement_deadline is not None:
             active.placement_deadline.cancel()
@@ -266,7 +269,8 @@
     def start_placement_timeout(self, active: ActiveRequest | None) -> None:
         """Limit the time for which a long write waits for a server.
 
-        The balancer limits that of other requests; a long write's time has not begun for it.
+        The balancer limits the wait of other requests.  It can't do so for a long write, whose timeout has
+        not started.
         """
         if active is None or active.upload is None or active.upload.sent or active.request.partly_sent:
             return
@@ -280,7 +284,7 @@
             self.answer(active.request, rejected(self.balancer.parameters.retry_after))
 
     def cancel(self, attempts: list[Attempt]) -> None:
-        """Cancel those of the attempts that are in flight."""
+        """Cancel the attempts that are still in flight."""
         for attempt in attempts:
             if attempt in self.in_flight:
                 self.server_pools.cancel(self.in_flight[attempt])
@@ -290,7 +294,7 @@
     def attempt_ended(
         self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None
     ) -> None:
-        """Take an attempt's outcome; the client of one that succeeded gets its answer before all else."""
+        """Handle the end of an attempt; if the attempt succeeded, answer the client before all else."""
         del self.in_flight[in_flight.attempt]
         if outcome == Outcome.SUCCEEDED:
             self.answer(in_flight.attempt.request, Value(cast("bytes | ResponseStream", value)))
@@ -299,14 +303,14 @@
         self.run_due()
 
     def record_outcome(self, ended: EndedAttempt) -> None:
-        """Notify the balancer of an attempt's outcome, and carry out what it decides on that."""
+        """Notify the balancer of an attempt's outcome, and carry out the decision that follows."""
         request = ended.attempt.request
         try:
             follow_up = self.balancer.record_outcome(
                 ended.attempt, ended.outcome, self.now(), ended.load, ended.cache_hit
             )
         except Exception:
-            logger.exception("decisions failed: record_outcome")
+            logger.exception("balancer.record_outcome raised an exception; answering the request as failed")
             in_flight = [attempt for attempt in request.attempts if attempt in self.in_flight]
             follow_up = OutcomeDecision(Fail(), in_flight)
         self.cancel(follow_up.cancel)
@@ -314,27 +318,27 @@
             self.apply_decision(request, follow_up.decision)
 
     def receive_gossip(self, datagram: bytes) -> None:
-        """Pass on a datagram, which may be from a stranger in a peer's place, to the balancer."""
+        """Pass a datagram to the balancer; a sender that is no peer may have taken over a peer's address."""
         try:
             self.balancer.receive_gossip(datagram, self.now())
         except Exception:
-            logger.exception("decisions failed: a peer's words")
+            logger.exception("balancer.receive_gossip raised an exception; gossip datagram dropped")
         self.run_due()
 
     def _usable_load(self, report: bytes | None) -> dict[str, float]:
-        """Return the usable figures of a server's load report, none of one that can't be parsed."""
+        """Return the usable figures of a server's load report; return none if it can't be parsed."""
         if not self.settings.columns or not isinstance(report, bytes) or len(report) > MAX_ARGUMENT:
             return {}
         try:
             return usable_figures(orjson.loads(report), self.settings.columns)
-        except (ValueError, AttributeError):  # no JSON, no object
+        except (ValueError, AttributeError):  # not JSON, or not an object
             return {}
 
-    # What is due.
+    # Outcomes and wakeups that are due.
 
     @contextmanager
-    def hold_off(self) -> Iterator[None]:
-        """Keep `run_due` from running meanwhile: outcomes are recorded by the next call of it."""
+    def defer_run_due(self) -> Iterator[None]:
+        """Make `run_due` do nothing within the context; its next call after that records the outcomes."""
         was_running, self._is_running = self._is_running, True
         try:
             yield
@@ -342,7 +346,7 @@
             self._is_running = was_running
 
     def run_due(self) -> None:
-        """Notify the balancer of outcomes and do what it says is due, until nothing is left of both."""
+        """Notify the balancer of outcomes and run its due actions, until there are no more of either."""
         if self._is_running:
             return
         self._is_running = True
@@ -365,7 +369,7 @@
         try:
             return self.balancer.next_wakeup(now)
         except Exception:
-            logger.exception("decisions failed: next_wakeup")
+            logger.exception("balancer.next_wakeup raised an exception; calling it again after a delay")
             return Wakeup(BALANCER_RETRY_DELAY_US, [])
 
     def _run(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
@@ -378,7 +382,7 @@
                 self.decide(request, now)
 
     def _schedule_wakeup(self, due_at: int) -> None:
-        """Have `run_due` called at a time in microseconds, unless it is scheduled earlier already."""
+        """Schedule `run_due` for a time in microseconds, unless an earlier call is scheduled already."""
         wakeup = self._wakeup
         if wakeup is not None and wakeup.is_pending and due_at >= wakeup.due_at:
             return
@@ -392,5 +396,5 @@
 
 
 def rejected(retry_after: int) -> Rejected:
-    """Return the reply that rejects a request, to be retried after so many microseconds, rounded up to ms."""
+    """Return a rejection whose retry delay, given in microseconds, is rounded up to milliseconds."""
     return Rejected(-(-retry_after // MICROSECONDS_PER_MILLISECOND))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -46,7 +46,7 @@
     asking.dataReceived(encode_get(b"r3"))
     asking.connectionLost(Failure(ConnectionDone()))
     assert steps(traced, "r3") == ["admitted", "client-disconnected"]
-    assert any("end client=0" in line and "ids=r3" in line for line in traced)
+    assert any("client connection closed client=0" in line and "ids=r3" in line for line in traced)
 
 
 def test_nothing_is_logged_of_a_request_while_the_trace_is_off(lines):
@@ -63,5 +63,5 @@
     asking.close_after_writes("idle")
     asking.dataReceived(encode_get(b"r5")[20:])
     asking.connectionLost(Failure(ConnectionDone()))
-    (line,) = [line for line in lines if line.startswith("end client")]
+    (line,) = [line for line in lines if line.startswith("client connection closed")]
     assert f"code=idle partial_command=1 discarded_bytes={len(encode_get(b'r5')) - 20}" in line
