--- a/ivystack/net/client_drain.py
+++ b/ivystack/net/client_drain.py
@@ -1,4 +1,4 @@
-"""Sending clients away: for the operators, at shutdown and in a hot restart."""
+"""Draining of client connections, on an operator's request, at shutdown and in a hot restart."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 
 
 class ClientDrain:
-    """Closes connections without a request in hand, spread over some time, and all others once answered.
+    """Closes idle connections in batches over a period, and all other connections once they are answered.
 
-    Clients come back elsewhere spread over that time.  All times are microseconds.
+    The period spreads the clients' reconnections to other processes.  All times are in microseconds.
     """
 
     INTERVAL = 20_000  # between batches
-    # Over which idle connections are closed where the operators call for it: it ends well before the 4 s at
-    # which no client may be left.
+    # Period over which idle connections are closed in a drain requested by an operator.  It ends well before
+    # 4 s, by which no client may be connected.
     SPREAD = 1_000_000
-    # After which commands that have not arrived completely are given up: at 2 s, after which no client may
-    # send a request, such a command has no time left.
+    # Time after that period until commands that have not arrived completely are dropped.  That is just before
+    # 2 s, from which on no client may send a request and such a command has no time left.
     PARTIAL_COMMAND_GRACE = 900_000
 
     def __init__(self, server: ClientServer) -> None:
         self.server = server
-        self.code = ""  # with which connections are closed; empty: no drain
+        self.code = ""  # the code for the log of the connections that the drain closes; empty without a drain
         self.refuses_pings = False
         self.idle_closed_by = 0
         self.partial_closed_at = 0
-        self.next_batch: Deadline | None = None  # its deadline
+        self.next_batch: Deadline | None = None  # the timer of the next batch
 
     def start(self, code: str, spread: int, partial_command_grace: int, refuses_pings: bool = True) -> None:
-        """Begin to close connections.
+        """Start to close connections.
 
-        :param spread: over so long idle connections are closed
-        :param partial_command_grace: so long after that, commands that have not arrived completely are given
-            up: a request admitted late would still be held at the end
+        :param code: the reason for the log of each connection that the drain closes
+        :param spread: the period over which idle connections are closed
+        :param partial_command_grace: the time after that period until commands that have not arrived
+            completely are dropped, because a request admitted late would still be active at the end
+        :param refuses_pings: answer PING with an error, so that clients go to other processes
         """
         self.code, self.refuses_pings = code, refuses_pings
         self.idle_closed_by = self.server.now() + spread
@@ -49,7 +51,7 @@
         self._close_next_batch()
 
     def stop(self) -> None:
-        """End the drain: nothing more is closed."""
+        """Stop the drain; no further connections are closed."""
         self.code, self.refuses_pings = "", False
         if self.next_batch is not None:
             self.next_batch.cancel()
@@ -65,14 +67,18 @@
         even_if_partial = now >= self.partial_closed_at
         if even_if_partial:
             batch = [client for client in server.connections.values() if not client.pending]
-        if batch:  # a turn later, so that what has arrived by now is read first
+        if batch:  # in the next reactor turn, so that input that has arrived is read first
             server.deadlines.call_at(now + 1, self.close_batch, batch, even_if_partial)
         self.next_batch = server.deadlines.call_at(now + self.INTERVAL, self._close_next_batch)
 
     def close_batch(self, batch: list[ClientConnection], even_if_partial: bool, code: str = "") -> None:
-        """Close these connections; one on which a request has arrived meanwhile is served first."""
+        """Close the connections of a batch, except those on which a request has arrived meanwhile.
+
+        :param even_if_partial: close a connection even if part of a command has arrived
+        :param code: the reason for the log if there is no drain
+        """
         code = self.code or code
         for client in batch:
-            partial_allowed = even_if_partial or client.at_message_boundary()
-            if code and client.all_answered() and partial_allowed:
+            may_interrupt = even_if_partial or client.at_message_boundary()
+            if code and client.all_answered() and may_interrupt:
                 client.close_when_idle(code, even_if_partial)
--- a/ivystack/net/client_state.py
+++ b/ivystack/net/client_state.py
@@ -1,6 +1,7 @@
 """The states of a client's connection and the events that change them.
 
-The table holds every pair of state and event that can occur; any other is a programming error.
+The table of transitions holds every pair of state and event that can occur; any other pair is a programming
+error.
 """
 
 from __future__ import annotations
@@ -9,27 +10,27 @@
 
 
 class ClientState(enum.Enum):
-    """What a client's connection is doing."""
+    """The state of a client's connection."""
 
     UNUSED = "unused"  # no command has been answered
-    ACTIVE = "active"  # a response is owed, or a command has begun
-    IDLE = "idle"  # no response is owed
-    CLOSING_WHEN_IDLE = "closing-when-idle"  # ends once all is written, unless a command has arrived by then
-    CLOSING = "closing"  # not read any more; ends once all responses are written
-    ABORTED = "aborted"  # not read any more; the transport reports the end in the reactor's next turn
+    ACTIVE = "active"  # a response is pending, or part of a command has arrived
+    IDLE = "idle"  # no response is pending
+    CLOSING_WHEN_IDLE = "closing-when-idle"  # closes after all writes, unless a command has arrived by then
+    CLOSING = "closing"  # no longer read; closes after all responses are written
+    ABORTED = "aborted"  # no longer read; the transport reports the close in the reactor's next turn
     CLOSED = "closed"
 
-    # Members are unique objects; Enum's own hash is a Python function, called several times a request.
+    # Members are unique objects.  Enum's hash is a Python function, too slow for several calls a request.
     __hash__ = object.__hash__
 
     @property
     def is_open(self) -> bool:
-        """Whether commands are accepted and nothing has asked for the end."""
+        """Whether commands are accepted and no close was requested."""
         return self in _OPEN
 
     @property
     def accepts_commands(self) -> bool:
-        """Whether a command that arrives is executed."""
+        """Whether further commands are executed."""
         return self in _ACCEPTING
 
 
@@ -38,23 +39,25 @@
 
 
 class ClientEvent(enum.Enum):
-    """What changes the state of a client's connection."""
+    """An event that changes the state of a client's connection."""
 
     COMMAND_BEGUN = "command begun"  # bytes of a command have arrived
     REQUEST_ADMITTED = "request admitted"
     ALL_ANSWERED = "all answered"  # every response is written
-    CLOSE_REQUESTED = "close requested"  # by the idle timeout, for want of capacity or for a drain
-    CLOSE_WITHDRAWN = "close withdrawn"  # a command has arrived before the end
-    CLOSE_WITHDRAWN_UNUSED = "close withdrawn unused"  # half a command, on a connection without any before
-    INPUT_CLOSED = "input closed"  # by an error of the protocol, a hang-up or a response that broke off
+    CLOSE_REQUESTED = "close requested"  # by the idle timeout, for lack of capacity or for a drain
+    CLOSE_WITHDRAWN = "close withdrawn"  # a command has arrived before the close
+    CLOSE_WITHDRAWN_UNUSED = (
+        "close withdrawn unused"  # part of the first command has arrived before the close
+    )
+    INPUT_CLOSED = "input closed"  # after a protocol error, a hang-up or a response that broke off
     ABORTED = "aborted"
     LOST = "lost"
 
-    __hash__ = object.__hash__  # as above
+    __hash__ = object.__hash__  # for the same reason as in `ClientState`
 
 
 class InvalidTransitionError(Exception):
-    """An event occurred in a state in which it can't."""
+    """An event occurred in a state in which it can't occur."""
 
 
 def _transitions() -> dict[tuple[ClientState, ClientEvent], ClientState]:
@@ -75,16 +78,16 @@
         (state.IDLE, event.CLOSE_REQUESTED): state.CLOSING_WHEN_IDLE,
         (state.CLOSING_WHEN_IDLE, event.CLOSE_WITHDRAWN): state.ACTIVE,
         (state.CLOSING_WHEN_IDLE, event.CLOSE_WITHDRAWN_UNUSED): state.UNUSED,
-        # A stream may break off after its connection was aborted or lost, which changes nothing.
+        # A streamed response may break off after its connection was aborted or lost.
         (state.ABORTED, event.INPUT_CLOSED): state.ABORTED,
         (state.CLOSED, event.INPUT_CLOSED): state.CLOSED,
         (state.CLOSED, event.ABORTED): state.CLOSED,
     }
-    for each in (*_ACCEPTING, state.CLOSING):
-        table[each, event.INPUT_CLOSED] = state.CLOSING
-    for each in (*_ACCEPTING, state.CLOSING, state.ABORTED):
-        table[each, event.ABORTED] = state.ABORTED
-        table[each, event.LOST] = state.CLOSED
+    for source in (*_ACCEPTING, state.CLOSING):
+        table[source, event.INPUT_CLOSED] = state.CLOSING
+    for source in (*_ACCEPTING, state.CLOSING, state.ABORTED):
+        table[source, event.ABORTED] = state.ABORTED
+        table[source, event.LOST] = state.CLOSED
     return table
 
 
@@ -92,11 +95,11 @@
 
 
 def next_state(state: ClientState, event: ClientEvent) -> ClientState:
-    """Return the state after an event.
+    """Return the state that follows an event.
 
-    :raises InvalidTransitionError: the event can't occur in that state
+    :raises InvalidTransitionError: the event can't occur in this state
     """
-    following = TRANSITIONS.get((state, event))
-    if following is None:
+    successor = TRANSITIONS.get((state, event))
+    if successor is None:
         raise InvalidTransitionError(f"{event.value} while {state.value}")
-    return following
+    return successor
--- a/ivystack/net/hang_up_monitor.py
+++ b/ivystack/net/hang_up_monitor.py
@@ -55,8 +55,8 @@
         if descriptor >= 0 and connection not in self.descriptors:
             try:
                 self.epoll.register(descriptor, select.EPOLLRDHUP | select.EPOLLONESHOT)
-            except OSError as fault:  # for want of memory: the end shows when the connection is read again
-                logger.warning("epoll: a hang-up may be seen late code={}", errorcode.get(fault.errno or 0))
+            except OSError as error:  # for want of memory: the end shows when the connection is read again
+                logger.warning("epoll: a hang-up may be seen late code={}", errorcode.get(error.errno or 0))
                 return
             self.connections[descriptor], self.descriptors[connection] = connection, descriptor
 
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -1,12 +1,14 @@
-"""The listening socket for clients, and the transport of each connection that it accepts.
+"""The listening socket for clients, and the transport of each accepted connection.
 
-Twisted's own classes lose requests in three ways that these do not (docs/incidents, 2026-12-02):
+These classes replace Twisted's, which lose requests in three cases (docs/incidents, 2026-12-02):
 
-- a connection was closed without a look at what had arrived meanwhile;
-- where a process runs out of descriptors, `Port` accepts what waits in the backlog and closes it at once;
-- each error of recv and send but EAGAIN was treated as the connection's end, also a transient one (ENOMEM).
+- They close a connection without reading what has arrived meanwhile.
+- If the process runs out of descriptors, `Port` accepts the connections in the backlog only to close them.
+- They treat every error of recv and send except EAGAIN as the end of the connection, even a transient one
+  (ENOMEM).
 
-And they forward requests for nobody: a client's end right behind its request was seen a turn later.
+Twisted's classes also notice a client's hang-up directly after its request only a reactor turn later, so that
+the request is forwarded without a client to answer.
 """
 
 from __future__ import annotations
@@ -33,47 +35,48 @@
 from .deadlines import DeadlineQueue
 
 NOTHING_TO_READ = frozenset({EAGAIN, EWOULDBLOCK})  # of recv
-TRANSIENT = frozenset({*NOTHING_TO_READ, EINTR, ENOMEM, ENOBUFS})  # of recv and send: try again
-EXHAUSTED = frozenset({EMFILE, ENFILE, ENOBUFS, ENOMEM})  # of accept: the connection goes on waiting
-RETRY_DELAY = 2_000  # microseconds, after an accept or an epoll_ctl that failed for want of resources
-MAX_READS = 256  # in a row for what has arrived: a read may bring as little as a byte
+TRANSIENT = frozenset({*NOTHING_TO_READ, EINTR, ENOMEM, ENOBUFS})  # of recv and send, which are retried
+EXHAUSTED = frozenset({EMFILE, ENFILE, ENOBUFS, ENOMEM})  # of accept; the connection stays in the backlog
+RETRY_DELAY = 2_000  # microseconds after accept or epoll_ctl failed for lack of resources
+MAX_READS = 256  # successive reads of one connection, each of which may return as little as one byte
 
 
 class ReadResult(enum.Enum):
-    """What reading to the end of what has arrived has found."""
+    """The result of reading all input that has arrived."""
 
     NOTHING_MORE = "nothing more"
-    REQUEST = "something to be answered, or more than is read at once"
-    ENDED = "the client's end"
-    UNKNOWN = "the call failed for a moment"
+    REQUEST = "a command to be answered, or more input than is read at once"
+    ENDED = "the client hung up"
+    UNKNOWN = "a read failed with a transient error"
 
 
 class ClientTransport(tcp.Server):
     """The transport of a client's connection.
 
-    Its protocol says in `may_close` whether it may end now that all is written, and in `all_answered` whether
-    what has arrived so far asks for nothing yet.
+    The protocol's `may_close` returns whether the connection may close after all writes, and `all_answered`
+    whether no command that was read lacks its response.
     """
 
     def doRead(self, *args: Any, **kwargs: Any) -> Any:  # noqa: N802
-        """Read what has arrived, and look whether the client's end lies right behind it.
+        """Read what has arrived, and check whether the client's hang-up directly follows.
 
-        Where the client was accepted or read late, its request would otherwise be forwarded for nobody.
+        If the client was accepted or read late, its request would otherwise be forwarded without a client to
+        answer.
         """
-        if self.disconnecting:  # the last read before the end will take it; LineReceiver would stop half-way
+        if self.disconnecting:  # left to the last read before the close; LineReceiver would stop half-way
             return None
         try:
             data = self.socket.recv(self.bufferSize)
-        except OSError as fault:
-            return None if fault.errno in TRANSIENT else main.CONNECTION_LOST
+        except OSError as error:
+            return None if error.errno in TRANSIENT else main.CONNECTION_LOST
         if 0 < len(data) < self.bufferSize:
             try:
                 more = self.socket.recv(self.bufferSize - len(data))
-            except OSError as fault:
-                if fault.errno not in TRANSIENT:
+            except OSError as error:
+                if error.errno not in TRANSIENT:
                     return main.CONNECTION_LOST
             else:
-                if not more:  # the client has gone already: nobody waits for what it sent before
+                if not more:  # the client has hung up and does not wait for an answer
                     return main.CONNECTION_DONE
                 data += more
         return self._dataReceived(data)
@@ -81,22 +84,22 @@
     def writeSomeData(self, data: bytes) -> Any:  # noqa: N802, D102
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
-        except OSError as fault:
-            return 0 if fault.errno in TRANSIENT else main.CONNECTION_LOST
+        except OSError as error:
+            return 0 if error.errno in TRANSIENT else main.CONNECTION_LOST
 
     def read_now(self) -> ReadResult:
-        """Read what has arrived, without waiting for the reactor to say so.
+        """Read what has arrived, without waiting for the reactor to report it.
 
-        An end that is found is left to the reactor, which finds it again.
+        A hang-up is left to the reactor, which will read it again.
         """
         protocol: Any = self.protocol
         for _ in range(MAX_READS if self.connected else 0):
             try:
                 data = self.socket.recv(self.bufferSize)
-            except OSError as fault:
-                if fault.errno in NOTHING_TO_READ:
+            except OSError as error:
+                if error.errno in NOTHING_TO_READ:
                     return ReadResult.NOTHING_MORE
-                return ReadResult.UNKNOWN if fault.errno in TRANSIENT else ReadResult.ENDED
+                return ReadResult.UNKNOWN if error.errno in TRANSIENT else ReadResult.ENDED
             if not data:
                 return ReadResult.ENDED
             protocol.dataReceived(data)
@@ -105,7 +108,7 @@
         return ReadResult.REQUEST
 
     def look_for_end(self) -> bool:
-        """Return whether the client is still there; what it has sent is read, and an end is handled."""
+        """Return whether the client is still connected; read its input, and handle a hang-up."""
         if not self.connected:
             return False
         ended = self.doRead()
@@ -121,12 +124,14 @@
         self._register(super().startWriting)
 
     def _register(self, call: Callable[[], None]) -> None:
-        """Register with the reactor, again later if epoll_ctl fails for want of memory."""
+        """Register with the reactor, and retry later if epoll_ctl fails for lack of memory."""
         try:
             call()
-        except OSError as fault:
-            delay_ms, code = RETRY_DELAY // 1000, errorcode.get(fault.errno or 0)
-            logger.warning("epoll: retried in {} ms code={}", delay_ms, code)
+        except OSError as error:
+            delay_ms, code = RETRY_DELAY // 1000, errorcode.get(error.errno or 0)
+            logger.warning(
+                "epoll registration of a client connection failed; retrying in {} ms code={}", delay_ms, code
+            )
             self.reactor.callLater(RETRY_DELAY / 1_000_000, self._register_again, call)
 
     def _register_again(self, call: Callable[[], None]) -> None:
@@ -134,19 +139,19 @@
             self._register(call)
 
     def _postLoseConnection(self) -> Exception | None:  # noqa: N802
-        """End the connection after all was written, unless a last read finds something to answer.
+        """Close the connection after all was written, unless a last read finds a command to answer.
 
-        Nothing lies between this read and the end but the call that ends it, so only what arrives in these
-        microseconds is not read.
+        The close directly follows this read, so that only input that arrives within these microseconds is not
+        read.
         """
         self.disconnecting = False
-        found = self.read_now()
-        if found is ReadResult.ENDED:
+        result = self.read_now()
+        if result is ReadResult.ENDED:
             return main.CONNECTION_DONE
         if self._aborting:
             return None
         unsent = self._tempDataLen or self.dataBuffer
-        if found is ReadResult.UNKNOWN or unsent:  # look again, after what is written
+        if result is ReadResult.UNKNOWN or unsent:  # read again, after the output is sent
             self.disconnecting = True
             self.startWriting()
             return None
@@ -158,7 +163,7 @@
 
 
 class AcceptingFactory(Protocol):
-    """What the listener needs of the clients' server."""
+    """The part of the server for clients that the listener uses."""
 
     deadlines: DeadlineQueue
     now: Callable[[], int]
@@ -170,27 +175,28 @@
         """Return how many more connections may be accepted now."""
 
     def evict_for_capacity(self, least: int = 0) -> int:
-        """Close some connections, and return how many."""
+        """Close some connections, at least `least` if possible, and return how many were closed."""
 
 
 class ClientListener(tcp.Port):
-    """Accepts clients, a bounded number a turn, for a factory that says how many it has capacity for.
+    """Accepts a bounded number of clients in each reactor turn, as far as the factory has capacity.
 
-    What can't be accepted now waits in the kernel's backlog; it is never accepted only to be closed.
+    Connections that can't be accepted now wait in the kernel's backlog.  They are never accepted only to be
+    closed.
     """
 
     transport = ClientTransport
     ACCEPTS_PER_TURN = 16
-    factory: Any  # a `AcceptingFactory`
+    factory: Any  # an `AcceptingFactory`
 
     def doRead(self) -> None:  # noqa: N802, D102
         try:
             self.accept_waiting(self.ACCEPTS_PER_TURN)
-        except Exception:  # the reactor would close the port
-            logger.exception("accept: failed")
+        except Exception:  # must not reach the reactor, which would close the port
+            logger.exception("accepting client connections failed")
 
     def accept_waiting(self, most: int) -> None:
-        """Accept up to so many that wait, as far as there is capacity."""
+        """Accept up to `most` waiting connections, as far as there is capacity."""
         for _ in range(most):
             if self.factory.available_capacity() <= 0:
                 if not self.factory.evict_for_capacity():
@@ -200,30 +206,30 @@
                 return
 
     def _accept_one(self) -> bool:
-        """Return whether another connection may be waiting."""
+        """Accept a connection, and return whether another one may be waiting."""
         try:
             accepted, address = self.socket.accept()
-        except OSError as fault:
-            if fault.errno in NOTHING_TO_READ:
+        except OSError as error:
+            if error.errno in NOTHING_TO_READ:
                 return False
-            code = errorcode.get(fault.errno or 0, fault.errno)
-            if fault.errno in EXHAUSTED:
-                logger.warning("accept: paused for {} ms code={}", RETRY_DELAY // 1000, code)
+            code = errorcode.get(error.errno or 0, error.errno)
+            if error.errno in EXHAUSTED:
+                logger.warning("accept failed; pausing for {} ms code={}", RETRY_DELAY // 1000, code)
                 self.factory.evict_for_capacity(least=1)
                 self._pause()
                 return False
-            # Any other is that one connection's (accept(2): errors of the network come up here).
-            logger.warning("accept: skipped a connection code={}", code)
+            # Any other error concerns this connection alone: accept(2) also reports network errors.
+            logger.warning("accept failed; skipping one client connection code={}", code)
             return True
         try:
             self._set_up(accepted, address)
         except Exception:
-            logger.exception("accept: a connection could not be set up")
+            logger.exception("accepted client connection could not be set up; closing the connection")
             accepted.close()
         return True
 
     def _set_up(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
-        if len(address) == 4:  # IPv6: with the scope's name
+        if len(address) == 4:  # IPv6: add the name of the scope
             flags = socket.NI_NUMERICHOST | socket.NI_NUMERICSERV
             address = (socket.getnameinfo(address, flags)[0], *address[1:])
         protocol = self.factory.buildProtocol(self._buildAddr(address))
@@ -232,7 +238,7 @@
         protocol.makeConnection(transport)
 
     def _pause(self) -> None:
-        """Accept nothing for a moment: what prevents it would keep the reactor busy."""
+        """Stop accepting for a short time, so that the reactor does not retry in every turn."""
         self.stopReading()
         self.factory.deadlines.call_at(self.factory.now() + RETRY_DELAY, self._resume)
 
@@ -241,14 +247,16 @@
             return
         try:
             self.startReading()
-        except OSError as fault:  # epoll_ctl for want of memory
-            code = errorcode.get(fault.errno or 0)
-            logger.warning("accept: paused for {} ms code={}", RETRY_DELAY // 1000, code)
+        except OSError as error:  # epoll_ctl failed for lack of memory
+            code = errorcode.get(error.errno or 0)
+            logger.warning(
+                "listening socket not resumed; retrying in {} ms code={}", RETRY_DELAY // 1000, code
+            )
             self._pause()
 
 
 def listen(reactor: Any, host: str, port: int, factory: AcceptingFactory, backlog: int) -> ClientListener:
-    """Listen for clients at an address.
+    """Listen for clients at an address, and return the listener.
 
     :raises twisted.internet.error.CannotListenError: the address can't be used
     """
@@ -258,7 +266,10 @@
 
 
 def adopt(reactor: Any, descriptor: int, family: int, factory: AcceptingFactory) -> ClientListener:
-    """Accept clients at a socket that listens already; its descriptor is duplicated."""
+    """Accept clients on a socket that is already listening, and return the listener.
+
+    The listener uses a duplicate of the descriptor.
+    """
     listener = ClientListener._fromListeningDescriptor(reactor, descriptor, family, factory)
     listener.startListening()
     return listener
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -327,7 +327,7 @@
     ("net/endpoint_list.py", '"DRAINING": ServerState.DRAINING', '"DRAINING": ServerState.READY', "drain",
      "nothing new to a draining node"),
     ("net/listener.py", "        if self.protocol.may_close():", "        if True:", "held-up", "one answer"),
-    ("net/listener.py", "EINTR, ENOMEM, ENOBUFS})  # of", "EINTR})  # of", "failing-calls", "one answer"),
+    ("net/listener.py", "EINTR, ENOMEM, ENOBUFS})", "EINTR})", "failing-calls", "one answer"),
 ])  # fmt: skip
 def test_a_program_that_breaks_a_rule_is_found_and_the_account_shows_the_req(
     tmp_path, path, before, after, scene, rule
