--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -1,11 +1,11 @@
 """Start the proxy: read the configuration, set up logging and signals, and run the reactor until SIGTERM.
 
-Exit codes: 0 ended as asked; 1 it could not start; 2 the configuration has a fault.
+Exit codes: 0 stopped on request; 1 the proxy could not start; 2 the configuration has an error.
 """
 
 from __future__ import annotations
 
-from . import early_signals  # isort: skip  # first: a SIGHUP may come at any time
+from . import early_signals  # isort: skip  # first: a SIGHUP may arrive at any time
 
 import gc
 import os
@@ -23,10 +23,10 @@
     from .fleet.services import FleetServices
     from .net.proxy import Proxy
 
-ACCEPT_NAMESPACE = "twisted.internet.tcp.Port"  # under which Twisted logs accepts that failed
+ACCEPT_NAMESPACE = "twisted.internet.tcp.Port"  # the namespace in which Twisted logs failed accepts
 
-# By default a collection runs each 700 new objects: many a second under load, though requests leave few
-# reference cycles.
+# Python's default is one collection per 700 new objects, which is many per second under load, although
+# requests leave few reference cycles.
 GC_THRESHOLDS = (10_000, 20, 20)
 
 EXIT_NOT_STARTED = 1
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Run the proxy; return the exit code."""
+    """Run the proxy and return its exit code."""
     try:
         run = load(os.environ)
         path, fleet = os.environ.get("LB_FLEET", ""), None
@@ -49,7 +49,7 @@
     from twisted.internet import reactor as default_reactor
 
     reactor: Any = default_reactor
-    # Twisted's own clock is wall time: set back by hours, it would stop every timer.
+    # Twisted's own clock is wall time: every timer would stop if it were set back by hours.
     reactor.seconds = time.monotonic
     from twisted.python.log import startLoggingWithObserver
 
@@ -68,7 +68,7 @@
         signal.signal(name, lambda *_: reactor.callFromThread(terminate, proxy, fleet_services))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, fleet_services))
     reactor.callWhenRunning(start, proxy, reactor, fleet_services)
-    # A SIGHUP may have come after the configuration was read; it asks for a newer one.
+    # A SIGHUP that arrived after the configuration was read asks for a newer one.
     if early_signals.received_hangups:
         reactor.callWhenRunning(reload, proxy, fleet_services)
     reactor.run(installSignalHandlers=False)
@@ -76,24 +76,24 @@
 
 
 def start(proxy: Proxy, reactor: Any, fleet_services: FleetServices | None = None) -> None:
-    """Open the sockets; stop the reactor if that fails."""
+    """Start the proxy and the fleet services; stop the reactor if that fails."""
     try:
         proxy.start()
         if fleet_services is not None:
             fleet_services.start()
     except Exception as error:
-        logger.error("could not start: {}", error)
+        logger.error("proxy could not start: {}", error)
         reactor.stop()
     gc.collect()
-    gc.freeze()  # what exists now lives as long as the process: later collections need not visit it
+    gc.freeze()  # objects that exist now live as long as the process: later collections skip them
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def terminate(proxy: Proxy, fleet_services: FleetServices | None = None) -> None:
     """Begin the graceful shutdown (SIGTERM, SIGINT).
 
-    The proxy's own comes first, so that nothing of the fleet's can keep it from beginning; the leases are
-    handed on in the same turn of the reactor.
+    The proxy begins first, so that a failure in the fleet services can't prevent its shutdown.  The leases
+    are handed over in the same turn of the reactor.
     """
     proxy.terminate()
     if fleet_services is not None:
@@ -101,11 +101,11 @@
 
 
 def reload(proxy: Proxy, fleet_services: FleetServices | None = None) -> None:
-    """Read the configuration again and apply it (SIGHUP); one with a fault is logged and ignored."""
+    """Read the configuration again and apply it (SIGHUP); log and ignore an invalid one."""
     try:
         run = load(os.environ, proxy.run)
     except ConfigurationError as error:
-        logger.error("configuration not taken: {}", error)
+        logger.error("configuration rejected, the previous one stays in effect: {}", error)
     else:
         proxy.reload(run)
     if fleet_services is not None:
@@ -113,21 +113,21 @@
 
 
 def log_twisted_event(event: dict[str, Any]) -> None:
-    """Log Twisted's errors, among them exceptions of callbacks, and accepts that failed."""
+    """Log Twisted's errors, which include exceptions in callbacks, and failed accepts."""
     from twisted.logger import formatEvent
 
     if event.get("isError"):
         failure = event.get("failure")
         logger.error("twisted: {}", failure.getTraceback() if failure else event.get("message"))
     elif event.get("log_namespace") == ACCEPT_NAMESPACE:
-        logger.warning("accept: {}", formatEvent(event))
+        logger.warning("accepting a client connection failed: {}", formatEvent(event))
 
 
 if __name__ == "__main__":
-    if len(sys.argv) > 1:  # a command; the proxy itself never imports the command line's packages
+    if len(sys.argv) > 1:  # a command: the proxy itself never imports the packages of the command line
         from .cli import main as commands
 
-        if sys.argv[1] != "serve":  # a closed terminal ends it, as it does any command
+        if sys.argv[1] != "serve":  # closing the terminal ends the command, as usual
             signal.signal(signal.SIGHUP, signal.SIG_DFL)
         commands(prog_name="ivystack", obj=main)
     sys.exit(main())
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: creates and connects its parts, starts them, reloads their settings and shuts them down."""
+"""The proxy of one process: creates and connects its parts, starts, reconfigures and stops them."""
 
 from __future__ import annotations
 
@@ -26,27 +26,28 @@
 from .server_pool import PoolSettings
 from .server_pools import ServerPools
 
-LISTEN_BACKLOG = 1024  # clients that the kernel holds until they are accepted
+LISTEN_BACKLOG = 1024  # client connections that the kernel queues until they are accepted
 ADMIN_BACKLOG = 64
 GOSSIP_BIND_RETRY_US = 100_000
-FINISH_POLL_US = 10_000
+SHUTDOWN_POLL_US = 10_000
 LISTED_LIFECYCLES = {ServerState.READY: "SERVING", ServerState.DRAINING: "DRAINING"}
 MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class Proxy:
-    """The proxy of one process: public attributes are its parts.
+    """The proxy of one process; its public attributes are its parts.
 
-    :param now: the clock, microseconds since 1970.
+    :param now: returns the current time in microseconds since 1970.
     """
 
     listen = staticmethod(listen)
-    STOP_ACCEPTING_DELAY_US = 500_000  # after SIGTERM: new connections go on coming for part of it
-    # After that, for commands that have arrived in part.  From 0.7 s on nothing is admitted: SIGKILL comes
-    # that long after the longest deadline, and what it finds is lost.
+    # Clients keep opening connections for part of the first 0.5 s after SIGTERM.
+    STOP_ACCEPTING_DELAY_US = 500_000
+    # Additional time for commands that have arrived in part.  Nothing is admitted later than 0.7 s after
+    # SIGTERM, because SIGKILL may follow 0.7 s after the longest deadline and requests still active are lost.
     PARTIAL_COMMAND_GRACE_US = 200_000
-    # SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s at most, and 0.7 s.
-    # What is admitted near the end of that time is answered before it, also after a stall of 0.15 s.
+    # SIGKILL follows SIGTERM after at least the longest deadline (3 s at most) plus 0.7 s.  Requests admitted
+    # near the end of that time must be answered before SIGKILL, even after a stall of 0.15 s.
     MAX_CLIENT_TIMEOUT_US, KILL_DELAY_US, STALL_ALLOWANCE_US = 3_000_000, 700_000, 150_000
 
     def __init__(self, run: ProcessConfiguration, reactor: Any, now: Callable[[], int] | None = None) -> None:
@@ -88,7 +89,7 @@
         self.admin = AdminServer(
             self.deadlines, self.now, self.readiness, self.start_draining, self.stop_draining
         )
-        self.limits = run.descriptors, run.memory_bytes  # as at the start
+        self.limits = run.descriptors, run.memory_bytes  # fixed at the start
         self.port: ClientListener | None = None
         self.started = self.ending = False
 
@@ -113,26 +114,28 @@
         )
 
     def pool_settings(self, run: ProcessConfiguration) -> PoolSettings:
-        """Return what a configuration tells of the connections to servers."""
+        """Return the settings for connections to servers that a configuration contains."""
         max_in_flight = self.settings.streams_per_connection if self.settings.hedging_enabled else 1
         cache_aside = self.balancer.parameters.origin_kind >= 0
         return PoolSettings(run.idle_timeout_us, run.connect_timeout_us, max_in_flight, cache_aside)
 
     def has_ready_server(self) -> bool:
-        """Return whether a server is listed as ready."""
+        """Return whether any server is listed as ready."""
         return any(server.state == ServerState.READY for server in self.balancer.servers.values())
 
     # Start.
 
     def start(self) -> None:
-        """Start serving, with a hot restart once the old process has sent its state or none came."""
+        """Start serving; in a hot restart, first wait for the old process's state, up to a timeout."""
         self._log_warnings(self.run)
         if self.run.known_endpoints:
             try:
                 self.endpoint_watch.load_known(self.run.known_endpoints)
-            except Exception as fault:  # the watch will bring a list
-                logger.error("known: a list that can't be used: {}: {}", type(fault).__name__, fault)
-        if self.run.admin:  # before all else: it answers that it is not ready until it is
+            except Exception as error:  # start without it: discovery will send a list
+                logger.error(
+                    "configuration: endpoint list `known` ignored: {}: {}", type(error).__name__, error
+                )
+        if self.run.admin:  # opened first, so that readiness checks get "not ready" instead of no answer
             host, port = self.run.admin
             self.reactor.listenTCP(port, self.admin, backlog=ADMIN_BACKLOG, interface=host)
         if self.run.inherited_descriptor is not None:
@@ -143,19 +146,19 @@
     def start_serving(self, state: ProcessState | None) -> None:
         """Import the old process's state, if there is one, and open the sockets.
 
-        A failure to open them stops the reactor.
+        Stop the reactor if a socket can't be opened.
         """
-        if self.ending:  # SIGTERM came while the state was awaited: nobody would close the port
+        if self.ending:  # SIGTERM arrived while waiting for the state: nothing would close the port
             return
         try:
             self.import_state(state)
             self.open_sockets()
-        except Exception as fault:
-            logger.error("could not start: {}", fault)
+        except Exception as error:
+            logger.error("proxy could not start: {}", error)
             self.reactor.stop()
 
     def open_sockets(self) -> None:
-        """Accept clients, and begin to watch the endpoint list."""
+        """Start accepting clients and watching the endpoint list."""
         if self.run.peer_listen:
             self.open_gossip_socket(*self.run.peer_listen)
         if self.run.inherited_descriptor is not None:
@@ -166,17 +169,17 @@
         else:
             self.port = self.listen(self.reactor, *self.run.listen, self.client_server, LISTEN_BACKLOG)
         self.endpoint_watch.request_watch()
-        logger.info("start name={} nodes={}", self.run.name, len(self.balancer.servers))
+        logger.info("proxy started name={} nodes={}", self.run.name, len(self.balancer.servers))
         self.started = True
         self.request_handler.run_due()
 
     def open_gossip_socket(self, host: str, port: int) -> None:
         """Bind the address for gossip.
 
-        In a hot restart the old process has it until it is told to end.  No gossip is needed to serve, so it
-        is tried again while we do.
+        In a hot restart the old process uses the address until it receives SIGTERM.  The proxy can serve
+        without gossip, so binding is retried in the background.
 
-        :raises CannotListenError: without a hot restart, if the address can't be used.
+        :raises CannotListenError: if the address can't be bound and this is no hot restart.
         """
         if self.ending:
             return
@@ -195,7 +198,7 @@
     # Hot restart.
 
     def import_state(self, state: ProcessState | None) -> None:
-        """Go on where the old process is; what is wrong with its state is logged."""
+        """Continue from the old process's state; log a state that can't be imported."""
         if state is None:
             return
         try:
@@ -203,14 +206,16 @@
                 listing = dict(generation=state.generation, reset=True, instances=state.instances)
                 self.endpoint_watch.load_known(listing)
             import_state(state, self.balancer, self.settings.request_classes, self.now())
-        except Exception as fault:
-            logger.error("hot restart: the state could not be imported: {}: {}", type(fault).__name__, fault)
+        except Exception as error:
+            logger.error(
+                "hot restart: importing the old process's state failed: {}: {}", type(error).__name__, error
+            )
         else:
             generation, slots = state.generation, len(state.slots)
-            logger.info("hot restart state imported generation={} slots={}", generation, slots)
+            logger.info("hot restart: state imported generation={} slots={}", generation, slots)
 
     def export_state(self) -> ProcessState:
-        """Return the state for the next process, with the endpoint list in discovery's form."""
+        """Return the state for the next process, with the endpoint list in discovery's format."""
         kinds = {index: name for name, index in self.settings.kinds.items()}
         pools = self.server_pools.pools
         instances = [
@@ -222,7 +227,7 @@
                 "cell": server.cell,
                 "lifecycle": LISTED_LIFECYCLES[server.state],
                 "startedAtMs": server.started_at // MICROSECONDS_PER_MILLISECOND,
-                # Live weights are no sizes: the list brings new ones each second.
+                # Live weights are not server sizes; discovery sends new ones every second.
                 "weight": None if self.balancer.load.enabled else server.weight,
             }
             for server in self.balancer.servers.values()
@@ -232,8 +237,8 @@
         return export_state(self.balancer, classes, generation, instances)
 
     def other_process_present(self, is_present: bool) -> None:
-        """Halve the limits while another process serves too: together they keep within those of one."""
-        logger.info("hot restart other_process={}", is_present)
+        """Halve the limits while another process serves too, so that both together stay within them."""
+        logger.info("hot restart: presence of another process changed other_process={}", is_present)
         sockets, memory = (limit // 2 if is_present else limit for limit in self.limits)
         self.server_pools.set_limits(sockets, memory // ClientServer.VALUE_MEMORY_DIVISOR)
         reserved = self.server_pools.max_connections + ClientServer.RESERVED_DESCRIPTORS
@@ -242,26 +247,27 @@
     # Configuration.
 
     def reload(self, run: ProcessConfiguration) -> None:
-        """Use a new configuration: its settings, discovery and peers at once, the rest with the next start.
+        """Apply the settings, discovery address and peers of a new configuration.
 
-        It has been validated: nothing here can be rejected half-way.
+        Other keys take effect at the next start.  The configuration has been validated, so that it can't be
+        rejected after part of it was applied.
         """
         for key in self.run.changed_fixed_keys(run):
-            logger.warning("configuration: a new `{}` counts from the next start on", key)
+            logger.warning("configuration: the changed `{}` takes effect at the next start", key)
         self._log_warnings(run)
-        former = self.settings.apply(run.settings)
+        replaced = self.settings.apply(run.settings)
         run.settings, self.run = self.settings, run
         self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
         self.server_pools.configure(self.pool_settings(run))
         logger.info(
-            "configuration taken discovery={}:{} classes={} changed={}",
+            "configuration applied discovery={}:{} classes={} changed={}",
             *run.discovery,
             len(self.settings.request_classes),
-            len(former),
+            len(replaced),
         )
-        if former:  # forgotten once none of their requests is left
+        if replaced:  # discarded after their last request has ended
             last_deadline = max(self.request_handler.latest_deadline(), self.now())
-            self.deadlines.call_at(last_deadline + 2 * ANSWER_GRACE_US, self.settings.discard, former)
+            self.deadlines.call_at(last_deadline + 2 * ANSWER_GRACE_US, self.settings.discard, replaced)
         self.gossip.set_peers(run.peers)
         self.endpoint_watch.change_address(run.discovery)
         self.request_handler.run_due()
@@ -269,15 +275,15 @@
     # Shutdown.
 
     def terminate(self) -> None:
-        """Shut down gracefully: serve a little longer, then answer the active requests and stop."""
+        """Shut down gracefully: serve for a short time, then answer the active requests and stop."""
         if self.ending:
             return
         self.ending = True
         longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_wait())
         time_left = longest_timeout + self.KILL_DELAY_US - self.STALL_ALLOWANCE_US
         self.request_handler.answer_by = self.now() + time_left
-        inherited = self.run.inherited_descriptor is not None  # another process accepts there, or will
-        logger.info("stop asked requests={}", len(self.request_handler.requests))
+        inherited = self.run.inherited_descriptor is not None  # another process accepts there or will
+        logger.info("graceful shutdown started requests={}", len(self.request_handler.requests))
         self.client_server.drain.start(
             "stopping",
             self.STOP_ACCEPTING_DELAY_US,
@@ -290,34 +296,34 @@
         self.deadlines.call_at(self.now() + delay, self.stop_accepting)
 
     def stop_accepting(self) -> None:
-        """Close the port, and stop the reactor once no client is left."""
+        """Close the port, and stop the reactor once no client is connected."""
         if self.port is not None:
             self._close_port(self.port)
-        self._finish()
+        self._stop_when_idle()
 
     def _close_port(self, port: ClientListener) -> None:
-        """Close the port after accepting what waits in its backlog, which the kernel would reset.
+        """Close the port after accepting the connections in its backlog, which the kernel would reset.
 
-        What waits at an inherited one is left to the other process.
+        The backlog of an inherited port is left to the other process.
         """
         port.stopReading()
         if self.run.inherited_descriptor is None:
             port.accept_waiting(max(ClientListener.ACCEPTS_PER_TURN, self.client_server.available_capacity()))
-        port.connectionLost(Failure(ConnectionDone()))  # in this turn: later, more would have come
+        port.connectionLost(Failure(ConnectionDone()))  # now: more clients could connect before a later turn
 
-    def _finish(self) -> None:
+    def _stop_when_idle(self) -> None:
         if self.request_handler.requests or self.client_server.connections:
-            self.deadlines.call_at(self.now() + FINISH_POLL_US, self._finish)
+            self.deadlines.call_at(self.now() + SHUTDOWN_POLL_US, self._stop_when_idle)
         else:
-            logger.info("stop")
+            logger.info("proxy stopped: all clients are disconnected")
             self.endpoint_watch.stop()
             self.server_pools.mark_stopping()
             self.reactor.stop()
 
-    # The operators' calls.
+    # The admin server's calls.
 
     def readiness(self) -> AdminResponse:
-        """Answer whether clients should be sent here."""
+        """Return whether this proxy is ready for clients."""
         if self.ending or self.client_server.drain.code:
             return AdminResponse(503, "draining")
         if self.started and self.has_ready_server():
@@ -325,18 +331,18 @@
         return AdminResponse(503, "no cache node is ready")
 
     def start_draining(self) -> AdminResponse:
-        """Send clients away; requests that still come are served."""
+        """Begin to close client connections; requests that still arrive are served."""
         if not self.ending and not self.client_server.drain.code:
             clients, requests = len(self.client_server.connections), len(self.request_handler.requests)
-            logger.info("drain clients={} requests={}", clients, requests)
+            logger.info("drain started clients={} requests={}", clients, requests)
             self.client_server.drain.start("drained", ClientDrain.SPREAD, ClientDrain.PARTIAL_COMMAND_GRACE)
         return AdminResponse(200, "draining")
 
     def stop_draining(self) -> AdminResponse:
-        """Keep clients again; a process that terminates does not."""
+        """End the drain; refused while the process shuts down."""
         if self.ending:
             return AdminResponse(409, "stopping: there is no way back")
         if self.client_server.drain.code:
-            logger.info("drain over clients={}", len(self.client_server.connections))
+            logger.info("drain cancelled clients={}", len(self.client_server.connections))
             self.client_server.drain.stop()
         return AdminResponse(200, "serving")
--- a/ivystack/rig/logs.py
+++ b/ivystack/rig/logs.py
@@ -30,7 +30,7 @@
 ACT = re.compile(r"duty: value adopted duty=(\S+) token=(\d+) version=(\d+)")
 HELD = re.compile(r"duty: lease (acquired|lost) duty=(\S+) token=(\d+)")
 SEEN = 50_000  # microseconds: the rig looks at the wall clock so often
-START = re.compile(r"(start name|fleet: started name)=")
+START = re.compile(r"(proxy started name|fleet: started name)=")
 
 
 def logged(
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -116,7 +116,7 @@
     process.terminate()
     _, told = process.communicate(timeout=10)
     assert process.returncode == 0 and b"index=0" in old.asked and b"index=0" in new.asked
-    assert told.count(b"configuration not taken") == 1 and b"code=moved" in told
+    assert told.count(b"configuration rejected") == 1 and b"code=moved" in told
 
 
 def call(port, method, path):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -101,9 +101,9 @@
     config(other)
     process.send_signal(signal.SIGHUP)
     line = b""
-    while b"configuration taken" not in line and b"not taken" not in line:  # warnings may come before
+    while b"configuration applied" not in line and b"configuration rejected" not in line:  # after warnings
         line = process.stderr.readline()
-    if b"not taken" in line:  # tenants or limits that the running one states and the new one lacks
+    if b"configuration rejected" in line:  # it lacks tenants or limits that the running one states
         assert b"missing; the running configuration has it" in line
         assert isinstance(ask(wire, b"1", SITES[name], SITES[name]["class"][0]), bytes)
         return
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -114,7 +114,7 @@
     assert len(client.answers) > 10
     new.send_signal(signal.SIGTERM)
     code, told = ended(new)
-    assert code == 0 and b"hot restart state imported generation=1 slots=3" in told
+    assert code == 0 and b"hot restart: state imported generation=1 slots=3" in told
     assert told.index(b"other_process=True") < told.index(b"other_process=False")
     third = at.start()  # beside the killed one's leftover
     third.send_signal(signal.SIGTERM)
