--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -36,13 +36,15 @@
 def main() -> int:
     """Run the proxy and return its exit code."""
     try:
-        run = load(os.environ)
+        configuration = load(os.environ)
         path, fleet = os.environ.get("LB_FLEET", ""), None
         if path:  # otherwise the fleet package is not even imported
             from .fleet.config import load_config as load_fleet
 
-            fleet = load_fleet(path, run.name)
-            run.descriptors = fleet.reserve_links(run.descriptors, run.settings.settings.n_instances or 1)
+            fleet = load_fleet(path, configuration.name)
+            configuration.descriptors = fleet.reserve_links(
+                configuration.descriptors, configuration.settings.settings.n_instances or 1
+            )
     except ConfigurationError as error:
         print(error, file=sys.stderr)
         return EXIT_FAULT
@@ -58,7 +60,7 @@
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", diagnose=False)
     startLoggingWithObserver(log_twisted_event, setStdout=False)
-    proxy = Proxy(run, reactor)
+    proxy = Proxy(configuration, reactor)
     fleet_services = None
     if fleet is not None:
         from .fleet.services import FleetServices
@@ -103,11 +105,11 @@
 def reload(proxy: Proxy, fleet_services: FleetServices | None = None) -> None:
     """Read the configuration again and apply it (SIGHUP); log and ignore an invalid one."""
     try:
-        run = load(os.environ, proxy.run)
+        configuration = load(os.environ, proxy.configuration)
     except ConfigurationError as error:
         logger.error("configuration rejected, the previous one stays in effect: {}", error)
     else:
-        proxy.reload(run)
+        proxy.reload(configuration)
     if fleet_services is not None:
         fleet_services.reload()
 
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -37,8 +37,8 @@
     def __init__(self, proxy: Proxy, path: str, config: FleetConfig) -> None:
         """Create the services, not started yet; `path` is that of the configuration file."""
         self.proxy, self.path, self.config = proxy, path, config
-        self.rng = Random(proxy.run.seed ^ SEED_MASK)
-        listen_address = config.listen_address or proxy.run.listen
+        self.rng = Random(proxy.configuration.seed ^ SEED_MASK)
+        listen_address = config.listen_address or proxy.configuration.listen
         self.mesh = Mesh(
             proxy.reactor,
             proxy.deadlines,
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -50,18 +50,20 @@
     # near the end of that time must be answered before SIGKILL, even after a stall of 0.15 s.
     MAX_CLIENT_TIMEOUT_US, KILL_DELAY_US, STALL_ALLOWANCE_US = 3_000_000, 700_000, 150_000
 
-    def __init__(self, run: ProcessConfiguration, reactor: Any, now: Callable[[], int] | None = None) -> None:
-        self.run, self.reactor, self.now = run, reactor, now or WallAnchoredClock()
-        self.settings, self.balancer = run.settings, run.settings.balancer
+    def __init__(
+        self, configuration: ProcessConfiguration, reactor: Any, now: Callable[[], int] | None = None
+    ) -> None:
+        self.configuration, self.reactor, self.now = configuration, reactor, now or WallAnchoredClock()
+        self.settings, self.balancer = configuration.settings, configuration.settings.balancer
         self.deadlines = DeadlineQueue(reactor, self.now)
         self.request_handler = handler = RequestHandler(self.settings, self.deadlines, self.now)
         self.server_pools = ServerPools(
             reactor,
             self.deadlines,
             self.now,
-            self.pool_settings(run),
-            run.descriptors,
-            run.memory_bytes // ClientServer.VALUE_MEMORY_DIVISOR,
+            self.pool_settings(configuration),
+            configuration.descriptors,
+            configuration.memory_bytes // ClientServer.VALUE_MEMORY_DIVISOR,
             handler.attempt_ended,
             handler.client_is_waiting,
         )
@@ -72,29 +74,29 @@
             self.deadlines,
             self.now,
             self.settings.poll_backoff,
-            run.discovery,
+            configuration.discovery,
             self.endpoints.update,
         )
-        self.gossip = GossipSocket(run.peers, handler.receive_gossip)
+        self.gossip = GossipSocket(configuration.peers, handler.receive_gossip)
         handler.connect(self.server_pools, self.gossip)
         self.hot_restart = HotRestart(
             reactor,
             self.deadlines,
             self.now,
-            run.restart_folder,
-            run.listen,
+            configuration.restart_folder,
+            configuration.listen,
             self.export_state,
             self.other_process_present,
         )
         self.admin = AdminServer(
             self.deadlines, self.now, self.readiness, self.start_draining, self.stop_draining
         )
-        self.limits = run.descriptors, run.memory_bytes  # fixed at the start
+        self.limits = configuration.descriptors, configuration.memory_bytes  # fixed at the start
         self.port: ClientListener | None = None
         self.started = self.ending = False
 
     def _create_client_server(self) -> ClientServer:
-        handler, run = self.request_handler, self.run
+        handler, configuration = self.request_handler, self.configuration
         reserved = self.server_pools.max_connections + ClientServer.RESERVED_DESCRIPTORS
         return ClientServer(
             self.reactor,
@@ -109,15 +111,17 @@
             ),
             self.settings.request_classes,
             self.settings.tenants,
-            run.descriptors - reserved,
-            run.memory_bytes,
+            configuration.descriptors - reserved,
+            configuration.memory_bytes,
         )
 
-    def pool_settings(self, run: ProcessConfiguration) -> PoolSettings:
+    def pool_settings(self, configuration: ProcessConfiguration) -> PoolSettings:
         """Return the settings for connections to servers that a configuration contains."""
         max_in_flight = self.settings.streams_per_connection if self.settings.hedging_enabled else 1
         cache_aside = self.balancer.parameters.origin_kind >= 0
-        return PoolSettings(run.idle_timeout_us, run.connect_timeout_us, max_in_flight, cache_aside)
+        return PoolSettings(
+            configuration.idle_timeout_us, configuration.connect_timeout_us, max_in_flight, cache_aside
+        )
 
     def has_ready_server(self) -> bool:
         """Return whether any server is listed as ready."""
@@ -127,18 +131,18 @@
 
     def start(self) -> None:
         """Start serving; in a hot restart, first wait for the old process's state, up to a timeout."""
-        self._log_warnings(self.run)
-        if self.run.known_endpoints:
+        self._log_warnings(self.configuration)
+        if self.configuration.known_endpoints:
             try:
-                self.endpoint_watch.load_known(self.run.known_endpoints)
+                self.endpoint_watch.load_known(self.configuration.known_endpoints)
             except Exception as error:  # start without it: discovery will send a list
                 logger.error(
                     "configuration: endpoint list `known` ignored: {}: {}", type(error).__name__, error
                 )
-        if self.run.admin:  # opened first, so that readiness checks get "not ready" instead of no answer
-            host, port = self.run.admin
+        if self.configuration.admin:  # first, so that readiness checks are answered "not ready" meanwhile
+            host, port = self.configuration.admin
             self.reactor.listenTCP(port, self.admin, backlog=ADMIN_BACKLOG, interface=host)
-        if self.run.inherited_descriptor is not None:
+        if self.configuration.inherited_descriptor is not None:
             self.hot_restart.request_state(self.start_serving)
         else:
             self.start_serving(None)
@@ -159,17 +163,19 @@
 
     def open_sockets(self) -> None:
         """Start accepting clients and watching the endpoint list."""
-        if self.run.peer_listen:
-            self.open_gossip_socket(*self.run.peer_listen)
-        if self.run.inherited_descriptor is not None:
+        if self.configuration.peer_listen:
+            self.open_gossip_socket(*self.configuration.peer_listen)
+        if self.configuration.inherited_descriptor is not None:
             self.port = adopt_listening_socket(
-                self.reactor, self.run.inherited_descriptor, self.client_server
+                self.reactor, self.configuration.inherited_descriptor, self.client_server
             )
             self.hot_restart.listen()
         else:
-            self.port = self.listen(self.reactor, *self.run.listen, self.client_server, LISTEN_BACKLOG)
+            self.port = self.listen(
+                self.reactor, *self.configuration.listen, self.client_server, LISTEN_BACKLOG
+            )
         self.endpoint_watch.request_watch()
-        logger.info("proxy started name={} nodes={}", self.run.name, len(self.balancer.servers))
+        logger.info("proxy started name={} nodes={}", self.configuration.name, len(self.balancer.servers))
         self.started = True
         self.request_handler.run_due()
 
@@ -186,13 +192,13 @@
         try:
             self.reactor.listenUDP(port, self.gossip, interface=host)
         except CannotListenError:
-            if self.run.inherited_descriptor is None:
+            if self.configuration.inherited_descriptor is None:
                 raise
             retry_at = self.now() + GOSSIP_BIND_RETRY_US
             self.deadlines.call_at(retry_at, self.open_gossip_socket, host, port)
 
-    def _log_warnings(self, run: ProcessConfiguration) -> None:
-        for line in run.warnings():
+    def _log_warnings(self, configuration: ProcessConfiguration) -> None:
+        for line in configuration.warnings():
             logger.warning("configuration: {}", line)
 
     # Hot restart.
@@ -246,30 +252,30 @@
 
     # Configuration.
 
-    def reload(self, run: ProcessConfiguration) -> None:
+    def reload(self, configuration: ProcessConfiguration) -> None:
         """Apply the settings, discovery address and peers of a new configuration.
 
         Other keys take effect at the next start.  The configuration has been validated, so that it can't be
         rejected after part of it was applied.
         """
-        for key in self.run.changed_fixed_keys(run):
+        for key in self.configuration.changed_fixed_keys(configuration):
             logger.warning("configuration: the changed `{}` takes effect at the next start", key)
-        self._log_warnings(run)
-        replaced = self.settings.apply(run.settings)
-        run.settings, self.run = self.settings, run
+        self._log_warnings(configuration)
+        replaced = self.settings.apply(configuration.settings)
+        configuration.settings, self.configuration = self.settings, configuration
         self.client_server.set_names(self.settings.request_classes, self.settings.tenants)
-        self.server_pools.configure(self.pool_settings(run))
+        self.server_pools.configure(self.pool_settings(configuration))
         logger.info(
             "configuration applied discovery={}:{} classes={} changed={}",
-            *run.discovery,
+            *configuration.discovery,
             len(self.settings.request_classes),
             len(replaced),
         )
         if replaced:  # discarded after their last request has ended
             last_deadline = max(self.request_handler.latest_deadline(), self.now())
             self.deadlines.call_at(last_deadline + 2 * ANSWER_GRACE_US, self.settings.discard, replaced)
-        self.gossip.set_peers(run.peers)
-        self.endpoint_watch.change_address(run.discovery)
+        self.gossip.set_peers(configuration.peers)
+        self.endpoint_watch.change_address(configuration.discovery)
         self.request_handler.run_due()
 
     # Shutdown.
@@ -282,7 +288,9 @@
         longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_wait())
         time_left = longest_timeout + self.KILL_DELAY_US - self.STALL_ALLOWANCE_US
         self.request_handler.answer_by = self.now() + time_left
-        inherited = self.run.inherited_descriptor is not None  # another process accepts there or will
+        inherited = (
+            self.configuration.inherited_descriptor is not None
+        )  # another process accepts there or will
         logger.info("graceful shutdown started requests={}", len(self.request_handler.requests))
         self.client_server.drain.start(
             "stopping",
@@ -307,7 +315,7 @@
         The backlog of an inherited port is left to the other process.
         """
         port.stopReading()
-        if self.run.inherited_descriptor is None:
+        if self.configuration.inherited_descriptor is None:
             port.accept_waiting(max(ClientListener.ACCEPTS_PER_TURN, self.client_server.available_capacity()))
         port.connectionLost(Failure(ConnectionDone()))  # now: more clients could connect before a later turn
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -180,7 +180,7 @@
             if one.transport.disconnecting and one.slot in made.client_server.connections:
                 one.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
-    made.limits = made.run.descriptors, made.run.memory_bytes
+    made.limits = made.configuration.descriptors, made.configuration.memory_bytes
     end.connectionLost(Failure(ConnectionDone()))
     assert (
         pools.max_connections,
