--- a/ivystack/net/in_flight_attempt.py
+++ b/ivystack/net/in_flight_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt on its way to a server, from being sent to its outcome."""
+"""An attempt between the decision to send it and its outcome."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InFlightAttempt:
-    """An attempt that waits in a pool for a connection, is out on a connection, or has ended."""
+    """An attempt that waits in a pool for a connection, was sent on one, or has ended."""
 
     __slots__ = (
         "attempt",
@@ -30,21 +30,21 @@
         "cache_hit",
     )
 
-    pool: ServerPool  # set once it is sent
+    pool: ServerPool  # set by `ServerPools.send`
 
     def __init__(self, attempt: Attempt, frame: RequestFrame, upload: RequestStream | None = None) -> None:
         self.attempt, self.frame, self.upload = attempt, frame, upload
         self.connection: ServerConnection | None = None
         self.deadlines: list[Deadline] = []
-        self.end_position = 0  # bytes written to its connection up to its own last one
+        self.end_position = 0  # position of its last byte among the bytes written to its connection
         self.has_ended = False
-        self.load_report: bytes | None = None  # as it came with the answer
-        self.cache_hit = False  # the server told that it had the value
+        self.load_report: bytes | None = None  # as received with the answer
+        self.cache_hit = False  # the server reported that it had the value in its cache
 
     def has_unsent_bytes(self) -> bool:
-        """Whether its last byte has not been handed to the kernel: the server can't have begun it.
+        """Whether its last byte has not been written to the kernel, so that no server can have begun it.
 
-        False for one that has no connection yet.
+        False for an attempt without a connection.
         """
         if self.connection is None:
             return False
@@ -53,6 +53,6 @@
         return self.end_position > self.connection.bytes_sent()
 
     def cancel_deadlines(self) -> None:
-        """Cancel its timeouts."""
+        """Cancel the timeouts of this attempt."""
         for deadline in self.deadlines:
             deadline.cancel()
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a cache server: its state, the attempts on it, and what their answers prove."""
+"""A connection to a cache server: its state, its attempts in flight, and the outcomes of their answers."""
 
 from __future__ import annotations
 
@@ -26,32 +26,29 @@
     from .server_pools import ServerPools
 
 MICROSECONDS_PER_MILLISECOND = 1_000
-DUPLICATE_VALUE_WINDOW = 5_000  # microseconds: two equal values so close are one and its duplicate
-# Microseconds: so soon after another a -BUSY may be that one's duplicate, which comes some milliseconds late.
+DUPLICATE_VALUE_WINDOW = 5_000  # microseconds within which a second equal value is a duplicate of the first
+# Microseconds within which a second -BUSY may be a duplicate of the first, which is some milliseconds late.
 DUPLICATE_BUSY_WINDOW = 100_000
-LOAD_REPORT_PART = 2  # of an answer, the only part that may be an array
+LOAD_REPORT_PART = 2  # index in an answer; the load report is the only part that may be an array
 VALUE_OUTCOMES = frozenset([Outcome.SUCCEEDED, Outcome.CACHE_MISS])
-OTHER_SIDE = "node"  # in the end codes `node-closed` and `node-reset`
+OTHER_SIDE = "node"  # prefix of the codes `node-closed` and `node-reset` in log lines
 
 
 class ConnectionState(enum.Enum):
-    """The states of a connection, in the order in which it can go through them.
-
-    IDLE and BUSY alternate.
-    """
+    """The states of a connection, in their order; IDLE and BUSY alternate."""
 
     CONNECTING = "connecting"
-    IDLE = "idle"  # kept for the next attempt
-    BUSY = "busy"  # attempts are on it, or what came behind their last answer is still to be read
-    CLOSING = "closing"  # told to close, or aborted
+    IDLE = "idle"  # in its pool's queue of idle connections
+    BUSY = "busy"  # attempts are in flight, or bytes after the last answer are still to be read
+    CLOSING = "closing"  # closed or aborted by this process; the transport has not ended yet
     CLOSED = "closed"
 
 
 class ServerConnection(RespProtocol):
-    """A connection whose answers come in the order of the attempts on it."""
+    """A connection to a cache server, which answers attempts in the order in which they were sent."""
 
-    STALL_TIMEOUT = 10_000_000  # microseconds without a byte of a long value: servers take seconds for one
-    transport: Any  # Twisted's TCP client; its write buffer is looked into
+    STALL_TIMEOUT = 10_000_000  # microseconds without a byte of a long value; sending one may take seconds
+    transport: Any  # Twisted's TCP client, whose write buffer `bytes_sent` reads
     max_value_size = MAX_VALUE
     first_array_index = LOAD_REPORT_PART
 
@@ -59,81 +56,88 @@
         super().__init__()
         self.pools, self.pool = pools, pool
         self.state = ConnectionState.CONNECTING
-        self.in_flight: deque[InFlightAttempt] = deque()  # in order; ended already where nobody waits
-        self.deadline: Deadline | None = None  # for connecting, being idle, or an abandoned answer
+        self.in_flight: deque[InFlightAttempt] = (
+            deque()
+        )  # in the order sent; abandoned ones have ended already
+        self.deadline: Deadline | None = (
+            None  # of connecting, of being idle, or of an abandoned attempt's answer
+        )
         self.attempts_sent = 0
         self.answers = 0
-        self.reading = False  # more may lie behind the answer just read
-        self.last_value = (0, 0)  # the hash of the value that came last, or a long one's size; and when
-        self.busy_at = -DUPLICATE_BUSY_WINDOW  # when it last rejected an attempt
-        self.relay: ResponseStream | None = None  # the long value that is being forwarded
-        self.bytes_written = 0  # to the transport, for attempts
+        self.reading = False  # more bytes may follow the answer just read
+        self.last_value = (
+            0,
+            0,
+        )  # the last value's hash (of a long value, its size), and when it was received
+        self.busy_at = -DUPLICATE_BUSY_WINDOW  # when the server last rejected an attempt on this connection
+        self.relay: ResponseStream | None = None  # the long value being forwarded
+        self.bytes_written = 0  # to the transport for attempts
         self.slot = pools.connections.add(self)
 
     # State.
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection is established, even if it is about to close."""
+        """Whether the connection is established, even if it is closing."""
         return self.state not in (ConnectionState.CONNECTING, ConnectionState.CLOSED)
 
     @property
     def accepts_attempts(self) -> bool:
-        """Whether it is established and not closing."""
+        """Whether the connection is established and not closing."""
         return self.state is ConnectionState.IDLE or self.state is ConnectionState.BUSY
 
     @property
     def has_abandoned_attempts(self) -> bool:
-        """Whether an answer is due that nobody waits for, or that is being forwarded already."""
-        for in_flight in self.in_flight:  # asked for each answer: a loop, not a generator
+        """Whether an attempt in flight has ended: abandoned, or its long value is being forwarded."""
+        for in_flight in self.in_flight:  # evaluated for each answer: a loop is faster than a generator
             if in_flight.has_ended:
                 return True
         return False
 
     @property
     def only_abandoned_attempts(self) -> bool:
-        """Whether nobody waits for any of the answers that are due."""
+        """Whether all attempts in flight have ended, so that no answer is needed."""
         return all(in_flight.has_ended for in_flight in self.in_flight)
 
     @property
     def was_kept_alive(self) -> bool:
-        """Whether its end tells nothing of the server: it has served before, and is the first to end so."""
+        """Whether its loss is no evidence of a fault: it has served before and is the first one lost."""
         return self.pool.consecutive_losses == 1 and self.answers > 0
 
     def mark_idle(self) -> None:
-        """Note that the pool keeps it for the next attempt; one that is closing stays so."""
+        """Record that the pool has queued the connection as idle; a closing one stays closing."""
         if self.state is ConnectionState.BUSY:
             self.state = ConnectionState.IDLE
 
     def mark_busy(self) -> None:
-        """Note that the pool has taken it from the idle ones; one that is closing stays so."""
+        """Record that the pool has taken the connection from the idle ones; a closing one stays closing."""
         if self.state is ConnectionState.IDLE:
             self.state = ConnectionState.BUSY
 
     def mark_stopping(self) -> None:
-        """Note, for the log, that the process ends it; one that is being opened stays in that state."""
+        """Record, for the log, that the process stops; a connection being opened keeps its state."""
         self.code = self.code or "stopping"
         if self.state is not ConnectionState.CONNECTING:
             self.state = ConnectionState.CLOSING
 
     def close(self, code: str) -> None:
-        """Close it once what was written has been sent."""
+        """Close the connection after all written bytes were sent."""
         super().close(code)
         self.state = ConnectionState.CLOSING
 
     def abort(self, code: str) -> None:
-        """Abort it at once; a long value that is being forwarded breaks off."""
+        """Abort the connection at once; a long value that is being forwarded is cut short."""
         super().abort(code)
         self.state = ConnectionState.CLOSING
         self._break_relay()
 
     def cancel_deadline(self) -> None:
-        """Cancel its present timeout, if there is one."""
+        """Cancel the current timeout of the connection, if there is one."""
         if self.deadline is not None:
             self.deadline.cancel()
 
     def can_pipeline(self, max_in_flight: int) -> bool:
-        """Whether one more attempt can go behind those on it, none of which has been abandoned."""
+        """Return whether it can take another attempt: none in flight is abandoned or partly unsent."""
         if not self.accepts_attempts or self.reading or len(self.in_flight) >= max_in_flight:
             return False
         return not any(other.has_ended or other.has_unsent_bytes() for other in self.in_flight)
@@ -141,10 +145,12 @@
     # Writing.
 
     def send_attempt(self, in_flight: InFlightAttempt) -> None:
-        """Write an attempt behind those on it, with the time that is left for it."""
+        """Write an attempt after those in flight, with the time that remains until its timeout."""
         in_flight.connection = self
         attempt, frame = in_flight.attempt, in_flight.frame
-        attempt.first_on_connection = not self.attempts_sent  # a -BUSY then is of the server's table
+        attempt.first_on_connection = (
+            not self.attempts_sent
+        )  # its -BUSY means that the server's connection table is full
         self.in_flight.append(in_flight)
         self.attempts_sent += 1
         timeout_ms = max(1, (attempt.timeout_at - self.pools.now()) // MICROSECONDS_PER_MILLISECOND)
@@ -159,13 +165,13 @@
         in_flight.end_position = self.bytes_written
 
     def send(self, parts: list[bytes]) -> None:
-        """Write at once, not in the reactor's next turn: what is decided there may end the attempt."""
+        """Write at once; in the reactor's next turn another event may end the attempt before it is sent."""
         self.bytes_written += sum(map(len, parts))
         self.transport.writeSequence(parts)
         self.transport.doWrite()
 
     def bytes_sent(self) -> int:
-        """Return how many of the bytes written for attempts were handed to the kernel."""
+        """Return how many of the bytes written for attempts have reached the kernel."""
         transport = self.transport
         buffered = len(transport.dataBuffer) - transport.offset + transport._tempDataLen
         return self.bytes_written - buffered
@@ -189,16 +195,16 @@
         self.pools.connection_lost(self, self.end_code(reason, OTHER_SIDE))
 
     def stream_started(self, size: int) -> Callable[[bytes], None] | None:
-        """Take the start of a long value; return what takes its pieces, None where the connection fails."""
+        """Begin a long value and return the receiver of its pieces; None if the connection was aborted."""
         if self.open_arrays != [([], ANSWER_PARTS)]:
             self.fail_protocol("too long")
             return None
         return self._begin_relay(size)
 
     def element_received(self, element: Any) -> None:
-        """Take a part of an answer.
+        """Handle a part of an answer.
 
-        A load report that never comes whole must not keep the end of a long value from the client.
+        A long value is completed before its load report, which may never arrive completely.
         """
         super().element_received(element)
         report_is_next = bool(self.open_arrays) and len(self.open_arrays[0].elements) == LOAD_REPORT_PART
@@ -206,14 +212,14 @@
             self.relay.complete()
 
     def fail_protocol(self, why: str) -> None:
-        """Fail the connection, but use a value that came whole: only its load report is bad."""
+        """Abort the connection, but use a complete value if only its load report is malformed."""
         report_is_next = bool(self.open_arrays) and len(self.open_arrays[0].elements) == LOAD_REPORT_PART
         if self.in_flight and report_is_next and self._value_is_complete():
             self.value_received([*self.open_arrays[0].elements, None])
         self.fail(why)
 
     def value_received(self, value: Any) -> None:
-        """Take an answer: the oldest attempt has its outcome."""
+        """End the oldest attempt in flight with the outcome of an answer."""
         if not self.in_flight:
             self.abort("strange: an answer to nothing")
             return
@@ -228,14 +234,14 @@
                 self.fail("a second copy")
                 return
         elif outcome in (Outcome.ERROR, Outcome.INVALID_REQUEST) and value != EXPECTED_ERROR:
-            logger.warning("server {}: unexpected answer {!r:.80}", self.pool.name, value)
+            logger.warning("server {} sent an unexpected answer: {!r:.80}", self.pool.name, value)
         self._finish_oldest(outcome, value)
 
     def fail(self, why: str) -> None:
-        """Abort the connection after something that is no answer.
+        """Abort the connection after an invalid answer.
 
-        The attempt it came for has failed and may have run.  Those behind it get no answer any more; that is
-        held against the server once, not once for each.
+        The oldest attempt gets the outcome ERROR, since it may have been executed.  Those behind it are
+        cancelled, so that one invalid answer counts as one failure of the server.
         """
         self.abort(f"strange: {why}")
         self.pools.finish_all(self, Outcome.ERROR)
@@ -243,19 +249,19 @@
     # Answers.
 
     def _value_is_complete(self) -> bool:
-        """Whether the answer being read has all but its load report, and is one with a value."""
+        """Return whether the answer being read has a value and lacks only its load report."""
         return outcome_of_response([*self.open_arrays[0].elements, None]) is Outcome.SUCCEEDED
 
     def _is_duplicate(self, fingerprint: int) -> bool:
-        """Note a value; return whether it is a duplicate of the one before, which crossed this attempt."""
+        """Record a value; return whether it duplicates the previous one, sent before this attempt arrived."""
         now = self.pools.now()
         (last_fingerprint, last_at), self.last_value = self.last_value, (fingerprint, now)
         return last_fingerprint == fingerprint and now - last_at < DUPLICATE_VALUE_WINDOW
 
     def _may_be_duplicate_busy(self, in_flight: InFlightAttempt) -> bool:
-        """Note a -BUSY; return whether it proves nothing of the attempt that it came for.
+        """Record a -BUSY; return whether the attempt may have been executed in spite of it.
 
-        It may be a duplicate of the one before: a duplicate can't be recognized.
+        This -BUSY may be a duplicate of the previous one, which can't be recognized as such.
         """
         last_at, self.busy_at = self.busy_at, self.pools.now()
         is_close = self.busy_at - last_at < DUPLICATE_BUSY_WINDOW
@@ -274,15 +280,15 @@
             in_flight.load_report, in_flight.cache_hit = value[2], value[1] in ("hit", b"hit")
         if not in_flight.has_ended:
             if is_early and outcome in VALUE_OUTCOMES:
-                outcome = Outcome.ERROR  # it answers what it has not seen whole
+                outcome = Outcome.ERROR  # the server answered before it received the whole attempt
             self.pools.finish(in_flight, outcome, value[0] if outcome is Outcome.SUCCEEDED else None)
         if is_early:
             self.abort("early: an answer to half a write")
 
     def _finish_reading(self) -> None:
-        """All that came has been read: only now may it carry the next attempt.
+        """Make the connection available again after all received bytes were read.
 
-        Surplus bytes would be taken for the next attempt's answer.
+        A connection with surplus bytes is aborted, as they would be read as the next attempt's answer.
         """
         if self.in_flight:
             return
@@ -294,7 +300,7 @@
     # Long values.
 
     def _begin_relay(self, size: int) -> Callable[[bytes], None] | None:
-        """Take the start of a long value: it satisfies its request, whose client gets it as it comes."""
+        """Begin to forward a long value to its client; the attempt has succeeded."""
         if not self.in_flight:
             self.abort("strange: an answer to nothing")
             return None
@@ -324,32 +330,32 @@
         if relay is not None:
             relay.fail()
 
-    def _check_stalled(self, relay: ResponseStream, passed_before: int) -> None:
-        """Drop a server that says nothing more in the middle of a long value.
+    def _check_stalled(self, relay: ResponseStream, previously_received: int) -> None:
+        """Abort the connection if the server has sent no byte of a long value since the previous check.
 
-        A client that takes nothing is its own connection's matter.
+        While the connection is paused for a slow client, that client's connection has its own timeout.
         """
         if self.relay is not relay or relay.ended:
             return
-        if passed_before == relay.received_bytes and not self.paused:
+        if previously_received == relay.received_bytes and not self.paused:
             self.abort("stalled")
             return
         check_at = self.pools.now() + self.STALL_TIMEOUT
         self.pools.deadlines.call_at(check_at, self._check_stalled, relay, relay.received_bytes)
 
     def relay_abandoned(self) -> None:
-        """Drop the connection if the client of a long value has gone and too much of it is still to come."""
+        """Abort the connection if a long value's client has disconnected and too many bytes remain."""
         bytes_left = self.relay.size - self.relay.received_bytes if self.relay else 0
         if bytes_left > self.pools.MAX_DISCARDED_BYTES and self.only_abandoned_attempts:
             self.abort("called-off")
 
 
 def _discard(piece: bytes) -> None:
-    """Take a piece of a long value that nobody wants."""
+    """Discard a piece of an abandoned long value."""
 
 
 class ConnectionFactory(ClientFactory):
-    """Makes the one connection that a connector was asked for."""
+    """Returns the connection that was created for its connector."""
 
     noisy = False
 
--- a/ivystack/net/server_pool.py
+++ b/ivystack/net/server_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one server, the attempts that wait for one, and what is set for both."""
+"""The pool of connections to one server, with the attempts that wait for one, and the pools' settings."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """What a configuration tells of connections to servers; times are microseconds."""
+    """The settings for connections to servers; times in microseconds."""
 
-    idle_timeout: int  # after which servers close an idle connection
+    idle_timeout: int  # of the servers: they close a connection that has been idle for this time
     connect_timeout: int
-    max_in_flight: int  # attempts on a connection at once; with 1, to abandon an attempt is to close
-    cache_aside: bool = False  # servers tell that they lack a value, and fetch none themselves
+    max_in_flight: int  # attempts on one connection; with 1, abandoning an attempt closes the connection
+    cache_aside: bool = False  # servers report a cache miss instead of fetching the value from the origin
 
 
 class ServerPool:
-    """A server's address and what is open or waiting there."""
+    """A server's address, its connections, and the attempts that wait for a connection."""
 
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.name, self.address = name, address
-        self.is_ready = True  # as listed
-        self.consecutive_losses = 0  # connections in a row that ended with attempts in flight
-        # The one used longest ago is used next: a server's close that crosses an attempt mostly comes right
-        # after an answer, and all stay in use.
+        self.is_ready = True  # according to the endpoint list
+        self.consecutive_losses = 0  # connections lost in a row with attempts in flight
+        # The connection that has been idle longest is used first.  A server's close that crosses an attempt
+        # mostly follows an answer at once, and this order keeps all connections in use.
         self.idle: deque[ServerConnection] = deque()
         self.waiting: deque[InFlightAttempt] = deque()
         self.connections: dict[ServerConnection, None] = {}  # in every state, oldest first
-        # Those being opened; None while the reactor's call for the connector has not returned.
+        # Connections being opened; None while the reactor's call for the connector has not returned.
         self.connecting: dict[ServerConnection, IConnector | None] = {}
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -1,4 +1,4 @@
-"""All connections to cache servers: reuse, opening, limits, and the outcome of each attempt."""
+"""The connections to all cache servers: opening, reuse and limits, and the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .streams import MIN_WINDOW, ResponseStream
 from .trace import trace
 
-WINDOWS_PER_RELAY = 3  # a server connection's piece, the client's, and what lies between them
+WINDOWS_PER_RELAY = 3  # buffers of one: the server connection's, the client connection's and one between
 CONNECT_TIMEOUT_CODE = "connect-timeout"
 NO_DESCRIPTOR_CODE = "no-descriptor"
 
@@ -27,19 +27,19 @@
 
 
 class ServerPools:
-    """The pools of all servers, within one limit of sockets.
+    """The connection pools of all servers, which share one limit of sockets.
 
-    Each attempt given to `send` gets exactly one outcome, told to `on_outcome` and never from within `send`.
-    An attempt whose bytes were handed to an open connection is never reported as not sent.
+    Each attempt passed to `send` gets exactly one outcome, by a call of `on_outcome` after `send` returned.
+    An attempt whose bytes were written to an open connection never gets the outcome NOT_SENT.
     """
 
     # Several times the usual concurrency, and a small part of a server's connection table.
     MAX_CONNECTIONS_PER_SERVER = 16
-    SOCKETS_PER_CONNECTION = 3  # of the process's sockets, one in so many is for servers
-    IDLE_TIMEOUT_FRACTION = 0.8  # we close before the server does: its close may cross an attempt
-    PIPELINE_FROM = 6  # connections to a server, from which on an attempt goes behind others
-    MAX_DISCARDED_BYTES = 262_144  # of an unwanted answer: reading them is cheaper than a new connection
-    ABANDONED_TIMEOUT = 1_000_000  # microseconds: most late answers come by then, a hung server's never
+    SOCKETS_PER_CONNECTION = 3  # one third of the process's sockets may be connections to servers
+    IDLE_TIMEOUT_FRACTION = 0.8  # closes before the server does, whose close could cross an attempt
+    PIPELINE_FROM = 6  # connections to a server before attempts are pipelined
+    MAX_DISCARDED_BYTES = 262_144  # of an abandoned answer: reading them is cheaper than a new connection
+    ABANDONED_TIMEOUT = 1_000_000  # microseconds, enough for most late answers; a hung server sends none
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         on_outcome: OutcomeCallback,
         is_wanted: Callable[[Request], bool],
     ) -> None:
-        """Start without a pool; `sockets` and `relay_memory` (bytes) as for `set_limits`.
+        """Create no pools yet; `sockets` and `relay_memory` (bytes) are those of `set_limits`.
 
-        :param is_wanted: whether a request's client is still there.
+        :param is_wanted: returns whether a request's client is still connected.
         """
         self.reactor, self.deadlines, self.now = reactor, deadlines, now
         self.on_outcome, self.is_wanted = on_outcome, is_wanted
@@ -66,30 +66,30 @@
         self.set_limits(sockets, relay_memory)
 
     def configure(self, settings: PoolSettings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         self.idle_timeout = int(settings.idle_timeout * self.IDLE_TIMEOUT_FRACTION)
         self.connect_timeout = settings.connect_timeout
         self.max_in_flight = settings.max_in_flight
         self.cache_aside = settings.cache_aside
 
     def set_limits(self, sockets: int, relay_memory: int) -> None:
-        """Limit the sockets of the whole process, and the bytes of long values that wait to be forwarded."""
+        """Set the process's sockets, and the bytes of memory for long values that are being forwarded."""
         self.max_connections, self.relay_memory = sockets // self.SOCKETS_PER_CONNECTION, relay_memory
         excess = max(0, len(self.connections) - self.max_connections)
         self._close_idle([*islice(self.idle_connections, excess)], "no-room")
 
     def relay_window(self) -> int:
-        """Return how many bytes at a time one more long value may be read."""
+        """Return the buffer size in bytes for one more long value."""
         share = self.relay_memory // (WINDOWS_PER_RELAY * (len(self.relays) + 1))
         return max(MIN_WINDOW, min(MAX_BUFFERED_VALUE, share))
 
     # The endpoint list.
 
     def update_address(self, name: str, address: tuple[str, int], restarted: bool) -> None:
-        """Note where a server is.  At a new address, or once restarted, it has a new process.
+        """Set a server's address, and whether the server has restarted.
 
-        What is open leads to the old one: idle connections are closed, and attempts that wait for one are
-        decided anew.
+        Open connections lead to the process at the old address or before the restart.  So idle ones are
+        closed, and attempts that wait for a connection end with NOT_SENT and are decided again.
         """
         pool = self.pools.get(name)
         if pool is None:
@@ -100,9 +100,9 @@
             self._return_waiting_attempts(pool)
 
     def set_ready(self, name: str, is_ready: bool) -> None:
-        """Note whether a server takes new attempts; one that does not keeps no idle connection.
+        """Set whether a server accepts new attempts; if not, close its idle connections.
 
-        A draining server's grace period is short, and some wait for their connections to end.
+        A draining server has a short grace period, and some wait until their connections are closed.
         """
         pool = self.pools.get(name)
         if pool is None:
@@ -113,7 +113,7 @@
             self._return_waiting_attempts(pool)
 
     def forget_unlisted(self, listed: Container[str]) -> None:
-        """Drop the pools of servers that are not listed any more and have nothing open or waiting."""
+        """Remove pools of unlisted servers that have neither connections nor waiting attempts."""
         for pool in [*self.pools.values()]:
             if pool.name not in listed and not pool.connections and not pool.waiting:
                 del self.pools[pool.name]
@@ -124,11 +124,11 @@
             self.close_idle(self.pools[name], "released")
 
     def close_idle(self, pool: ServerPool, code: str) -> None:
-        """Close a pool's idle connections with an end code."""
+        """Close a pool's idle connections; `code` is logged as the reason."""
         self._close_idle([*pool.idle], code)
 
     def mark_stopping(self) -> None:
-        """Note, for the log, that the process ends all connections from now on."""
+        """Record, for the log, that all connections end because the process stops."""
         for connection in self.connections.values():
             connection.mark_stopping()
 
@@ -144,7 +144,7 @@
     # Sending attempts.
 
     def send(self, in_flight: InFlightAttempt, server: str, timeout_at: int) -> None:
-        """Send an attempt on a connection to the server, or have it wait for one."""
+        """Send an attempt on a connection to the server, or queue it until there is one."""
         pool = in_flight.pool = self.pools[server]
         in_flight.deadlines.append(self.deadlines.call_at(timeout_at, self._time_out, in_flight))
         connection = self._idle_connection(pool) or self._pipelined_connection(pool, in_flight, timeout_at)
@@ -157,7 +157,7 @@
         self._open_connection(pool)
 
     def _idle_connection(self, pool: ServerPool) -> ServerConnection | None:
-        """Take a pool's connection that has been idle longest; those that are closing are passed over."""
+        """Take the connection of a pool that has been idle longest, and skip those that are closing."""
         while pool.idle:
             connection = pool.idle[0]
             self._take_from_idle(connection)
@@ -168,23 +168,24 @@
     def _pipelined_connection(
         self, pool: ServerPool, in_flight: InFlightAttempt, timeout_at: int
     ) -> ServerConnection | None:
-        """Return a connection on which the attempt can go behind others, if it should rather than wait.
+        """Return a connection on which to pipeline the attempt; None if it has to wait for another.
 
-        One that must be sent in time goes behind nothing: what holds back those before it would hold it
-        back too, in our socket or in the server's, past the time at which it may still begin.
+        An attempt with an early `send_by` is never pipelined: whatever delays the attempts before it would
+        delay it too, in our socket or the server's, so that it could begin too late.
         """
-        fair_share = max(2, self.max_connections // len(self.pools))  # all servers' shall fit our limit
+        fair_share = max(2, self.max_connections // len(self.pools))  # so that every server gets connections
         if len(pool.connections) < min(self.PIPELINE_FROM, fair_share) or self.max_in_flight <= 1:
             return None
         if in_flight.attempt.send_by <= timeout_at + self.ABANDONED_TIMEOUT:
             return None
-        candidates = [one for one in pool.connections if one.can_pipeline(self.max_in_flight)]
+        candidates = [other for other in pool.connections if other.can_pipeline(self.max_in_flight)]
         return min(candidates, key=lambda connection: len(connection.in_flight), default=None)
 
     def _open_connection(self, pool: ServerPool) -> None:
-        """Open a connection where attempts wait for more than are being opened, within the limits.
+        """Open a connection if more attempts wait than connections are being opened, within the limits.
 
-        At the limit of all, the connection that is idle longest is closed instead: its end opens one here.
+        At the limit for all servers, close the connection that has been idle longest instead; once that is
+        closed, one is opened for this pool.
         """
         is_enough = len(pool.connecting) >= len(pool.waiting)
         if is_enough or len(pool.connections) >= self.MAX_CONNECTIONS_PER_SERVER:
@@ -198,24 +199,24 @@
         give_up_at = self.now() + self.connect_timeout
         connection.deadline = self.deadlines.call_at(give_up_at, self._connect_timed_out, connection)
         connector = self.reactor.connectTCP(*pool.address, ConnectionFactory(connection), timeout=None)
-        if connection in pool.connecting:  # it may have failed within the call
+        if connection in pool.connecting:  # the connection may have failed within the call
             pool.connecting[connection] = connector
 
     # Ending attempts.
 
     def cancel(self, in_flight: InFlightAttempt) -> None:
-        """Abandon an attempt whose answer is not needed any more."""
+        """Cancel an attempt whose answer is no longer needed."""
         self._abandon(in_flight, Outcome.CANCELLED)
 
     def restart_timeout(self, in_flight: InFlightAttempt, timeout_at: int) -> None:
-        """Give an attempt a new timeout: the last byte of its long write has gone out only now."""
+        """Restart the timeout of an attempt after the last byte of its long write was sent."""
         in_flight.cancel_deadlines()
         in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._time_out, in_flight)]
 
     def finish(
         self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None = None
     ) -> None:
-        """Give an attempt its outcome, once; whatever comes later is ignored."""
+        """End an attempt with an outcome; ignore any later one."""
         if in_flight.has_ended:
             return
         in_flight.has_ended = True
@@ -232,7 +233,7 @@
         self.on_outcome(in_flight, outcome, value)
 
     def finish_all(self, connection: ServerConnection, outcome: Outcome) -> None:
-        """Give the oldest attempt on a connection its outcome; those behind it are cancelled."""
+        """End the oldest attempt on a connection with an outcome, and cancel those behind it."""
         for in_flight in [*connection.in_flight]:
             if not in_flight.has_ended:
                 self.finish(in_flight, outcome)
@@ -248,21 +249,21 @@
             self.finish(in_flight, Outcome.NOT_SENT)
         elif in_flight.pool.connecting:
             self.finish(in_flight, Outcome.CONNECTION_REFUSED)
-        else:  # counts as overload of the server, although our own limit caused it
+        else:  # reported as overload of the server, although our own limit of connections is the cause
             self.finish(in_flight, Outcome.OVERLOADED)
 
     def _abandon(self, in_flight: InFlightAttempt, outcome: Outcome) -> None:
-        """End an attempt that nobody waits for any more.
+        """End an attempt whose answer is no longer needed.
 
-        Where several may be on a connection, the answer may come a little longer, to be thrown away: a new
-        connection costs the server more work than that, and the next request its time.
+        If connections may carry several attempts, the connection stays open up to `ABANDONED_TIMEOUT` to read
+        and discard the answer: a new connection would cost the server more, and delay the next request.
         """
         if in_flight.has_ended:
             return
         is_cancelled = outcome is Outcome.CANCELLED
         connection, code = in_flight.connection, "called-off" if is_cancelled else "out-of-time"
         if connection is None or in_flight.has_unsent_bytes():
-            # CONNECTION_REFUSED, although it timed out: that outcome proves that nothing ran.
+            # CONNECTION_REFUSED, although the attempt timed out, because it proves that nothing was executed.
             self.finish(in_flight, Outcome.NOT_SENT if is_cancelled else Outcome.CONNECTION_REFUSED)
             if connection is not None:
                 connection.abort(code)
@@ -270,8 +271,8 @@
         others = [other for other in connection.in_flight if other is not in_flight]
         if self.max_in_flight <= 1 and all(other.has_ended for other in others):
             connection.abort(code)
-        elif not any(other.has_ended for other in others):  # else the timeout runs already
-            # Also where a connection takes one at a time by now, for those that are on it from before.
+        elif not any(other.has_ended for other in others):  # else the timeout is already running
+            # `max_in_flight` may be 1 here: attempts sent before a reload lowered it are still on it.
             self._await_abandoned(connection, code)
         self.finish(in_flight, outcome)
 
@@ -280,9 +281,9 @@
         connection.deadline = self.deadlines.call_at(timeout_at, self._abandoned_timed_out, connection, code)
 
     def _abandoned_timed_out(self, connection: ServerConnection, code: str) -> None:
-        """Drop a connection that owes only unwanted answers, and the server's idle ones with it.
+        """Abort a connection on which only abandoned attempts are left, and close the server's idle ones.
 
-        Where one connection says nothing more, the idle ones are no better.
+        If the server is silent on one connection, its idle connections are suspect too.
         """
         if connection.relay is None and connection.only_abandoned_attempts:
             self.close_idle(connection.pool, "suspect")
@@ -293,22 +294,22 @@
     # Events of connections.
 
     def connection_made(self, connection: ServerConnection) -> None:
-        """Use a connection that has been established."""
+        """Put an established connection to use."""
         connection.pool.connecting.pop(connection, None)
         connection.cancel_deadline()
         self.reuse(connection)
 
     def reuse(self, connection: ServerConnection) -> None:
-        """Send the next attempt that waits on a connection that carries none, or keep it idle."""
+        """Send the next waiting attempt on a connection that carries none, or keep the connection idle."""
         pool = connection.pool
-        while pool.waiting and not connection.in_flight:  # an outcome may have led to an attempt on it
+        while pool.waiting and not connection.in_flight:  # `finish` may have sent another attempt on it
             in_flight = pool.waiting[0]
             if not self.is_wanted(in_flight.attempt.request):
-                self.finish(in_flight, Outcome.NOT_SENT)  # its client has gone
+                self.finish(in_flight, Outcome.NOT_SENT)  # its client has disconnected
             elif self.now() < in_flight.attempt.send_by:
                 connection.send_attempt(pool.waiting.popleft())
                 return
-            else:  # the connection came too late for its window, not for its timeout
+            else:  # too late to be sent safely, although its timeout has not expired
                 self.finish(pool.waiting[0], Outcome.NOT_SENT)
         if connection.in_flight:
             return
@@ -322,7 +323,7 @@
         connection.deadline = self.deadlines.call_at(idle_until, self._idle_timed_out, connection)
 
     def connection_lost(self, connection: ServerConnection, code: str) -> None:
-        """Note the end of a connection, or of the attempt to open it, with its end code."""
+        """Handle the end of a connection, or a failure to open it; `code` is the reason."""
         pool = connection.pool
         self._take_from_idle(connection)
         self.relays.pop(connection, None)
@@ -332,7 +333,7 @@
         connection.state = ConnectionState.CLOSED
         self.connections.remove(connection.slot)
         logger.info(
-            "end server={} connection={} attempts={} code={}",
+            "server connection closed server={} connection={} attempts={} code={}",
             pool.name,
             connection.slot,
             connection.attempts_sent,
@@ -340,30 +341,33 @@
         )
         if not connection.only_abandoned_attempts:
             self._finish_lost(connection)
-        if connect_failed and code != CONNECT_TIMEOUT_CODE and pool.waiting:  # attempts time out themselves
-            # Counts as overload of the server, although this process lacks the descriptor.
+        if (
+            connect_failed and code != CONNECT_TIMEOUT_CODE and pool.waiting
+        ):  # waiting attempts have their own timeouts
+            # Without a free descriptor in this process, the server is reported as overloaded.
             lacks_descriptor = code == NO_DESCRIPTOR_CODE
             self.finish(
                 pool.waiting[0], Outcome.OVERLOADED if lacks_descriptor else Outcome.CONNECTION_REFUSED
             )
-        for starved in [pool] if pool.waiting else self._starved_pools():
-            self._open_connection(starved)
+        for waiting_pool in [pool] if pool.waiting else self._pools_at_limit():
+            self._open_connection(waiting_pool)
 
     def _finish_lost(self, connection: ServerConnection) -> None:
-        """Give the attempts on a lost connection their outcomes.
+        """End the attempts on a lost connection.
 
-        The end of a connection that was kept tells nothing of the server, but what was sent may have run.
+        The loss of a connection that was kept alive is no evidence of a fault of the server, but attempts
+        that were sent may have been executed.
         """
         connection.pool.consecutive_losses += 1
         for in_flight in [*connection.in_flight]:
-            if in_flight.has_unsent_bytes():  # both outcomes prove that nothing ran
-                kept = connection.was_kept_alive
-                self.finish(in_flight, Outcome.NOT_SENT if kept else Outcome.CONNECTION_REFUSED)
-        kept = connection.was_kept_alive
-        self.finish_all(connection, Outcome.CANCELLED if kept else Outcome.CONNECTION_LOST)
+            if in_flight.has_unsent_bytes():  # both outcomes prove that nothing was executed
+                kept_alive = connection.was_kept_alive
+                self.finish(in_flight, Outcome.NOT_SENT if kept_alive else Outcome.CONNECTION_REFUSED)
+        kept_alive = connection.was_kept_alive
+        self.finish_all(connection, Outcome.CANCELLED if kept_alive else Outcome.CONNECTION_LOST)
 
     def _take_from_idle(self, connection: ServerConnection) -> None:
-        """Take a connection from the idle ones, if it is one, and cancel its timeout."""
+        """Remove a connection from the idle ones if it is idle, and cancel its timeout."""
         if connection in self.idle_connections:
             del self.idle_connections[connection]
             connection.pool.idle.remove(connection)
@@ -379,8 +383,8 @@
         if connector is not None:
             connector.stopConnecting()  # type: ignore[misc]  # the interface's methods have no self
 
-    def _starved_pools(self) -> list[ServerPool]:
-        """Return the pools with attempts that the limit of all connections kept from a connection."""
+    def _pools_at_limit(self) -> list[ServerPool]:
+        """Return the pools whose attempts wait because of the limit on all connections; empty below it."""
         if len(self.connections) + 1 < self.max_connections:
             return []
         return [pool for pool in self.pools.values() if pool.waiting]
--- a/ivystack/net/slot_table.py
+++ b/ivystack/net/slot_table.py
@@ -1,6 +1,6 @@
-"""A table whose keys are the smallest numbers that are free, so that they stay short in log lines.
+"""A table that numbers its values with the smallest free numbers, so that log lines stay short.
 
-A slot is here the number of a value, such as a connection, not a server's place in the placement of keys.
+Here a slot is the number of a value, such as a connection; it is not a server's slot in the slot order.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 
 
 class SlotTable(dict[int, T], Generic[T]):
-    """Values by slot number, from 0 up; a new value gets the lowest number that is free.
+    """Values by slot number, from 0 up; a new value gets the lowest free number.
 
-    Add and remove values by `add` and `remove` alone: the free numbers are kept beside the table.
+    Values must be added and removed by `add` and `remove`, which keep track of the free numbers.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._free: list[int] = []  # a heap
+        self._free: list[int] = []  # a heap of the free numbers below the highest one used
 
     def add(self, value: T) -> int:
-        """Keep the value and return its slot number."""
+        """Add a value and return its slot number."""
         number = heapq.heappop(self._free) if self._free else len(self)
         self[number] = value
         return number
 
     def remove(self, number: int) -> None:
-        """Free a slot; raises KeyError for one that is not taken."""
+        """Free a slot; raise KeyError if it is not in use."""
         del self[number]
         heapq.heappush(self._free, number)
