--- a/ivystack/net/endpoint_list.py
+++ b/ivystack/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it: its entries are parsed and applied to the balancer and pools."""
+"""Parses the entries of the endpoint list from discovery and applies them to the balancer and pools."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from .server_pools import ServerPools
 
 LIFECYCLES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
-MAX_UNUSABLE_REMEMBERED = 64  # entries
+MAX_REMEMBERED_FAULTS = 64  # invalid entries
 MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class EndpointList:
-    """Applies updates of the endpoint list; an entry that can't be used keeps no other from being applied."""
+    """Applies updates of the endpoint list; an invalid entry is skipped and the others are applied."""
 
     def __init__(
         self,
@@ -33,43 +33,45 @@
     ) -> None:
         self.settings, self.balancer, self.now = settings, settings.balancer, now
         self.server_pools, self.request_handler = server_pools, request_handler
-        # Hashes of entries that could not be used and were logged.
-        self.unusable_entries: deque[int] = deque(maxlen=MAX_UNUSABLE_REMEMBERED)
+        # Hashes of the invalid entries that were logged last.
+        self.invalid_entries: deque[int] = deque(maxlen=MAX_REMEMBERED_FAULTS)
 
     def update(self, entries: list[dict], is_complete: bool) -> UpdateResult:
         """Apply an update.
 
-        :param is_complete: whether servers that are not among the entries have gone.
-        :returns: whether all entries could be used, and whether one that could not is new.
+        :param is_complete: whether servers without an entry are removed.
+        :returns: whether all entries were valid, and whether an invalid one was not seen before.
         """
-        servers, all_usable, has_new_faults = [], True, False
-        with self.request_handler.hold_off():  # attempts ended by the update are decided by all of it
+        servers, all_valid, has_new_faults = [], True, False
+        with (
+            self.request_handler.hold_off()
+        ):  # attempts that the update ends are decided once all of it is applied
             for entry in entries:
                 try:
                     servers.append(self._parse_endpoint(entry))
-                except (ValueError, TypeError, KeyError, AttributeError) as fault:
-                    all_usable = False
-                    has_new_faults |= self._note_unusable(entry, fault)
+                except (ValueError, TypeError, KeyError, AttributeError) as error:
+                    all_valid = False
+                    has_new_faults |= self._log_invalid(entry, error)
             self.balancer.update_endpoints(servers, is_complete, self.now())
             for server in self.balancer.servers.values():
                 self.server_pools.set_ready(server.name, server.state == ServerState.READY)
         self.server_pools.forget_unlisted(self.balancer.servers)
         self.request_handler.run_due()
-        return UpdateResult(all_usable, has_new_faults)
+        return UpdateResult(all_valid, has_new_faults)
 
-    def _note_unusable(self, entry: Any, fault: Exception) -> bool:
-        """Log an entry that can't be used, each once; return whether it is new."""
+    def _log_invalid(self, entry: Any, error: Exception) -> bool:
+        """Log an invalid entry unless it was logged before; return whether it was logged now."""
         digest = hash(repr(entry))
-        if digest in self.unusable_entries:
+        if digest in self.invalid_entries:
             return False
-        self.unusable_entries.append(digest)
-        logger.error("list: an entry that can't be used: {}: {}", type(fault).__name__, fault)
+        self.invalid_entries.append(digest)
+        logger.error("discovery: invalid endpoint entry ignored: {}: {}", type(error).__name__, error)
         return True
 
     def _parse_endpoint(self, entry: dict[str, Any]) -> Server:
-        """Return the server of an entry, and note its address if it is ready.
+        """Return the server of an entry; if it is ready, set its address in the pools.
 
-        :raises ValueError, TypeError, KeyError, AttributeError: if the entry can't be used.
+        :raises ValueError, TypeError, KeyError, AttributeError: if the entry is invalid.
         """
         name, address = entry["instanceId"], entry.get("hostPort")
         machine_type: Any = entry.get("machineType")
@@ -79,13 +81,15 @@
         server = Server(
             name,
             self.settings.kinds.get(machine_type, UNKNOWN_KIND),
-            float(entry.get("weight") or 0),  # null: not stated
+            float(entry.get("weight") or 0),  # null: no weight given
             entry.get("zone") or "",
             entry.get("cell") or 0,
-            LIFECYCLES.get(lifecycle, ServerState.DRAINING),  # an unknown one: nothing new is sent there
+            LIFECYCLES.get(lifecycle, ServerState.DRAINING),  # an unknown lifecycle: no new attempts
             int(entry.get("startedAtMs") or 0) * MICROSECONDS_PER_MILLISECOND,
         )
-        if server.state == ServerState.READY:  # a draining one is not called: its address may be unusable
+        if (
+            server.state == ServerState.READY
+        ):  # a draining server is not called, so its address may be invalid
             known = self.balancer.servers.get(name)
             restarted = known is not None and server.started_at > known.started_at
             self.server_pools.update_address(name, parse_address(address, "hostPort"), restarted)
--- a/ivystack/net/endpoint_watch.py
+++ b/ivystack/net/endpoint_watch.py
@@ -1,6 +1,6 @@
-"""The watch of the endpoint list: a streaming HTTP request to the discovery service, renewed when broken.
+"""Watches the endpoint list by a streaming HTTP request to discovery, which is retried after a failure.
 
-The list itself is kept by who is called with the updates.  All times are whole microseconds.
+Updates are passed to a callback, which stores the list.  All times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class UpdateResult(NamedTuple):
-    """What became of an update's entries."""
+    """The result of applying an update."""
 
-    all_usable: bool
-    has_new_faults: bool  # some could not be used, and were not seen before
+    all_valid: bool
+    has_new_faults: bool  # some invalid entry was not seen before
 
 
 UpdateCallback = Callable[[list[dict], bool], UpdateResult]
@@ -41,14 +41,14 @@
 class WatchState(enum.Enum):
     """The states of the watch."""
 
-    WAITING = "waiting"  # for the time of the next request, or for the first call of `request_watch`
+    WAITING = "waiting"  # until the next request is due, or for the first call of `request_watch`
     REQUESTING = "requesting"
     STREAMING = "streaming"  # the response has begun
     STOPPED = "stopped"
 
 
 class WatchLines(LineReceiver):
-    """A response's body: an object a line, and an empty line every 2 s."""
+    """The body of a response: one JSON object per line, and an empty line every 2 s as a heartbeat."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -70,14 +70,15 @@
 
 
 class EndpointWatch:
-    """Requests the endpoint list's changes from the generation it has, and passes them on.
+    """Requests the changes since the generation it has, and passes them on.
 
-    After an entry that could not be used it requests the whole list: only that shows that all is known.
+    After an invalid entry, the next request is for the complete list, because changes need not repeat the
+    entry.
     """
 
-    SILENCE_TIMEOUT = 5_000_000  # microseconds: two keep-alive lines (2 s each) missed, plus 1 s
-    # Microseconds from the last activity to the next request at the latest: changes must be known within 6 s,
-    # 0.5 s is kept for the answer.
+    SILENCE_TIMEOUT = 5_000_000  # microseconds: two missed heartbeat lines (2 s each) plus 1 s
+    # Microseconds from the last activity to the next request at the latest.  Changes must be known within
+    # 6 s, of which 0.5 s is for the answer.
     UPDATE_WITHIN = 5_500_000
 
     def __init__(
@@ -91,32 +92,32 @@
     ) -> None:
         """Watch the service at `address` once `request_watch` is called.
 
-        :param backoff: says when to request again after a failure.
-        :param on_update: called with an update's entries, and whether they are the whole list.
+        :param backoff: determines the pause before the next request after a failure.
+        :param on_update: called with an update's entries, and whether they are the complete list.
         """
         self.agent = Agent(reactor, connectTimeout=CONNECT_TIMEOUT_SECONDS)
         self.deadlines, self.now, self.backoff, self.address = deadlines, now, backoff, address
         self.on_update = on_update
         self.state = WatchState.WAITING
         self.generation = 0
-        self.is_incomplete = False  # some entry could not be used since the last whole list
+        self.is_incomplete = False  # an entry has been invalid since the last complete list
         self.call: Deferred[IResponse] | None = None  # while requesting
         self.body: WatchLines | None = None  # while streaming
-        self.last_activity_at = now()  # when something was heard last, or requested
+        self.last_activity_at = now()  # when the last line was received, or the last request was sent
         self.silence_timeout: Deadline | None = None
         self.next_request: Deadline | None = None
 
     @property
     def is_streaming(self) -> bool:
-        """Whether the service answers: changes come as they are made."""
+        """Whether a response is being received, so that changes arrive as they are made."""
         return self.state is WatchState.STREAMING
 
     def load_known(self, listing: dict) -> None:
-        """Start from a listing that was kept; raises what `apply_listing` does."""
+        """Start from a known listing; raises the errors of `apply_listing`."""
         self.apply_listing(listing)
 
     def request_watch(self) -> None:
-        """Request the changes since the present generation, unless that is under way or the watch stopped."""
+        """Request the changes since the current generation, unless a request is open or the watch stopped."""
         if self.state is not WatchState.WAITING:
             return
         if self.next_request is not None:
@@ -129,7 +130,7 @@
         call.addCallbacks(self._response_begun, self._request_failed, (call,), errbackArgs=(call,))
 
     def note_activity(self) -> None:
-        """Restart the timeout for silence: of a host that vanished the connection stays open."""
+        """Restart the silence timeout, which detects a host that vanished without closing the connection."""
         if self.silence_timeout is not None:
             self.silence_timeout.cancel()
         self.last_activity_at = self.now()
@@ -137,33 +138,35 @@
         self.silence_timeout = self.deadlines.call_at(timeout_at, self.connection_broke, "silent")
 
     def line_received(self, line: bytes) -> None:
-        """Take a line of the stream; one that can't be read breaks the connection."""
+        """Handle a line of the stream; end the connection if the line is invalid."""
         self.note_activity()
         if not line.strip():
             return
         try:
             has_new_faults = self.apply_listing(orjson.loads(line))
-        except Exception as fault:  # whatever may come: the watch is begun anew
-            logger.error("discovery: a line that can't be used: {}: {}", type(fault).__name__, fault)
+        except Exception as error:  # any error: the watch is requested again
+            logger.error(
+                "discovery: invalid line, the watch is requested again: {}: {}", type(error).__name__, error
+            )
             self.connection_broke("unreadable")
             return
         self.backoff.failures = 0
-        if has_new_faults:  # what was spoilt on its way comes whole with the next request
+        if has_new_faults:  # request again, in case the entry was damaged in transit
             self.connection_broke("unusable-entry")
 
     def apply_listing(self, listing: dict) -> bool:
-        """Pass on an update; return whether something in it could not be used that was not seen before.
+        """Pass on an update; return whether it contains a new invalid entry.
 
-        :raises KeyError, TypeError, ValueError: for a listing of another form.
+        :raises KeyError, TypeError, ValueError: if the listing has the wrong format.
         """
-        generation, is_whole = int(listing["generation"]), bool(listing.get("reset"))
-        all_usable, has_new_faults = self.on_update(listing["instances"], is_whole)
-        self.is_incomplete = not all_usable or (self.is_incomplete and not is_whole)
+        generation, is_complete = int(listing["generation"]), bool(listing.get("reset"))
+        all_valid, has_new_faults = self.on_update(listing["instances"], is_complete)
+        self.is_incomplete = not all_valid or (self.is_incomplete and not is_complete)
         self.generation = generation
         return has_new_faults
 
     def connection_broke(self, code: str) -> None:
-        """End the request or stream, if there is one, and request again after a pause unless stopped."""
+        """End the request or stream, if there is one, and schedule the next request unless stopped."""
         if self.silence_timeout is not None:
             self.silence_timeout.cancel()
         if self.state is not WatchState.STOPPED:
@@ -174,13 +177,13 @@
         body, self.body = self.body, None
         if body is not None and body.transport is not None:
             body.transport.loseConnection()
-        logger.info("end discovery generation={} code={}", self.generation, code)
+        logger.info("discovery watch ended generation={} code={}", self.generation, code)
         if self.state is not WatchState.STOPPED:
             request_at = self.backoff.record_failure(self.now(), self.last_activity_at + self.UPDATE_WITHIN)
             self.next_request = self.deadlines.call_at(request_at, self.request_watch)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Watch the service at another address; its generations go on, so what is known stays known."""
+        """Watch the service at another address; the generations continue, so the known list stays valid."""
         if address == self.address or self.state is WatchState.STOPPED:
             return
         self.address = address
@@ -190,7 +193,7 @@
         self.request_watch()
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """Stop the watch permanently."""
         is_open = self.state in (WatchState.REQUESTING, WatchState.STREAMING)
         self.state = WatchState.STOPPED
         if is_open:
@@ -198,7 +201,7 @@
 
     def _response_begun(self, response: Any, call: Deferred[IResponse]) -> None:
         body, is_current = WatchLines(self), call is self.call
-        if is_current:  # noted first: what has come already is delivered at once
+        if is_current:  # set first, because `deliverBody` delivers received data at once
             self.call, self.body, self.state = None, body, WatchState.STREAMING
         response.deliverBody(body)
         if not is_current:
--- a/ivystack/net/gossip_socket.py
+++ b/ivystack/net/gossip_socket.py
@@ -1,4 +1,4 @@
-"""Gossip between proxies: datagrams on one UDP socket."""
+"""The UDP socket for gossip between proxies."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class GossipSocket(DatagramProtocol):
-    """Sends datagrams to the configured peers and takes theirs; others' and oversized ones are ignored.
+    """Exchanges datagrams with the configured peers; ignores other senders' and oversized datagrams.
 
-    Delivery is best effort: datagrams may be lost, and nothing may depend on one.
+    Delivery is best effort: any datagram may be lost.
     """
 
     noisy = False
@@ -24,27 +24,27 @@
 
     def __init__(self, peers: list[PeerAddress], on_datagram: Callable[[bytes], None]) -> None:
         self.on_datagram = on_datagram
-        self.send_failed = False  # and was logged
+        self.send_failed = False  # a failure has been logged; later ones are not
         self.set_peers(peers)
 
     def set_peers(self, peers: list[PeerAddress]) -> None:
-        """Replace the peers; their numbers are their places in the list."""
+        """Replace the peers; a peer's number is its index in the list."""
         self.peers, self.allowed_senders = peers, set(peers)
 
     def close(self) -> None:
-        """Free the address: in a hot restart the other process takes it."""
+        """Close the socket, so that in a hot restart the other process can bind the address."""
         if self.transport is not None:
             self.transport.stopListening()
 
     def send(self, peer: int, datagram: bytes) -> None:
-        """Send a datagram, cut to `MAX_DATAGRAM_BYTES`, to the peer of that number, if there is one."""
+        """Send a datagram, truncated to `MAX_DATAGRAM_BYTES`, to a peer; ignore an unknown peer number."""
         if self.transport is None or not 0 <= peer < len(self.peers):
             return
         try:
             self.transport.write(datagram[:MAX_DATAGRAM_BYTES], self.peers[peer])
-        except OSError as fault:  # full buffers, a peer's machine away
+        except OSError as error:  # for example, full buffers or an unreachable peer
             if not self.send_failed:
-                logger.warning("gossip: could not send: {}", fault)
+                logger.warning("gossip: sending a datagram failed, later failures are not logged: {}", error)
             self.send_failed = True
 
     def datagramReceived(self, datagram: bytes, addr: tuple[Any, ...]) -> None:  # noqa: N802, D102
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -1,7 +1,8 @@
-"""Hot restart: the inherited listening socket, and the Unix socket on which the old process tells its state.
+"""Hot restart: the inherited listening socket, and the Unix socket on which the old process sends its state.
 
-Two processes are one proxy meanwhile.  The platform holds the listening socket, so it is never shut down
-here.  What the old process tells is not trusted, and whatever is wrong with it, the new one starts without.
+During a hot restart two processes serve as one proxy.  The platform owns the listening socket, so this module
+never shuts it down.  The state of the old process is not trusted: if anything is wrong with it, the new
+process starts without it.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 from .deadlines import Deadline, DeadlineQueue
 from .hot_restart_state import VERSION, ProcessState
 
-MAX_STATE_BYTES = 1 << 20  # some hundred servers are a tenth of it
-MAX_REQUEST_BYTES = 64  # nothing is to be said to the old process
+MAX_STATE_BYTES = 1 << 20  # the state of a few hundred servers takes a tenth of it
+MAX_REQUEST_BYTES = 64  # the old process expects no request
 SOCKET_TAG_BYTES = 4
 CONNECT_TIMEOUT_SECONDS = 1
 SOCKET_MODE = 0o600  # the proxy's own user
@@ -37,22 +38,24 @@
 def adopt_listening_socket(
     reactor: Any, descriptor: int, factory: listener.AcceptingFactory
 ) -> listener.ClientListener:
-    """Accept clients at a listening socket that was inherited as this descriptor, and return the port.
+    """Accept clients on the listening socket inherited as `descriptor`, and return the port.
 
-    :raises OSError: if it is no descriptor or no socket.
-    :raises ValueError: if it is no TCP socket or does not listen.  Each is one line for the log.
+    The messages of both errors are one line, for the log.
+
+    :raises OSError: if `descriptor` is not open or not a socket.
+    :raises ValueError: if the socket is not a TCP socket or does not listen.
     """
     try:
         inherited = socket.socket(fileno=os.dup(descriptor))
-    except OSError as fault:
-        raise OSError(f"`LB_FD`: descriptor {descriptor}: {fault.strerror}") from None
+    except OSError as error:
+        raise OSError(f"`LB_FD`: descriptor {descriptor}: {error.strerror}") from None
     with inherited:
         if inherited.type != socket.SOCK_STREAM or inherited.family not in (socket.AF_INET, socket.AF_INET6):
-            raise ValueError(f"`LB_FD`: descriptor {descriptor} is no TCP socket")
+            raise ValueError(f"`LB_FD`: descriptor {descriptor} is not a TCP socket")
         if not inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise ValueError(f"`LB_FD`: descriptor {descriptor} does not listen")
-        # Both processes accept from it: an accept that finds nothing, as the other was quicker, must not
-        # block.
+        # Both processes accept from this socket.  An accept must not block when the other process has already
+        # taken the connection.
         inherited.setblocking(False)
         port = listener.adopt(reactor, inherited.fileno(), inherited.family, factory)
     os.close(descriptor)
@@ -60,7 +63,7 @@
 
 
 class StateServer(LineReceiver):
-    """The old process's end: tells its state at once, and stays open for as long as both are there."""
+    """The old process's connection: sends the state at once, and stays open until one process ends."""
 
     MAX_LENGTH = MAX_REQUEST_BYTES
     transport: Any
@@ -71,20 +74,20 @@
     def connectionMade(self) -> None:  # noqa: N802, D102
         try:
             self.transport.write(msgspec.json.encode(self.hot_restart.export_state()) + b"\r\n")
-        except Exception:  # the next process starts without, and this one serves on
-            logger.exception("hot restart: the state could not be exported")
+        except Exception:  # the next process starts without the state, and this one continues to serve
+            logger.exception("hot restart: exporting the state for the next process failed")
             self.transport.loseConnection()
         self.hot_restart.connection_opened(self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802, D102
-        self.transport.abortConnection()  # nothing is to be said here
+        self.transport.abortConnection()  # the new process must not send anything
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.hot_restart.connection_closed(self)
 
 
 class StateServerFactory(ServerFactory):
-    """Serves the state to a few processes at once."""
+    """Creates connections that serve the state, up to `HotRestart.MAX_CONNECTIONS` at a time."""
 
     noisy = False
 
@@ -97,7 +100,7 @@
 
 
 class StateClient(LineReceiver):
-    """The new process's end: reads the state, and stays open for as long as both are there."""
+    """The new process's connection: reads the state, and stays open until one process ends."""
 
     MAX_LENGTH = MAX_STATE_BYTES
     transport: Any
@@ -114,13 +117,13 @@
             state = msgspec.json.decode(line, type=ProcessState)
             if state.version != VERSION:
                 raise ValueError(f"version {state.version}")
-        except ValueError as fault:  # msgspec's are: from another version, or not what it should be
-            logger.warning("hot restart: the old process's state can't be used: {}", fault)
+        except ValueError as error:  # another version, or malformed: msgspec's errors are ValueErrors
+            logger.warning("hot restart: starting without the old process's state: {}", error)
             state = None
         self.hot_restart.state_received(state)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802, D102
-        logger.warning("hot restart: the old process's state is too long")
+        logger.warning("hot restart: starting without the old process's state: it is too long")
         self.hot_restart.state_received(None)
         self.transport.abortConnection()
 
@@ -130,7 +133,7 @@
 
 
 class StateClientFactory(ClientFactory):
-    """Connects to one socket that an old process may have left or serves."""
+    """Connects to a socket, which an old process serves or has left behind."""
 
     noisy = False
 
@@ -142,15 +145,15 @@
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: N802, D102
         if reason.check(ConnectError):
-            self.path.unlink(missing_ok=True)  # a process that was killed left it
-        self.hot_restart.ask_next()
+            self.path.unlink(missing_ok=True)  # left behind by a process that was killed
+        self.hot_restart.request_from_next()
 
 
 class HotRestart:
-    """Asks an old process for its state, serves it to the next one, and notes whether another is there."""
+    """Requests the state of an old process, serves it to the next one, and detects whether another runs."""
 
-    STATE_TIMEOUT = 500_000  # microseconds: the old process may hang; the new one must be ready within 6 s
-    MAX_CONNECTIONS = 4  # of other processes, and sockets of old ones that are tried
+    STATE_TIMEOUT = 500_000  # microseconds, as the old process may hang; the new one must be ready within 6 s
+    MAX_CONNECTIONS = 4  # to other processes; also limits the sockets of old processes that are tried
 
     def __init__(
         self,
@@ -162,9 +165,10 @@
         export_state: Callable[[], ProcessState],
         on_other_process: Callable[[bool], None],
     ) -> None:
-        """Keep sockets in `folder` (None: neither ask nor serve), named by the address that clients call.
+        """Use sockets in `folder`, named after the address on which clients are accepted.
 
-        :param on_other_process: called with whether another process is there, when that changes.
+        :param folder: None disables both requesting and serving the state.
+        :param on_other_process: called with whether another process runs, each time this changes.
         """
         self.reactor, self.deadlines, self.now = reactor, deadlines, now
         self.export_state, self.on_other_process = export_state, on_other_process
@@ -172,23 +176,23 @@
         digest = blake2b(repr(listen_address).encode(), digest_size=SOCKET_TAG_BYTES)
         self.tag = "ivystack-" + digest.hexdigest()
         self.connections: dict[LineReceiver, None] = {}  # to other processes
-        self.untried: list[Path] = []  # sockets of old processes, the newest last
-        self.on_state: StateCallback | None = None  # until it has been called
+        self.untried: list[Path] = []  # sockets of old processes that were not tried yet, newest last
+        self.on_state: StateCallback | None = None  # None once it has been called
         self.timeout: Deadline | None = None
 
     def request_state(self, on_state: StateCallback) -> None:
-        """Look for an old process and call `on_state` once with its state, or None after `STATE_TIMEOUT`."""
+        """Request an old process's state; call `on_state` once with it, or None after `STATE_TIMEOUT`."""
         self.on_state = on_state
         try:
             found = [*self.folder.glob(self.tag + "-*.sock")] if self.folder else []
             self.untried = sorted(found, key=lambda path: path.stat().st_mtime)[-self.MAX_CONNECTIONS :]
-        except OSError as fault:
-            logger.warning("hot restart: {}: {}", fault.strerror, self.folder)
+        except OSError as error:
+            logger.warning("hot restart: can't look for an old process: {}: {}", error.strerror, self.folder)
         self.timeout = self.deadlines.call_at(self.now() + self.STATE_TIMEOUT, self.state_received, None)
-        self.ask_next()
+        self.request_from_next()
 
-    def ask_next(self) -> None:
-        """Ask at the newest socket that was not tried; without one there is no state."""
+    def request_from_next(self) -> None:
+        """Connect to the newest untried socket; if none is left, report that there is no state."""
         if not self.untried or self.on_state is None:
             self.state_received(None)
             return
@@ -197,7 +201,7 @@
         self.reactor.connectUNIX(str(path), factory, timeout=CONNECT_TIMEOUT_SECONDS)
 
     def state_received(self, state: ProcessState | None) -> None:
-        """Pass on the state, or that there is none; what comes after the first call is ignored."""
+        """Pass on the state, or None; ignore all calls after the first."""
         on_state, self.on_state = self.on_state, None
         if self.timeout is not None:
             self.timeout.cancel()
@@ -205,24 +209,24 @@
             on_state(state)
 
     def listen(self) -> None:
-        """Serve the state to the next process from now on; a failure to listen is logged."""
+        """Start serving the state to the next process; log a failure to listen."""
         if self.folder is None:
             return
         path = self.folder / f"{self.tag}-{os.getpid()}.sock"
         try:
             path.unlink(missing_ok=True)
             self.reactor.listenUNIX(str(path), StateServerFactory(self), mode=SOCKET_MODE)
-        except (CannotListenError, OSError) as fault:  # a path that is too long, a folder that is missing
-            logger.warning("hot restart: the next process can't ask for the state: {}", fault)
+        except (CannotListenError, OSError) as error:  # for example, a path that is too long or a missing folder
+            logger.warning("hot restart: the state can't be served to the next process: {}", error)
 
     def connection_opened(self, connection: LineReceiver) -> None:
-        """Note a connection to another process."""
+        """Record a connection to another process."""
         self.connections[connection] = None
         if len(self.connections) == 1:
             self.on_other_process(True)
 
     def connection_closed(self, connection: LineReceiver) -> None:
-        """Note that a connection to another process has ended, by its end or ours."""
+        """Record that a connection to another process was closed by either side."""
         if connection in self.connections:
             del self.connections[connection]
             if not self.connections:
--- a/ivystack/net/hot_restart_state.py
+++ b/ivystack/net/hot_restart_state.py
@@ -1,7 +1,7 @@
-"""What an old process tells its successor in a hot restart: the records, their export and their import.
+"""The state that an old process sends to its successor in a hot restart: its records, export and import.
 
-The names on the wire are those of earlier releases and are mapped to the fields here.  All times are
-microseconds since 1970.
+The names on the wire are those of earlier releases; the fields below map them.  All times are microseconds
+since 1970.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from ..balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT, MIN_SHARE
 from ..model import RESPONSE_TIMES_KEPT, FailureState, RequestClass, Server, ServerState
 
-VERSION = 1  # of the records; a process that is told another one starts without
-MAX_PROBE_DELAY = 10_000_000  # microseconds: longer than any pause between probes
-UNKNOWN_KIND = -2  # a machine kind that the settings do not name
+VERSION = 1  # of the records; a process that receives another version starts without the state
+MAX_PROBE_DELAY = 10_000_000  # microseconds, longer than any pause between probes
+UNKNOWN_KIND = -2  # a machine type that the settings do not name
 
 
 class FailureRecord(Struct):
@@ -28,10 +28,12 @@
 
 
 class ServerRecord(Struct):
-    """What was observed of one server."""
+    """The observations of one server."""
 
     health: FailureRecord = msgspec.field(name="tried")
-    class_failures: dict[str, FailureRecord] = msgspec.field(name="errors")  # by the class's name
+    class_failures: dict[str, FailureRecord] = msgspec.field(
+        name="errors"
+    )  # by the name of the request class
     started_at: int = msgspec.field(name="started")
     was_draining: bool = msgspec.field(name="drained")
     gone_at: int = msgspec.field(name="left_at")
@@ -40,26 +42,28 @@
 
 
 class ProcessState(Struct):
-    """All that a process tells its successor."""
+    """The complete state that a process sends to its successor."""
 
     version: int = msgspec.field(name="v")
     generation: int  # of the endpoint list
-    instances: list[dict]  # the endpoint list, in discovery's form
+    instances: list[dict]  # the endpoint list in discovery's format
     slots: list[str]  # names of servers in the order of their slots
     servers: dict[str, ServerRecord] = msgspec.field(name="nodes")
     attempt_times: dict[str, list[int]] = msgspec.field(name="times")  # microseconds, by class
-    common_share: float = msgspec.field(name="common")  # admitted by the servers in common
+    common_share: float = msgspec.field(
+        name="common"
+    )  # the share of requests admitted at servers without a recent outcome
 
 
 def export_state(
     balancer: Balancer, request_classes: dict[str, RequestClass], generation: int, instances: list[dict]
 ) -> ProcessState:
-    """Return what this process knows, for its successor."""
+    """Return the state of this process, for its successor."""
     names = {request_class: name for name, request_class in request_classes.items()}
     known = {*balancer.servers.values(), *balancer.placement.slots}
     servers = {server.name: _export_server(server, names) for server in known if not server.is_placeholder}
     slots = [server.name for server in balancer.placement.slots if not server.is_placeholder]
-    attempt_times = {name: [*one.attempt_times] for name, one in request_classes.items()}
+    attempt_times = {name: [*entry.attempt_times] for name, entry in request_classes.items()}
     common_share = balancer.limiter.common_share
     return ProcessState(VERSION, generation, instances, slots, servers, attempt_times, common_share)
 
@@ -67,9 +71,9 @@
 def import_state(
     state: ProcessState, balancer: Balancer, request_classes: dict[str, RequestClass], now: int
 ) -> None:
-    """Go on where the other process is: slot order, servers' health, slow starts, limits and samples.
+    """Continue from the other process's slot order, server health, slow starts, limits and samples.
 
-    What is out of bounds is brought within them; unknown classes are ignored.
+    Values out of range are clamped; unknown request classes are ignored.
     """
     for name, record in state.servers.items():
         server = balancer.servers.get(name) or _add_gone_server(name, record, balancer, now)
@@ -106,7 +110,7 @@
 
 
 def _add_gone_server(name: str, record: ServerRecord, balancer: Balancer, now: int) -> Server:
-    """Add a server that is not listed any more: it is awaited at its slot as long as the other would."""
+    """Add a server that is no longer listed; its slot stays reserved as long as in the other process."""
     server = Server(
         name,
         UNKNOWN_KIND,
@@ -145,5 +149,5 @@
     placement.slots = [server for server in order if server.kind != balancer.parameters.origin_kind]
     placement.location_cache.clear()
     placement.update(balancer.cache_servers(), now)
-    if balancer.slot_order:  # the order is known: no peer is to be asked
+    if balancer.slot_order:  # the order is known, so peers need not be asked
         balancer.slot_order.stop_asking(now)
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -148,9 +148,8 @@
         """Write an attempt after those in flight, with the time that remains until its timeout."""
         in_flight.connection = self
         attempt, frame = in_flight.attempt, in_flight.frame
-        attempt.first_on_connection = (
-            not self.attempts_sent
-        )  # its -BUSY means that the server's connection table is full
+        # A -BUSY for the first attempt on a connection means that the server's connection table is full.
+        attempt.first_on_connection = not self.attempts_sent
         self.in_flight.append(in_flight)
         self.attempts_sent += 1
         timeout_ms = max(1, (attempt.timeout_at - self.pools.now()) // MICROSECONDS_PER_MILLISECOND)
