--- a/ivystack/consensus/__init__.py
+++ b/ivystack/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""A consensus group: a few proxies that replicate one log, and the state machine that follows from it.
+"""A Raft consensus group: a few proxies replicate a log and apply its entries to a state machine.
 
-``core`` is Raft without I/O; ``replica`` runs it in a proxy with ``storage`` and the mesh; ``client`` asks
-the group from any proxy; ``simulation`` plays groups in virtual time.
+``core`` implements Raft without I/O. ``replica`` runs the core in a proxy, with ``storage`` and the mesh.
+``client`` sends requests to the group from any proxy. ``simulation`` runs groups in virtual time.
 """
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -1,8 +1,8 @@
-"""Raft without I/O: one replica's part in a consensus group.
+"""Raft without I/O: the protocol state of one replica of a consensus group.
 
-The caller passes the clock and a random source in, carries messages, and carries out what
-:meth:`Core.take_ready` returns. No message leaves before what it promises is durable, and nothing counts as
-committed that a majority of the voters does not hold on disk.
+The caller passes in the time and a random source, delivers messages, and executes the work that
+:meth:`Core.take_ready` returns. A message is released only after the state that it reports is durable. An
+entry is committed only after a majority of the voters has stored it on disk.
 """
 
 from __future__ import annotations
@@ -25,17 +25,23 @@
 )
 from .records import Proposal, Ready, Role
 
-MAX_UNCOMMITTED_ENTRIES = 8192  # bounds the memory of a leader that is cut off
-RETAINED_ENTRIES = 128  # before a snapshot, for followers that are a little behind
-TRANSFER_ELECTION_TIMEOUTS = 2  # until a leadership transfer counts as failed
-QUORUM_ELECTION_TIMEOUTS = 2  # without a majority until a leader steps down
+MAX_UNCOMMITTED_ENTRIES = 8192  # bounds the memory of a leader without a majority
+RETAINED_ENTRIES = 128  # before a snapshot, so that followers slightly behind need no snapshot
+TRANSFER_ELECTION_TIMEOUTS = 2  # after which a leadership transfer has failed
+QUORUM_ELECTION_TIMEOUTS = 2  # without replies of a majority, after which a leader steps down
 
 
 class Core(Election):
-    """One replica. After each call the caller takes :meth:`take_ready` until it is empty."""
+    """The Raft state of one replica.
+
+    After each call of another method the caller calls :meth:`take_ready` until its result is empty.
+    """
 
     def tick(self, now: int) -> None:
-        """Let time pass; to be called at ``wake_at``, which each call may change."""
+        """Run the timers that are due at ``now``.
+
+        The caller calls this method at ``wake_at``, which every other call may change.
+        """
         if self.withdrawn or now < self.wake_at:
             return
         if self.role == Role.LEADER:
@@ -45,7 +51,9 @@
         if self.replica_id in self.configuration.voters:
             self.campaign(now, pre_vote=True)
         else:
-            self.leader = ""  # it may have been removed while it was away, and hears nothing more
+            self.leader = (
+                ""  # this replica may have been removed while it was down: no leader contacts it any more
+            )
 
     def _heartbeat(self, now: int) -> None:
         self.wake_at = now + self.heartbeat_interval
@@ -54,7 +62,7 @@
             follower for follower, progress in self.progress.items() if now - progress.last_reply_at < timeout
         }
         if not self.has_majority(reachable | {self.replica_id}):
-            return self.become_follower(now, "")  # 6.2: a leader cut off would keep clients waiting
+            return self.become_follower(now, "")  # 6.2: clients of a leader without a majority would wait
         if self.transfer_deadline and now > self.transfer_deadline:
             self.transfer_deadline = 0
         self.round += 1
@@ -62,7 +70,7 @@
             self.send_entries(follower, heartbeat=True)
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Handle a message of another replica."""
+        """Handle a message from another replica."""
         if self.withdrawn:
             return
         if isinstance(message, RequestVote):
@@ -87,9 +95,10 @@
             self.campaign(now, pre_vote=False, leadership_transfer=True)
 
     def propose(self, data: bytes, kind: EntryKind = EntryKind.DATA) -> Proposal | None:
-        """Append an entry as leader.
+        """Append an entry to the log as leader.
 
-        :returns: its place; None where this replica does not lead or too much is uncommitted.
+        :returns: the entry's index and term. None if this replica does not lead, is transferring leadership
+            or has withdrawn, or if too many entries are uncommitted.
         """
         if self.role != Role.LEADER or self.transfer_deadline or self.withdrawn:
             return None
@@ -101,16 +110,17 @@
         return Proposal(self.log.last_index, self.term)
 
     def may_change_membership(self) -> bool:
-        """Whether a change may begin: one at a time, after an entry of our own term is committed.
+        """Return whether a membership change may be proposed.
 
-        The second condition is the correction of 2015.
+        The previous change must be committed, and so must an entry of the leader's own term. The second
+        condition is the correction that Ongaro published in 2015.
         """
         own_term_committed = self.log.term_at(self.commit_index) == self.term
         settled = self.log.configuration_index <= self.commit_index and own_term_committed
         return self.role == Role.LEADER and settled and not self.transfer_deadline
 
     def change_membership(self, configuration: Configuration, now: int) -> bool:
-        """Propose a configuration that differs by one voter at most; whether that was possible."""
+        """Propose a configuration that differs by at most one voter; return whether it was proposed."""
         changed_voters = {*configuration.voters} ^ {*self.configuration.voters}
         if not self.may_change_membership() or len(changed_voters) > 1 or not configuration.voters:
             return False
@@ -119,9 +129,10 @@
         return True
 
     def read(self, read_id: int) -> bool:
-        """Begin a linearizable read (6.4); whether this replica leads.
+        """Begin a linearizable read (section 6.4 of the thesis).
 
-        The id comes back in ``Ready.confirmed_reads`` or in ``Ready.failed_reads``.
+        :param read_id: returned later in ``Ready.confirmed_reads`` or ``Ready.failed_reads``.
+        :returns: False if this replica does not lead; the read is not begun then.
         """
         if self.role != Role.LEADER:
             return False
@@ -134,9 +145,11 @@
         return True
 
     def transfer_leadership(self, now: int) -> bool:
-        """Ask the most complete follower to be elected at once; no entry is taken meanwhile.
+        """Ask the most up-to-date voter to start an election at once.
 
-        :returns: whether a follower was asked: not unless one holds the whole log.
+        While the transfer is in progress, :meth:`propose` accepts no entry.
+
+        :returns: whether a voter was asked. No voter is asked unless it holds the whole log.
         """
         candidates = [voter for voter in self.configuration.voters if voter in self.progress]
         if self.role != Role.LEADER or not candidates:
@@ -149,7 +162,11 @@
         return True
 
     def compact(self, index: int, data: bytes) -> None:
-        """Take the caller's state after the applied entry at ``index``, and drop most entries before it."""
+        """Store a snapshot and remove most of the log entries that it covers.
+
+        :param index: the last entry that was applied to the state.
+        :param data: the state machine's encoded state after that entry.
+        """
         configuration = self.log.configuration_at(index)
         self.snapshot = Snapshot(index, self.log.known_term_at(index), configuration, data)
         self.writes.snapshot = self.snapshot
@@ -157,7 +174,7 @@
         self.writes.mark_dirty()
 
     def handle_written(self, number: int, now: int) -> None:
-        """Note that the batch of that number is durable."""
+        """Record that write batch ``number`` is durable."""
         durable_index = self.writes.complete(number, self.log.last_index)
         if durable_index is None:
             return
@@ -168,7 +185,7 @@
             self.count_votes(now)
 
     def take_ready(self, now: int) -> Ready:
-        """Return what there is to be done now, once."""
+        """Return the work that is due, and forget it."""
         ready = Ready(withdrawn=self.withdrawn)
         if self.withdrawn:
             self.writes.discard_messages()
@@ -190,6 +207,6 @@
     def _replicate(self) -> None:
         self.replicate_now = False
         for follower, progress in self.progress.items():
-            news = bool(self.reads.pending) or progress.sent_commit != self.commit_index
-            self.send_entries(follower, heartbeat=news)
+            heartbeat_due = bool(self.reads.pending) or progress.sent_commit != self.commit_index
+            self.send_entries(follower, heartbeat=heartbeat_due)
             progress.sent_commit = self.commit_index
--- a/ivystack/consensus/election.py
+++ b/ivystack/consensus/election.py
@@ -1,4 +1,4 @@
-"""Leader election: pre-votes, votes, and taking leadership up."""
+"""Leader election: pre-votes, votes, and the step to leadership."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Election(Replication):
-    """The election part of the protocol; at most one candidate wins a term."""
+    """The election part of the protocol: at most one candidate is elected in a term."""
 
     def campaign(self, now: int, pre_vote: bool, leadership_transfer: bool = False) -> None:
         """Ask all voters for their votes.
 
-        A pre-vote comes first (9.6), so that a replica that was cut off raises no term; a leadership transfer
-        goes without.
+        A pre-vote precedes the election (section 9.6 of the thesis), so that a replica that was partitioned
+        does not increase the term. A leadership transfer skips the pre-vote.
         """
         self.role, self.pre_voting, self.leader = Role.CANDIDATE, pre_vote, ""
         self.votes = {self.replica_id}
@@ -38,9 +38,10 @@
         self.count_votes(now)
 
     def count_votes(self, now: int) -> None:
-        """Start the real election, or take leadership, once a majority has voted for us.
+        """Continue the candidacy once a majority has granted its votes.
 
-        Our own vote counts once it is durable.
+        A won pre-vote starts the election. A won election makes this replica the leader, once its own vote
+        is durable.
         """
         if not self.has_majority(self.votes):
             return
@@ -50,7 +51,10 @@
             self.become_leader(now)
 
     def become_leader(self, now: int) -> None:
-        """Lead from now on: an entry of our own term lets those of earlier terms be committed."""
+        """Become the leader.
+
+        The no-op entry of the new term is needed to commit the entries of earlier terms.
+        """
         self.role, self.leader, self.transfer_deadline = Role.LEADER, self.replica_id, 0
         self.progress = {}
         self.round = 0
@@ -60,7 +64,7 @@
         self.replicate_now = True
 
     def update_progress(self, now: int) -> None:
-        """Track just the followers that the configuration names."""
+        """Track the progress of exactly the followers that are members of the configuration."""
         members = self.configuration.all_members()
         followers = [member for member in members if member != self.replica_id]
         for follower in followers:
@@ -70,21 +74,21 @@
                 del self.progress[follower]
 
     def handle_request_vote(self, now: int, sender: str, message: RequestVote) -> None:
-        """Grant a vote to a candidate whose log is at least as complete as ours, one a term."""
+        """Grant one vote a term, to a candidate whose log is at least as up to date as the local log."""
         recent_leader = now - self.last_leader_contact < self.election_timeout
         if (self.role == Role.LEADER or recent_leader) and not message.leadership_transfer:
-            return  # 4.2.3: a replica that was removed or cut off disrupts no leader
+            return  # 4.2.3: removed or partitioned replicas must not disrupt a leader
         if message.term < self.term:
             return self.writes.send_when_durable(sender, VoteReply(self.term, False, message.pre_vote))
-        own_last = (self.log.known_term_at(self.log.last_index), self.log.last_index)
-        complete = (message.last_log_term, message.last_log_index) >= own_last
+        own_last_entry = (self.log.known_term_at(self.log.last_index), self.log.last_index)
+        up_to_date = (message.last_log_term, message.last_log_index) >= own_last_entry
         if message.pre_vote:
-            granted = complete and message.term > self.term
+            granted = up_to_date and message.term > self.term
             reply = VoteReply(message.term if granted else self.term, granted, True)
             return self.writes.send_when_durable(sender, reply)
         if message.term > self.term:
             self.adopt_term(message.term, now)
-        granted = complete and self.voted_for in ("", sender)
+        granted = up_to_date and self.voted_for in ("", sender)
         if granted:
             if self.voted_for != sender:
                 self.voted_for = sender
@@ -93,12 +97,14 @@
         self.writes.send_when_durable(sender, VoteReply(self.term, granted))
 
     def handle_vote_reply(self, now: int, sender: str, message: VoteReply) -> None:
-        """Count a vote that answers the present candidacy."""
-        granted_pre_vote = message.pre_vote and message.granted  # its term is the one we would begin
+        """Count a vote that belongs to the current candidacy."""
+        granted_pre_vote = (
+            message.pre_vote and message.granted
+        )  # carries the term that this replica would start
         if message.term > self.term and not granted_pre_vote:
             return self.adopt_term(message.term, now)
-        wanted_term = self.term + 1 if self.pre_voting else self.term
-        answers = message.pre_vote == self.pre_voting and message.term == wanted_term
-        if self.role == Role.CANDIDATE and answers and message.granted:
+        expected_term = self.term + 1 if self.pre_voting else self.term
+        is_current = message.pre_vote == self.pre_voting and message.term == expected_term
+        if self.role == Role.CANDIDATE and is_current and message.granted:
             self.votes.add(sender)
             self.count_votes(now)
--- a/ivystack/consensus/log.py
+++ b/ivystack/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log of one replica, after the point up to which it has been compacted."""
+"""The replicated log of one replica, from the end of the compacted part on."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class RaftLog:
-    """Entries after ``base_index``, and the configurations among them.
+    """Log entries after ``base_index``, and the configurations that they contain.
 
-    A configuration is in use as soon as its entry is in the log, committed or not.
+    A configuration is in use as soon as its entry is in the log, whether committed or not.
     """
 
     def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        """Begin with a snapshot and the entries that follow it."""
+        """Create a log from a snapshot and the entries that follow it."""
         self.base_index, self.base_term = snapshot.index, snapshot.term
         self.entries = list(entries)
         self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration)]
@@ -45,11 +45,13 @@
         return self.configurations[-1].index
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the configuration that was in use once the entry at ``index`` was appended."""
-        return next(found.configuration for found in reversed(self.configurations) if found.index <= index)
+        """Return the configuration that was in use after the entry at ``index`` was appended."""
+        return next(
+            indexed.configuration for indexed in reversed(self.configurations) if indexed.index <= index
+        )
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term; None where it is compacted away or does not exist yet."""
+        """Return the term of the entry at ``index``; None if the entry is compacted or does not exist."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -57,9 +59,9 @@
         return None
 
     def known_term_at(self, index: int) -> int:
-        """Return an entry's term.
+        """Return the term of the entry at ``index``.
 
-        :raises IndexError: it is compacted away or does not exist yet.
+        :raises IndexError: the entry is compacted or does not exist.
         """
         term = self.term_at(index)
         if term is None:
@@ -67,23 +69,23 @@
         return term
 
     def entry_at(self, index: int) -> Entry:
-        """Return the entry at an index after the base."""
+        """Return the entry at ``index``, which must be greater than ``base_index``."""
         return self.entries[index - self.base_index - 1]
 
     def entries_from(self, index: int) -> list[Entry]:
-        """Return all entries from an index after the base on."""
+        """Return all entries from ``index`` on, which must be greater than ``base_index``."""
         return self.entries[index - self.base_index - 1 :]
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Append entries at the end."""
+        """Append entries."""
         first = self.last_index + 1
         self.entries += entries
         self._index_configurations(entries, first)
 
     def truncate(self, index: int, commit_index: int) -> None:
-        """Remove the entries from ``index`` on, and with them their configurations.
+        """Remove the entries from ``index`` on, and the configurations that they contain.
 
-        :raises CommittedEntryError: one of them is committed, which no correct group brings about.
+        :raises CommittedEntryError: an entry to be removed is committed; a correct group never causes this.
         """
         if index <= commit_index:
             raise CommittedEntryError(f"entry {index} is committed and can't be replaced")
@@ -92,22 +94,24 @@
             self.configurations.pop()
 
     def compact(self, base_index: int) -> None:
-        """Remove the entries up to ``base_index``, which is not before the present base."""
+        """Remove the entries up to ``base_index``, which must not be less than the current one."""
         self.base_term = self.known_term_at(base_index)
         self.entries = self.entries[base_index - self.base_index :]
         self.base_index = base_index
-        later = [found for found in self.configurations if found.index > base_index]
-        earlier = [found for found in self.configurations if found.index <= base_index][-1:]
+        later = [indexed for indexed in self.configurations if indexed.index > base_index]
+        earlier = [indexed for indexed in self.configurations if indexed.index <= base_index][-1:]
         self.configurations = earlier + later
 
     def install(self, snapshot: Snapshot) -> None:
-        """Begin at a snapshot; entries that follow it are kept if the log agrees with it."""
+        """Replace the start of the log by a snapshot; keep later entries if the log matches the snapshot."""
         if self.term_at(snapshot.index) != snapshot.term:
             self.entries = []
             self.configurations = []
         else:
             self.entries = self.entries[snapshot.index - self.base_index :]
-            self.configurations = [found for found in self.configurations if found.index > snapshot.index]
+            self.configurations = [
+                indexed for indexed in self.configurations if indexed.index > snapshot.index
+            ]
         self.configurations.insert(0, IndexedConfiguration(snapshot.index, snapshot.configuration))
         self.base_index, self.base_term = snapshot.index, snapshot.term
 
--- a/ivystack/consensus/membership.py
+++ b/ivystack/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Membership changes without I/O: the leader's next single step towards the configured members."""
+"""Membership changes without I/O: the leader's next change of one replica towards the configured members."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def replica_id(name: str, incarnation: str) -> str:
-    """Return the id of a proxy's replica: a directory that was lost makes a new incarnation.
+    """Return the id of a proxy's replica; a replica whose storage was lost gets a new incarnation.
 
     >>> replica_id("p0", "5c")
     'p0/5c'
@@ -18,7 +18,7 @@
 
 
 def proxy_name(identity: str) -> str:
-    """Return the proxy's name out of a replica's or process's `name/incarnation`.
+    """Return the proxy's name from the `name/incarnation` of a replica or process.
 
     >>> proxy_name("p1/00ff")
     'p1'
@@ -29,13 +29,15 @@
 def next_configuration(
     core: Core, wanted: list[str], announced: dict[str, str], now: int
 ) -> Configuration | None:
-    """Return the next configuration on the way to members of just the ``wanted`` names.
+    """Return the next configuration on the way to a group of exactly the wanted proxies.
 
-    Each step leaves a majority of its voters among the replicas that were heard lately.
+    A replica is removed only if a majority of the remaining voters has replied to the leader within one
+    election timeout.
 
-    :param announced: ids, by proxy name, of replicas that say that they are no members.
-    :param now: microseconds.
-    :returns: None where nothing is to be changed, or not now.
+    :param wanted: names of the proxies that should be members.
+    :param announced: ids, by proxy name, of replicas that have announced that they are not members.
+    :param now: time in microseconds.
+    :returns: None if no change is needed or none is possible now.
     """
     if not core.may_change_membership():
         return None
@@ -58,13 +60,13 @@
         self.voter_by_name = {proxy_name(voter): voter for voter in self.configuration.voters}
 
     def without(self, replica: str) -> Configuration | None:
-        """Return the configuration without a replica; None if too few of its voters are reachable."""
+        """Return the configuration without ``replica``; None if no majority of its voters is reachable."""
         voters = tuple(voter for voter in self.configuration.voters if voter != replica)
         learners = tuple(other for other in self.configuration.learners if other != replica)
         return Configuration(voters, learners) if self.core.has_majority(self.reachable, voters) else None
 
     def stale_learner(self) -> str | None:
-        """Return a learner that a new incarnation has replaced, or whose proxy is not wanted any more."""
+        """Return a learner that a new incarnation has replaced, or whose proxy is no longer wanted."""
         for learner in self.configuration.learners:
             name = proxy_name(learner)
             if self.announced.get(name, learner) != learner or name not in self.wanted:
@@ -72,7 +74,10 @@
         return None
 
     def promotion(self) -> Configuration | None:
-        """Make a learner that has caught up a voter; its own former incarnation is removed first."""
+        """Promote a learner that has caught up to a voter.
+
+        If an earlier incarnation of the same proxy is a voter, remove that voter first.
+        """
         for learner in self.configuration.learners:
             if not self._has_caught_up(learner):
                 continue
@@ -92,15 +97,15 @@
         return progress.match_index >= self.core.commit_index - MAX_PROMOTION_LAG
 
     def addition(self) -> Configuration | None:
-        """Add a wanted replica that has announced itself as a learner."""
+        """Add an announced replica of a wanted proxy, as a learner."""
         for name in self.wanted:
-            new = self.announced.get(name)
-            if new is not None and new not in self.configuration.all_members():
-                return Configuration(self.configuration.voters, (*self.configuration.learners, new))
+            announced_id = self.announced.get(name)
+            if announced_id is not None and announced_id not in self.configuration.all_members():
+                return Configuration(self.configuration.voters, (*self.configuration.learners, announced_id))
         return None
 
     def removal(self) -> Configuration | None:
-        """Remove a voter that is not wanted, once every wanted proxy has a voter."""
+        """Remove a voter that is not wanted, after every wanted proxy has a voter."""
         voters = self.configuration.voters
         if len(voters) <= 1 or any(name not in self.voter_by_name for name in self.wanted):
             return None
--- a/ivystack/consensus/membership_manager.py
+++ b/ivystack/consensus/membership_manager.py
@@ -1,4 +1,4 @@
-"""How replicas find each other: announcements, the group's bootstrap, and the leader's membership changes."""
+"""Announcements of replicas, bootstrap of the group, and membership changes by the leader."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from .replica import Replica
 
-ANNOUNCE_INTERVAL = 500_000  # microseconds between the announcements of a replica that is no member
-ANNOUNCEMENT_TTL = 4 * ANNOUNCE_INTERVAL  # some may be lost before the announcer counts as gone
+ANNOUNCE_INTERVAL = 500_000  # microseconds between announcements of a replica that is not a member
+ANNOUNCEMENT_TTL = 4 * ANNOUNCE_INTERVAL  # tolerates a few lost announcements
 
 
 @dataclass(frozen=True)
 class ReceivedAnnouncement:
-    """An announcement and when it came, in microseconds."""
+    """An announcement and the time of its arrival, in microseconds."""
 
     replica_id: str
     has_state: bool
@@ -31,7 +31,7 @@
 
 
 class MembershipManager:
-    """Announces a replica that is no member, and lets the leader take announced ones in."""
+    """Announces a replica that is not a member, and adds announced replicas where this replica leads."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
@@ -39,7 +39,10 @@
         self.announcements: dict[str, ReceivedAnnouncement] = {}  # latest by proxy name
 
     def run(self) -> None:
-        """Announce, bootstrap or change the membership where that is due; repeats itself until the end."""
+        """Announce this replica, bootstrap the group or change its membership as needed.
+
+        The method schedules its next run until the replica stops.
+        """
         replica = self.replica
         if replica.stopped:
             return
@@ -58,7 +61,7 @@
         self._change_membership({name: received.replica_id for name, received in recent.items()}, now)
 
     def receive(self, sender: str, body: Any) -> None:
-        """Take another proxy's announcement."""
+        """Record another proxy's announcement."""
         if not self.is_member_name(sender):
             return
         announcement = msgspec.convert(body, Announcement)
@@ -67,7 +70,10 @@
             self.announcements[sender] = received
 
     def is_member_name(self, name: str) -> bool:
-        """Whether a proxy may speak as a member: others may hold a valid key as well."""
+        """Return whether a proxy is a configured member; count a dropped message if it is not.
+
+        Proxies that are not members may hold a valid key as well.
+        """
         if name not in self.replica.configured_members:
             self.env.mesh.count_drop(DropCode.NOT_A_MEMBER, name)
         return name in self.replica.configured_members
@@ -82,9 +88,9 @@
                 self.env.mesh.send(name, MessageKind.ANNOUNCEMENT, body)
 
     def _bootstrap(self, recent: dict[str, ReceivedAnnouncement]) -> None:
-        """Begin the group, as the first of the configured members, once all others have announced no state.
+        """Create the group, if this proxy is the first configured member and all others announce no state.
 
-        Otherwise a replica whose disk was lost would begin a second group.
+        Without the second condition a replica whose disk was lost would create a second group.
         """
         replica = self.replica
         others = [name for name in replica.configured_members if name != replica.name]
@@ -93,12 +99,12 @@
         if any(name not in recent or recent[name].has_state for name in others):
             return
         voters = (replica.id, *(recent[name].replica_id for name in others))
-        first = InstallSnapshot(1, Snapshot(1, 1, Configuration(voters)), 0)
-        logger.info("group: bootstrapped voters={}", " ".join(voters))
-        replica.core.receive(self.env.now(), replica.id, first)
+        initial = InstallSnapshot(1, Snapshot(1, 1, Configuration(voters)), 0)
+        logger.info("group: created a new consensus group voters={}", " ".join(voters))
+        replica.core.receive(self.env.now(), replica.id, initial)
         replica.process_ready()
         for name in others:
-            envelope = Envelope(replica.id, recent[name].replica_id, first)
+            envelope = Envelope(replica.id, recent[name].replica_id, initial)
             self.env.mesh.send(name, MessageKind.RAFT, envelope)
 
     def _change_membership(self, announced: dict[str, str], now: int) -> None:
@@ -106,11 +112,11 @@
         core = replica.core
         if core is None:
             return
-        step = next_configuration(core, replica.configured_members, announced, now)
-        if step is not None and core.change_membership(step, now):
+        proposed = next_configuration(core, replica.configured_members, announced, now)
+        if proposed is not None and core.change_membership(proposed, now):
             logger.info(
-                "group: membership change proposed voters={} learners={}",
-                " ".join(step.voters),
-                " ".join(step.learners) or "-",
+                "group: proposed a membership change voters={} learners={}",
+                " ".join(proposed.voters),
+                " ".join(proposed.learners) or "-",
             )
             replica.process_ready()
--- a/ivystack/consensus/mutations.py
+++ b/ivystack/consensus/mutations.py
@@ -38,11 +38,11 @@
 MUTATIONS = {
     "grants a vote to a shorter log": Mutation(
         "election",
-        "complete = (message.last_log_term, message.last_log_index) >= own_last",
-        "complete = True",
+        "up_to_date = (message.last_log_term, message.last_log_index) >= own_last_entry",
+        "up_to_date = True",
     ),
     "grants two votes in a term": Mutation(
-        "election", 'granted = complete and self.voted_for in ("", sender)', "granted = complete"
+        "election", 'granted = up_to_date and self.voted_for in ("", sender)', "granted = up_to_date"
     ),
     "sends promises before they are durable": Mutation(
         "write_tracker", "if self.is_durable():\n            self.send", "if True:\n            self.send"
@@ -54,8 +54,8 @@
     ),
     "commits what one voter holds": Mutation(
         "replication",
-        "index = matched[(len(matched) - 1) // 2] if matched else 0",
-        "index = matched[-1] if matched else 0",
+        "index = match_indexes[(len(match_indexes) - 1) // 2] if match_indexes else 0",
+        "index = match_indexes[-1] if match_indexes else 0",
     ),
     "commits entries of earlier terms by counting": Mutation(
         "replication",
--- a/ivystack/consensus/replication.py
+++ b/ivystack/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Log replication: a leader sends entries and counts acknowledgements, a follower checks and stores them."""
+"""Log replication: the leader sends entries and counts acknowledgements, followers check and store them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from .records import Progress, Role
 from .replica_state import ReplicaState
 
-MAX_MESSAGE_BYTES = 65_536  # of entries, but for one that is larger alone
-ENTRY_OVERHEAD_BYTES = 16  # of an entry beside its data
-MAX_UNACKED_ENTRIES = 1024  # sent to a follower beyond what it has acknowledged
+MAX_MESSAGE_BYTES = 65_536  # of entries; a single larger entry is still sent, alone
+ENTRY_OVERHEAD_BYTES = 16  # of an encoded entry, in addition to its data
+MAX_UNACKED_ENTRIES = 1024  # sent to one follower and not acknowledged yet
 
 
 class Replication(ReplicaState):
-    """The replication part of the protocol; no message promises what is not durable."""
+    """The replication part of the protocol: a reply is sent once the state that it reports is durable."""
 
     def send_entries(self, follower: str, heartbeat: bool = False) -> None:
-        """Send what a follower lacks; with ``heartbeat`` also where that is nothing."""
+        """Send a follower the entries that it lacks; with ``heartbeat`` send a message even without any."""
         progress = self.progress[follower]
         compacted = progress.next_index <= self.log.base_index
         if compacted and self.log.term_at(progress.next_index - 1) is None:
@@ -61,7 +61,7 @@
         return tuple(available[:count])
 
     def handle_append_reply(self, now: int, sender: str, message: AppendEntriesReply) -> None:
-        """Take a follower's acknowledgement, or go back to where its log agrees with ours."""
+        """Record a follower's acknowledgement, or move back to where its log matches the leader's."""
         progress = self.progress.get(sender)
         if self.role != Role.LEADER or progress is None:
             return
@@ -75,7 +75,8 @@
             self.advance_commit(now)
             self.send_entries(sender)
         elif message.last_log_index < progress.match_index and message.round > progress.match_round:
-            # It answers what was sent after it had acknowledged more: that is gone from its disk.
+            # The reply answers a message that was sent after the follower had acknowledged a later entry:
+            # the follower's disk has lost that entry.
             self.writes.send(sender, DataLossDetected(self.term))
             del self.progress[sender]
             return
@@ -86,9 +87,9 @@
         self.confirm_reads()
 
     def advance_commit(self, now: int) -> None:
-        """Commit what a majority of the voters holds on disk, if it is of our own term (3.6.2)."""
-        matched = sorted(self._match_index(voter) for voter in self.configuration.voters)
-        index = matched[(len(matched) - 1) // 2] if matched else 0
+        """Commit the entries that a majority of voters has on disk, up to one of the current term (3.6.2)."""
+        match_indexes = sorted(self._match_index(voter) for voter in self.configuration.voters)
+        index = match_indexes[(len(match_indexes) - 1) // 2] if match_indexes else 0
         if index <= self.commit_index or self.log.term_at(index) != self.term:
             return
         self.commit_index = index
@@ -105,18 +106,20 @@
         return self.progress[voter].match_index if voter in self.progress else 0
 
     def confirm_reads(self) -> None:
-        """Confirm reads whose round a majority has answered: nobody else led when they came."""
+        """Confirm the reads whose round a majority has answered: no other replica led when they began."""
         while self.reads.pending:
-            wanted = self.reads.pending[0].round
+            required_round = self.reads.pending[0].round
             confirming = {
-                follower for follower, progress in self.progress.items() if progress.acked_round >= wanted
+                follower
+                for follower, progress in self.progress.items()
+                if progress.acked_round >= required_round
             }
             if not self.has_majority(confirming | {self.replica_id}):
                 return
             self.reads.confirm_oldest()
 
     def handle_leader_message(self, now: int, sender: str, message: AppendEntries | InstallSnapshot) -> None:
-        """Take a leader's entries or snapshot, unless its term is over."""
+        """Store a leader's entries or snapshot; reject them if the leader's term is over."""
         if message.term < self.term:
             return self._reply(sender, message.round, False, 0)
         if self.role != Role.FOLLOWER or self.leader != sender:
@@ -146,7 +149,7 @@
         self._reply(sender, message.round, True, match_index)
 
     def _without_compacted(self, message: AppendEntries) -> AppendEntries:
-        """Leave out entries that our snapshot covers: they are committed, and so equal to ours."""
+        """Return the message without entries that the local snapshot covers, which are committed already."""
         return AppendEntries(
             term=message.term,
             prev_log_index=self.log.base_index,
@@ -157,7 +160,7 @@
         )
 
     def _probe_hint(self, prev_index: int, own_term: int | None) -> int:
-        """Return where the leader should probe next: before our whole term that conflicts."""
+        """Return the index that the leader should probe next: before all entries of the conflicting term."""
         hint = min(prev_index - 1, self.log.last_index)
         if own_term is not None:
             while hint > self.commit_index and self.log.term_at(hint) == own_term:
