--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -1,7 +1,8 @@
-"""Client of the consensus group, in any proxy.
+"""Client of the consensus group, which runs in every proxy, whether a member or not.
 
-A command is executed once at most, though it may be sent several times: the group keeps the last few answers
-of each client, so no more commands than that are in flight. At most :data:`MAX_PENDING` requests wait.
+A command may be sent several times but is executed at most once, because the group stores the last answers to
+each client. The client therefore has at most :data:`COMMAND_WINDOW` commands in flight. At most
+:data:`MAX_PENDING` requests are pending.
 """
 
 from __future__ import annotations
@@ -22,36 +23,36 @@
     from ..net.deadlines import Deadline, DeadlineQueue
     from .replica import Replica
 
-MAX_PENDING = 64  # requests: half of what a replica takes from one proxy
-COMMAND_WINDOW = ANSWERS_PER_SESSION  # commands from the oldest pending one on
-REPLY_TIMEOUT = 1_000_000  # microseconds for one member to reply before another is asked
-RETRY_DELAY = 50_000  # microseconds before another member is asked who leads, up to twice that at random
-REDIRECT_DELAY = RETRY_DELAY // 10  # where a member has named the leader
+MAX_PENDING = 64  # requests; half of what a replica accepts from one proxy
+COMMAND_WINDOW = ANSWERS_PER_SESSION  # commands in flight, counted from the oldest pending one
+REPLY_TIMEOUT = 1_000_000  # microseconds without a reply before the request is sent to another member
+RETRY_DELAY = 50_000  # microseconds before a request is retried; random jitter may double the delay
+REDIRECT_DELAY = RETRY_DELAY // 10  # used if a member has named the leader
 
 Callback = Callable[[bool, Any], None]
 
 
 @dataclass(eq=False, slots=True)
 class PendingRequest:
-    """A request without a reply; ``until`` in microseconds, ``command_number`` is 0 for a query."""
+    """A request without a reply; ``deadline`` in microseconds; ``command_number`` is 0 for a query."""
 
     number: int
     kind: RequestKind
     fields: list
     callback: Callback
-    until: int
+    deadline: int
     command_number: int = 0
-    member: str = ""  # that was asked last
+    member: str = ""  # the member that received the request last
     timer: Deadline | None = None
 
 
 class Client:
-    """Sends requests to whoever leads the group, and retries elsewhere until a deadline."""
+    """Sends requests to the leader of the group, and retries at other members until a deadline."""
 
     def __init__(
         self, deadlines: DeadlineQueue, now: Callable[[], int], rng: Random, mesh: Mesh, members: list[str]
     ) -> None:
-        """Begin without knowing who leads; ``members`` are the names of the group's proxies."""
+        """Create a client that does not know the leader yet; ``members`` are names of proxies."""
         self.deadlines, self.now, self.rng, self.mesh, self.members = deadlines, now, rng, mesh, members
         self.local: Replica | None = None
         self.leader = ""
@@ -60,20 +61,22 @@
         mesh.handlers[MessageKind.REPLY] = self._receive_reply
 
     def use_local_replica(self, replica: Replica) -> None:
-        """Ask this process's own replica without a link."""
+        """Send requests for this proxy's replica directly, without a link."""
         self.local, replica.deliver_reply = replica, self._deliver_local_reply
 
     def execute(self, part: str, name: str, args: list, callback: Callback, timeout: int) -> bool:
         """Send a command.
 
-        :param callback: called with True and the answer once the command was executed, or with False and None
-            where that is not known within ``timeout`` microseconds: it may have been, or be executed yet.
-        :returns: False where too many requests are pending; nothing is sent then.
+        :param callback: called with True and the answer after the command was executed, or with False and
+            None after ``timeout`` microseconds without a reply. The command may have been executed in that
+            case, or may still be executed.
+        :param timeout: in microseconds.
+        :returns: False if too many requests are pending; the command is not sent then.
         """
         return self._submit(RequestKind.COMMAND, [part, name, args], callback, timeout)
 
     def query(self, part: str, name: str, args: list, callback: Callback, timeout: int) -> bool:
-        """Ask for the state as of now or later; parameters as of :meth:`execute`."""
+        """Query the state at the time of the call or later; the parameters are those of :meth:`execute`."""
         return self._submit(RequestKind.QUERY, [part, name, args], callback, timeout)
 
     def _submit(self, kind: RequestKind, fields: list, callback: Callback, timeout: int) -> bool:
@@ -91,34 +94,34 @@
         return True
 
     def _attempt(self, request: PendingRequest) -> None:
-        """Send a request to whoever is thought to lead, else to a member at random."""
+        """Send a request to the presumed leader or, if there is none, to a random member."""
         if request.number not in self.pending:
             return
         now = self.now()
-        if now >= request.until:
+        if now >= request.deadline:
             return self._finish(request, False, None)
         delay = REPLY_TIMEOUT
         if not self._in_command_window(request):
             delay = RETRY_DELAY
         else:
-            others = [name for name in self.members if name != request.member]
-            known = self.leader in self.members
-            request.member = self.leader if known else self.rng.choice(others or self.members)
+            other_members = [name for name in self.members if name != request.member]
+            leader_known = self.leader in self.members
+            request.member = self.leader if leader_known else self.rng.choice(other_members or self.members)
             if not self._send(request):
                 self.leader = ""
                 delay = RETRY_DELAY
-        request.timer = self.deadlines.call_at(min(request.until, now + delay), self._timed_out, request)
+        request.timer = self.deadlines.call_at(min(request.deadline, now + delay), self._timed_out, request)
 
     def _in_command_window(self, request: PendingRequest) -> bool:
-        """Whether the group would still recognize a command as a retry after those before it."""
-        numbers = [other.command_number for other in self.pending.values() if other.command_number]
-        oldest = min(numbers, default=0)
-        return request.command_number < oldest + COMMAND_WINDOW
+        """Return whether the group still stores enough answers to recognize a retry of the command."""
+        command_numbers = [other.command_number for other in self.pending.values() if other.command_number]
+        oldest_number = min(command_numbers, default=0)
+        return request.command_number < oldest_number + COMMAND_WINDOW
 
     def _send(self, request: PendingRequest) -> bool:
         body = Request(request.number, request.kind, request.fields)
         if self.local is not None and request.member == self.mesh.name:
-            # In a turn of its own: the reply may come within the call.
+            # Called in a separate reactor turn, because the replica may reply within the call.
             self.deadlines.call_at(self.now(), self.local.receive_request, request.member, body, True)
             return True
         return self.mesh.send(request.member, MessageKind.REQUEST, body)
@@ -145,9 +148,11 @@
         if reply.accepted:
             self.leader = sender
             return self._finish(request, True, reply.answer)
-        named = reply.answer
-        other_member = isinstance(named, str) and named in self.members and named != sender
-        self.leader = named if other_member else ""
+        named_leader = reply.answer
+        other_member = (
+            isinstance(named_leader, str) and named_leader in self.members and named_leader != sender
+        )
+        self.leader = named_leader if other_member else ""
         if request.timer is not None:
             request.timer.cancel()
         delay = REDIRECT_DELAY if self.leader else int(RETRY_DELAY * (1 + self.rng.random()))
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -51,9 +51,8 @@
         if self.replica_id in self.configuration.voters:
             self.campaign(now, pre_vote=True)
         else:
-            self.leader = (
-                ""  # this replica may have been removed while it was down: no leader contacts it any more
-            )
+            # This replica may have been removed while it was down: no leader contacts it any more.
+            self.leader = ""
 
     def _heartbeat(self, now: int) -> None:
         self.wake_at = now + self.heartbeat_interval
--- a/ivystack/consensus/environment.py
+++ b/ivystack/consensus/environment.py
@@ -1,4 +1,4 @@
-"""What a replica needs from its process."""
+"""The objects of the process that a replica uses, and the intervals of the protocol."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """Reactor, timers, clock (microseconds), random source and the links to other proxies."""
+    """Reactor, timers, clock (microseconds), random source and the mesh of links to other proxies."""
 
-    reactor: Any  # of Twisted
+    reactor: Any  # a Twisted reactor
     deadlines: DeadlineQueue
     now: Callable[[], int]
     rng: Random
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Intervals of the protocol in microseconds; the election timeout is drawn up to twice as long."""
+    """Intervals of the protocol in microseconds; each election timeout is one to two times the configured."""
 
     heartbeat_interval: int
     election_timeout: int
--- a/ivystack/consensus/errors.py
+++ b/ivystack/consensus/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the consensus group, and the codes by which operators know them.
+"""Errors of the consensus package, and the fault codes that operators see.
 
-The values of the codes appear in log lines, in the operators' status and in directory names: they stay as
-they are.
+The values of the codes appear in log lines, in the status for operators and in directory names, and must not
+change.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 
 class FaultCode(StrEnum):
-    """Why this process is no working replica."""
+    """The reason why this process has no working replica."""
 
-    LOCKED = "taken"  # another process holds the directory's lock
-    UNWRITABLE = "unwritable"  # the directory can't be made or written
-    INCOMPLETE = "lost"  # files are missing, or the directory was not created to its end
-    STALE = "older"  # a copy of a directory, or fewer commits or entries than were acknowledged
-    CORRUPT = "spoilt"  # a digest is wrong
+    LOCKED = "taken"  # another process has locked the directory
+    UNWRITABLE = "unwritable"  # the directory can't be created or written
+    INCOMPLETE = "lost"  # files are missing, or the creation of the directory was interrupted
+    STALE = "older"  # the directory is a copy, or lacks acknowledged commits or entries
+    CORRUPT = "spoilt"  # a record does not match its digest
     NEWER_FORMAT = "newer"  # written by a newer version of the program
-    WRITE_FAILED = "disk"  # final until a restart
-    INTERNAL = "fault"  # an unexpected exception in one of our own steps
+    WRITE_FAILED = "disk"  # a write failed; no write is retried until a restart
+    INTERNAL = "fault"  # an unexpected exception in the replica's code
 
 
 class ConsensusError(Exception):
-    """Base of this package's errors."""
+    """Base class of the errors in this package."""
 
 
 class StorageError(ConsensusError):
-    """The storage directory can't be used as it is; ``code`` says why."""
+    """The storage directory can't be used; ``code`` is the reason."""
 
     def __init__(self, code: FaultCode, text: str) -> None:
         super().__init__(f"{code}: {text}")
@@ -35,12 +35,12 @@
 
 
 class CommittedEntryError(ConsensusError):
-    """An attempt to replace a committed entry: the group's promise would be broken."""
+    """An attempt to replace a committed entry, which would violate the protocol."""
 
 
 class UnknownEntryError(ConsensusError):
-    """An entry or a snapshot that this program does not know: another version wrote it."""
+    """An entry or a snapshot that this program does not know because another version wrote it."""
 
 
 class PropertyViolationError(ConsensusError):
-    """A property of the protocol does not hold in a simulated schedule."""
+    """A simulated schedule violated a property of the protocol."""
--- a/ivystack/consensus/messages.py
+++ b/ivystack/consensus/messages.py
@@ -1,8 +1,8 @@
 """Messages and records of the consensus protocol, and their encoding.
 
-The types carry the names of the Raft paper. On the wire and on disk each one is a MessagePack array without
-field names; messages are told apart by the one-letter ``tag``. Tags and the order of fields are the protocol:
-they may not change without a new :data:`FORMAT_VERSION`.
+The types have the names of the Raft paper. On the wire and on disk each value is a MessagePack array without
+field names; a one-letter ``tag`` identifies the type of a message. Tags and the order of fields are part of
+the format and must not change without a new :data:`FORMAT_VERSION`.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 import msgspec
 from msgspec import Struct
 
-FORMAT_VERSION = 1  # of messages and stored records
+FORMAT_VERSION = 1  # version of the messages and stored records
 
 
 class EntryKind(StrEnum):
-    """What a log entry is for; the values are the stored letters."""
+    """The kind of a log entry; the values are stored in the log."""
 
     DATA = "d"  # a command for the state machine
     CONFIGURATION = "c"  # an encoded Configuration
@@ -31,15 +31,15 @@
     learners: tuple[str, ...] = ()
 
     def all_members(self) -> tuple[str, ...]:
-        """Voters, then learners."""
+        """Return the voters, then the learners."""
         return self.voters + self.learners
 
 
 class Entry(Struct, array_like=True, frozen=True):
     """A log entry.
 
-    ``kind`` is the value of an :class:`EntryKind`. It is not validated on decoding: a kind of a newer version
-    must not make the stored log look corrupt.
+    ``kind`` is the value of an :class:`EntryKind`. Decoding does not validate ``kind``, because a kind that a
+    newer version has written must not make the stored log look corrupt.
     """
 
     term: int
@@ -48,7 +48,7 @@
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
-    """The state machine after the entry at ``index``, with that entry's term and the configuration in use."""
+    """The state machine after the entry at ``index``, the term of that entry and the configuration in use."""
 
     index: int
     term: int
@@ -57,10 +57,10 @@
 
 
 class RequestVote(Struct, array_like=True, tag="v", frozen=True):
-    """Ask for a vote.
+    """A candidate's request for a vote.
 
-    With ``pre_vote`` the receiver only says whether it would vote (thesis, section 9.6).
-    ``leadership_transfer`` marks a candidacy that the present leader asked for.
+    With ``pre_vote`` the receiver replies whether it would grant its vote, without granting it (thesis,
+    section 9.6). ``leadership_transfer`` marks a candidacy that the current leader has requested.
     """
 
     term: int
@@ -71,7 +71,7 @@
 
 
 class VoteReply(Struct, array_like=True, tag="V", frozen=True):
-    """Answer to :class:`RequestVote`."""
+    """Reply to :class:`RequestVote`."""
 
     term: int
     granted: bool
@@ -79,9 +79,9 @@
 
 
 class AppendEntries(Struct, array_like=True, tag="a", frozen=True):
-    """Entries that follow ``prev_log_index``; without entries a heartbeat.
+    """Log entries that follow ``prev_log_index``; a message without entries is a heartbeat.
 
-    ``round`` is the leader's heartbeat round, echoed by the reply: it confirms leadership for reads.
+    ``round`` is the leader's heartbeat round. The reply repeats it, which confirms leadership for reads.
     """
 
     term: int
@@ -93,10 +93,10 @@
 
 
 class AppendEntriesReply(Struct, array_like=True, tag="A", frozen=True):
-    """Answer to :class:`AppendEntries` and :class:`InstallSnapshot`.
+    """Reply to :class:`AppendEntries` and :class:`InstallSnapshot`.
 
-    ``match_index`` is the last index up to which the logs agree; without ``success`` it is a hint where the
-    leader should probe next. ``last_log_index`` is the follower's last entry.
+    ``match_index`` is the last index up to which both logs are equal. Without ``success`` it is a hint: the
+    index that the leader should probe next. ``last_log_index`` is the index of the follower's last entry.
     """
 
     term: int
@@ -107,7 +107,7 @@
 
 
 class InstallSnapshot(Struct, array_like=True, tag="s", frozen=True):
-    """A snapshot for a follower whose next entry the leader has compacted away."""
+    """A snapshot for a follower whose next entry the leader has already compacted."""
 
     term: int
     snapshot: Snapshot
@@ -115,13 +115,13 @@
 
 
 class TimeoutNow(Struct, array_like=True, tag="h", frozen=True):
-    """Leadership transfer: the receiver is to start an election at once."""
+    """Leadership transfer: asks the receiver to start an election at once."""
 
     term: int
 
 
 class DataLossDetected(Struct, array_like=True, tag="o", frozen=True):
-    """The receiver has lost entries that it had acknowledged: it must not vote under this id any more."""
+    """Tells the receiver that it has lost acknowledged entries and must no longer vote under its id."""
 
     term: int
 
--- a/ivystack/consensus/pending_requests.py
+++ b/ivystack/consensus/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests that the leader has taken and not answered yet."""
+"""Requests that the leader has accepted and not answered yet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Requester(NamedTuple):
-    """Who asks: a proxy, and the link to its process; no link for our own process."""
+    """The sender of a request: a proxy and the link to its process, None for the local process."""
 
     name: str
     link: Any
@@ -22,7 +22,7 @@
 
 
 class PendingQuery(NamedTuple):
-    """A query that waits for the confirmation of leadership."""
+    """A query that waits until the leadership of this replica is confirmed."""
 
     requester: Requester
     number: int
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class ReleasedRequest:
-    """A request that is given up here."""
+    """A request that this replica will no longer answer."""
 
     requester: Requester
     number: int
 
 
 class PendingRequests:
-    """Commands by log index, queries by read id, and how many each proxy has."""
+    """Pending commands by log index, pending queries by read id, and the number of both for each proxy."""
 
     def __init__(self) -> None:
         self.commands: dict[int, PendingCommand] = {}
@@ -49,34 +49,34 @@
         return bool(self.commands or self.queries)
 
     def count_of(self, name: str) -> int:
-        """Return how many requests of a proxy are pending."""
+        """Return the number of pending requests of a proxy."""
         return self.counts.get(name, 0)
 
     def add_command(self, index: int, command: PendingCommand) -> None:
-        """Keep a command until the entry at ``index`` is applied."""
+        """Store a command until the entry at ``index`` is applied."""
         self.commands[index] = command
-        self._count(command.requester)
+        self._increment_count(command.requester)
 
     def add_query(self, read_id: int, query: PendingQuery) -> None:
-        """Keep a query until its read is confirmed or has failed."""
+        """Store a query until its read is confirmed or has failed."""
         self.queries[read_id] = query
-        self._count(query.requester)
+        self._increment_count(query.requester)
 
     def pop_command(self, index: int) -> PendingCommand | None:
-        """Remove and return the command of an entry, if a request of ours is behind it."""
+        """Remove and return the command of an entry; None if the entry belongs to no pending request."""
         command = self.commands.pop(index, None)
         if command is not None:
-            self._discount(command.requester)
+            self._decrement_count(command.requester)
         return command
 
     def pop_query(self, read_id: int) -> PendingQuery:
-        """Remove and return a query."""
+        """Remove and return the query of a read."""
         query = self.queries.pop(read_id)
-        self._discount(query.requester)
+        self._decrement_count(query.requester)
         return query
 
     def release(self, confirmed: set[int]) -> list[ReleasedRequest]:
-        """Remove all requests, but for queries that are ``confirmed`` and will be answered yet."""
+        """Remove and return all requests except the ``confirmed`` queries, which are still answered."""
         released = [ReleasedRequest(command.requester, command.number) for command in self.commands.values()]
         self.commands, self.counts = {}, {}
         for read_id in [read_id for read_id in self.queries if read_id not in confirmed]:
@@ -84,10 +84,10 @@
             released.append(ReleasedRequest(query.requester, query.number))
         return released
 
-    def _count(self, requester: Requester) -> None:
+    def _increment_count(self, requester: Requester) -> None:
         self.counts[requester.name] = self.counts.get(requester.name, 0) + 1
 
-    def _discount(self, requester: Requester) -> None:
-        left = self.counts.pop(requester.name, 1) - 1
-        if left > 0:
-            self.counts[requester.name] = left
+    def _decrement_count(self, requester: Requester) -> None:
+        remaining = self.counts.pop(requester.name, 1) - 1
+        if remaining > 0:
+            self.counts[requester.name] = remaining
--- a/ivystack/consensus/records.py
+++ b/ivystack/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records that the consensus core exchanges with its caller, and a replica's roles."""
+"""Records that the Raft core exchanges with its caller, and the roles of a replica."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Role(StrEnum):
-    """What a replica is in its present term; the values appear in the operators' status."""
+    """The role of a replica in its current term; the values appear in the status for operators."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -18,10 +18,10 @@
 
 @dataclass
 class WriteBatch:
-    """What has to be durable, written atomically.
+    """Changes that must be written atomically and made durable.
 
     ``entries`` replace all stored entries from ``first_index`` on; entries before ``retained_from`` are
-    deleted. A ``snapshot`` stands for all entries up to its own index.
+    deleted. ``snapshot`` covers all entries up to its index.
     """
 
     number: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Proposal:
-    """Where the leader has put a proposed entry: it is committed if that index is, in that term."""
+    """Index and term of a proposed entry, which is committed once this index is committed in this term."""
 
     index: int
     term: int
@@ -43,23 +43,23 @@
 
 @dataclass
 class Ready:
-    """What the caller has to do next, in this order.
+    """Work for the caller, to be done in this order.
 
-    Restore the state machine from ``restore``, write ``batch``, send ``messages``, apply ``committed``, then
-    answer the reads of ``confirmed_reads``. ``failed_reads`` must be asked again elsewhere. Where it is
-    ``withdrawn``, this replica may not take part any more.
+    Load ``restore`` into the state machine, write ``batch``, send ``messages``, apply ``committed``, then
+    answer the reads in ``confirmed_reads``. Clients must retry the reads in ``failed_reads`` elsewhere. A
+    ``withdrawn`` replica must not take part in the group any more.
     """
 
     batch: WriteBatch | None = None
-    messages: list[tuple[str, Message]] = field(default_factory=list)  # by receiver's id
+    messages: list[tuple[str, Message]] = field(default_factory=list)  # with the receiver's id
     restore: Snapshot | None = None
-    committed: list[tuple[int, Entry]] = field(default_factory=list)  # by index
+    committed: list[tuple[int, Entry]] = field(default_factory=list)  # with the index
     confirmed_reads: list[int] = field(default_factory=list)  # read ids
     failed_reads: list[int] = field(default_factory=list)  # read ids
     withdrawn: bool = False
 
     def is_empty(self) -> bool:
-        """Whether nothing is left to be done."""
+        """Return whether there is no batch, message, committed entry or read."""
         return not (
             self.batch or self.messages or self.committed or self.confirmed_reads or self.failed_reads
         )
@@ -67,12 +67,12 @@
 
 @dataclass
 class Progress:
-    """A leader's view of one follower; times in microseconds."""
+    """A leader's view of one follower; times are in microseconds."""
 
     next_index: int
     match_index: int = 0
     last_reply_at: int = 0
-    acked_round: int = 0  # the latest heartbeat round that it has answered
-    match_round: int = 0  # our round when `match_index` rose last
-    probing: bool = True  # one message at a time until it answers
-    sent_commit: int = -1  # the commit index that it was last sent
+    acked_round: int = 0  # the latest heartbeat round that the follower has answered
+    match_round: int = 0  # the leader's round when `match_index` last increased
+    probing: bool = True  # send one message at a time until the follower accepts one
+    sent_commit: int = -1  # the commit index in the last message to the follower
--- a/ivystack/consensus/replica.py
+++ b/ivystack/consensus/replica.py
@@ -1,7 +1,7 @@
-"""A member of the consensus group in a proxy: carries messages, disk and time between core and process.
+"""A replica of the consensus group in a proxy: connects the Raft core to mesh, storage, timers and clients.
 
-A replica here is no copy of a key. Storage is used on other threads. No command is answered before its entry
-is applied. A replica whose disk or own steps have failed withdraws for the rest of the process.
+In this package a replica is a member of the group, not a copy of a cached key. Storage runs on other threads.
+A command is answered after its entry is applied. After a failed write or step it withdraws until a restart.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from .storage import Storage, StoredState
 from .wire import Envelope, MessageKind, Reply, Request, RequestKind
 
-REOPEN_DELAY = 1_000_000  # microseconds until a directory that can't be used is tried again
-SNAPSHOT_INTERVAL = 1024  # applied entries: bounds what a restart replays
-MAX_COMMAND_BYTES = 32_768  # entries have to fit a message together, or no follower would ever get them
-MAX_PENDING_PER_PROXY = 128  # requests; a proxy's own client sends half of it
-APPLY_BATCH = 64  # entries in one turn of the reactor: well under a millisecond with their answers
+REOPEN_DELAY = 1_000_000  # microseconds before an unusable directory is opened again
+SNAPSHOT_INTERVAL = 1024  # applied entries; bounds the number that a restart replays
+MAX_COMMAND_BYTES = 32_768  # entries must fit a message together, or they never reach a follower
+MAX_PENDING_PER_PROXY = 128  # requests; the client in each proxy sends at most half as many
+APPLY_BATCH = 64  # entries per reactor turn: well under a millisecond, replies included
 RECOVERABLE = (FaultCode.INCOMPLETE, FaultCode.STALE, FaultCode.CORRUPT)  # by rejoining as a new replica
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedEntry:
-    """An entry that waits to be applied."""
+    """A committed entry that is not applied yet."""
 
     index: int
     entry: Entry
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedRead:
-    """A query that may be answered once all entries before it in the backlog are applied."""
+    """A query that may be answered after all entries before it in the backlog are applied."""
 
     read_id: int
 
 
 class Replica:
-    """This process's replica; without a core while its storage is unusable or it has withdrawn."""
+    """The replica of this process; ``core`` is None while the storage is unusable and after a withdrawal."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         state_machine: StateMachine,
         timing: Timing,
     ) -> None:
-        """Prepare the replica of proxy ``name``; ``configured_members`` are the names in the file's order."""
+        """Create the replica of proxy ``name``; ``configured_members`` are names in the file's order."""
         self.env, self.mesh, self.timing = env, env.mesh, timing
         self.name, self.configured_members, self.directory = name, configured_members, directory
         self.state_machine = state_machine
@@ -71,41 +71,41 @@
         self.core: Core | None = None
         self.id = ""
         self.opening = True
-        self.fault: FaultCode | None = None  # why there is no core
+        self.fault: FaultCode | None = None  # the reason why there is no core
         self.stopped = False
         self.pending = PendingRequests()
-        self.request_count = 0  # of read ids, and of our own commands
+        self.request_count = 0  # number of the latest read or locally proposed command
         self.backlog: list[CommittedEntry | ConfirmedRead] = []
         self.applied_index = 0
         self.applied_since_snapshot = 0
         self.known_leader = ""
         self.membership = MembershipManager(self)
         self._tick_timer: Deadline | None = None
-        self.state_observers: list[Callable[[], None]] = []  # called after each change of the state
+        self.state_observers: list[Callable[[], None]] = []  # called after each change of the state machine
         self.deliver_reply = self.send_reply
-        # Whether a process (name/incarnation) may ask for (part, name, args).
+        # Returns whether a process (name/incarnation) may send a request (part, name, args).
         self.authorize: Callable[[str, Any, Any, Any], bool] = lambda client, part, name, args: True
-        # Called with part, name, args and answer of each query that was answered.
+        # Called with part, name, args and answer of each answered query.
         self.query_answered: Callable[[str, str, list, Any], None] = lambda part, name, args, answer: None
         self.mesh.handlers[MessageKind.RAFT] = self.receive_raft
         self.mesh.handlers[MessageKind.ANNOUNCEMENT] = self.membership.receive
         self.mesh.handlers[MessageKind.REQUEST] = self.receive_request
 
-    # --- Start and end ---
+    # --- Start and stop ---
 
     def start(self) -> None:
-        """Open the storage on a thread, then take part in the group."""
+        """Open the storage on another thread, then join the group."""
         self.env.reactor.callInThread(self._open_storage)
 
     def stop(self) -> None:
-        """End; what was given to the storage is written first."""
+        """Stop the replica after its queued write batches are written."""
         self.stopped = True
-        self._end_core()
+        self._stop_core()
         if self.storage is not None:
             self.storage.stop()
 
     def transfer_leadership(self) -> None:
-        """Hand leadership over before a planned end."""
+        """Transfer leadership to another replica, if this one leads, before a planned shutdown."""
         if self.core is not None and self.core.role == Role.LEADER:
             self.core.transfer_leadership(self.env.now())
             self.process_ready()
@@ -125,7 +125,7 @@
         except StorageError as error:
             storage.close()
             call_in_reactor(self._open_failed, error)
-        except Exception as error:  # a directory that can't be renamed, whatever else a disk may do
+        except Exception as error:  # the directory can't be renamed, or another disk error
             storage.close()
             failure = StorageError(FaultCode.UNWRITABLE, f"{self.directory}: {error}")
             call_in_reactor(self._open_failed, failure)
@@ -134,12 +134,12 @@
 
     def _report_set_aside(self, reason: str, aside: Path) -> None:
         logger.error(
-            "group: storage is unusable: {}; moved to {}, this proxy rejoins as a new replica", reason, aside
+            "group: storage unusable, rejoining as a new replica: {}; directory moved to {}", reason, aside
         )
 
     def _open_failed(self, error: StorageError) -> None:
         if self.fault != error.code:
-            logger.error("group: replica can't start code={} {}", error.code, error)
+            logger.error("group: could not open the replica's storage code={} {}", error.code, error)
         self.fault = error.code
         if error.code != FaultCode.NEWER_FORMAT and not self.stopped:
             self.env.deadlines.call_at(self.env.now() + REOPEN_DELAY, self.start)
@@ -152,7 +152,7 @@
         storage.start()
         last_index = stored.snapshot.index + len(stored.entries)
         self._start_core(stored)
-        if self.core is None:  # its state is of a newer version
+        if self.core is None:  # the snapshot was written by a newer version
             return
         logger.info("group: replica started member={} term={} entries={}", self.id, stored.term, last_index)
         self.membership.run()
@@ -176,21 +176,21 @@
         self._withdraw(FaultCode.WRITE_FAILED, reason)
 
     def _withdraw(self, code: FaultCode, reason: str) -> None:
-        """Take no more part in the group, for the rest of the process."""
+        """Leave the group until the process restarts."""
         if self.fault == code:
             return
-        logger.error("group: replica withdrawn until a restart code={} {}", code, reason)
+        logger.error("group: replica withdrawn until the proxy restarts code={} {}", code, reason)
         self.fault = code
         self._release_requests()
-        self._end_core()
+        self._stop_core()
 
-    def _end_core(self) -> None:
+    def _stop_core(self) -> None:
         self.core = None
         if self._tick_timer is not None:
             self._tick_timer.cancel()
 
     def process_ready(self) -> None:
-        """Carry out what the core wants done, and wake it when it is due."""
+        """Execute the work that the core has ready, and schedule its next tick."""
         if self.core is not None:
             self._run_or_withdraw(self._drain_ready)
         if self.core is not None:
@@ -199,7 +199,7 @@
             self._tick_timer = self.env.deadlines.call_at(self.core.wake_at, self._tick)
 
     def _run_or_withdraw(self, call: Callable, *args: Any) -> None:
-        """Withdraw if a step fails: a replica may not go on with half of one."""
+        """Call a function; withdraw if it fails, because it may have been executed in part."""
         try:
             call(*args)
         except UnknownEntryError as error:
@@ -217,15 +217,15 @@
         while self.core is not None:
             ready = self.core.take_ready(self.env.now())
             if ready.withdrawn:
-                reason = "the group has had more entries from us than our disk holds"
+                reason = "the disk has lost entries that this replica had acknowledged"
                 return self._withdraw(FaultCode.STALE, reason)
-            self._carry_out(ready)
+            self._handle_ready(ready)
             if ready.is_empty():
                 break
-        self._apply_some()
+        self._apply_batch()
         self._observe_leadership()
 
-    def _carry_out(self, ready: Ready) -> None:
+    def _handle_ready(self, ready: Ready) -> None:
         if ready.restore is not None:
             self.backlog = []
             self._restore(ready.restore)
@@ -245,8 +245,8 @@
             self.core.handle_written(number, self.env.now())
             self.process_ready()
 
-    def _apply_some(self) -> None:
-        """Apply a part of the backlog; the rest in later turns, so that no turn takes long."""
+    def _apply_batch(self) -> None:
+        """Apply up to APPLY_BATCH items of the backlog; later reactor turns apply the rest."""
         if self.core is None or not self.backlog:
             return
         batch, self.backlog = self.backlog[:APPLY_BATCH], self.backlog[APPLY_BATCH:]
@@ -261,10 +261,10 @@
             self.core.compact(self.applied_index, self.state_machine.dump())
         self._notify_observers()
         if self.backlog:
-            self.env.reactor.callLater(0, self._apply_more)
+            self.env.reactor.callLater(0, self._apply_next_batch)
 
-    def _apply_more(self) -> None:
-        self._run_or_withdraw(self._apply_some)
+    def _apply_next_batch(self) -> None:
+        self._run_or_withdraw(self._apply_batch)
         self.process_ready()
 
     def _apply(self, index: int, entry: Entry) -> None:
@@ -273,7 +273,7 @@
         command = self.pending.pop_command(index)
         if command is not None and command.term == entry.term:
             self.deliver_reply(command.requester, Reply(command.number, True, answer))
-        elif command is not None:  # another leader's entry took its place
+        elif command is not None:  # another leader's entry has replaced the command's
             self._reject(command.requester, command.number)
         self.applied_since_snapshot += 1
 
@@ -282,7 +282,7 @@
         part, name, args = query.fields
         try:
             answer = self.state_machine.query(part, name, args)
-        except (KeyError, TypeError, ValueError, IndexError):  # no query that we know
+        except (KeyError, TypeError, ValueError, IndexError):  # an unknown query
             answer = None
         self.query_answered(part, name, args, answer)
         self.deliver_reply(query.requester, Reply(query.number, True, answer))
@@ -309,7 +309,7 @@
     # --- Messages and requests ---
 
     def receive_raft(self, sender: str, body: Any) -> None:
-        """Pass a message of another replica to the core."""
+        """Pass a message from another replica to the core."""
         if not self.membership.is_member_name(sender):
             return
         envelope = msgspec.convert(body, Envelope)
@@ -318,13 +318,13 @@
             self._run_or_withdraw(self.core.receive, self.env.now(), envelope.sender, envelope.message)
             self.process_ready()
 
-    def receive_request(self, sender: str, body: Any, own: bool = False) -> None:
-        """Take a request where this replica leads; ``own``: it comes from this very process."""
+    def receive_request(self, sender: str, body: Any, local: bool = False) -> None:
+        """Process a request if this replica leads; ``local``: the request comes from this process."""
         request = msgspec.convert(body, Request)
-        requester = Requester(sender, None if own else self.mesh.current_link)
+        requester = Requester(sender, None if local else self.mesh.current_link)
         if self.core is None or self.core.role != Role.LEADER:
             return self._reject(requester, request.number)
-        if not self._allowed(request, requester):
+        if not self._is_allowed(request, requester):
             self.mesh.count_drop(DropCode.NOT_ALLOWED, sender)
             return self.deliver_reply(requester, Reply(request.number, True, None))
         if self.pending.count_of(sender) >= MAX_PENDING_PER_PROXY:
@@ -341,8 +341,8 @@
             self.core.read(self.request_count)
         self.process_ready()
 
-    def _allowed(self, request: Request, requester: Requester) -> bool:
-        """Whether a request is well-formed and in the name of the process that sent it."""
+    def _is_allowed(self, request: Request, requester: Requester) -> bool:
+        """Return whether a request is well-formed and carries the client id of the process that sent it."""
         incarnation = self.mesh.incarnation if requester.link is None else requester.link.incarnation
         client = f"{requester.name}/{incarnation}"
         if request.kind == RequestKind.COMMAND:
@@ -354,35 +354,35 @@
         return self.authorize(client, *request.fields[-3:])
 
     def propose(self, part: str, name: str, args: list) -> None:
-        """Propose a command of our own as leader: an entry of the present term, or none."""
+        """Propose a command of this replica in the current term; do nothing if it does not lead."""
         if self.core is None:
             return
         self.request_count += 1
-        # Term and number are in the client's name, so that none ever repeats.
+        # The client id contains the term, so that no pair of client id and number ever repeats.
         client = f"{self.id} {self.core.term}"
         if self.core.propose(encode((client, self.request_count, part, name, args))) is not None:
             self.process_ready()
 
     def _reject(self, requester: Requester, number: int) -> None:
-        """Name the leader, if another is known, in place of an answer."""
+        """Reject a request and name the leader, if another replica is known to lead."""
         leader = proxy_name(self.core.leader) if self.core is not None else ""
         self.deliver_reply(requester, Reply(number, False, leader if leader != self.name else ""))
 
     def _release_requests(self) -> None:
-        """Reject all pending requests: their proxies retry elsewhere, and commands are executed once."""
+        """Reject all pending requests, which clients retry elsewhere; commands are still executed once."""
         confirmed = {item.read_id for item in self.backlog if isinstance(item, ConfirmedRead)}
         for request in self.pending.release(confirmed):
             self._reject(request.requester, request.number)
 
     def send_reply(self, requester: Requester, reply: Reply) -> None:
-        """Send a reply to the very process that asked: in a hot restart two have its name."""
+        """Send a reply to the requesting process; in a hot restart two processes share a proxy name."""
         if requester.link is not None:
             self.mesh.reply(requester.link, MessageKind.REPLY, reply)
 
     def status(self) -> dict[str, Any]:
-        """Return the operators' view as plain values."""
-        off = self.fault.value if self.fault is not None else ("opening" if self.opening else "")
-        status: dict[str, Any] = {"id": self.id, "off": off}
+        """Return the replica's state for operators, as plain values."""
+        off_reason = self.fault.value if self.fault is not None else ("opening" if self.opening else "")
+        status: dict[str, Any] = {"id": self.id, "off": off_reason}
         core, storage = self.core, self.storage
         if core is not None and storage is not None:
             status |= {
--- a/ivystack/consensus/state_machine.py
+++ b/ivystack/consensus/state_machine.py
@@ -1,8 +1,9 @@
-"""The replicated state machine: what follows from the committed entries, alike at every replica.
+"""The replicated state machine, which executes the commands of committed entries at every replica.
 
-It consists of named parts and remembers its last answers to each client, so that a retried command is
-executed once. No clock, no random source and no order that is not in the entries may enter here. An unknown
-entry stops the replica: guessing would let the replicas' states differ.
+The state machine consists of named parts. It stores the last answers to each client, so that a retried
+command is executed once. Execution must be deterministic: it must not depend on a clock, a random source or any
+order that the entries do not define. An unknown entry stops the replica, because the states of the replicas
+could differ otherwise.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from .errors import UnknownEntryError
 
 SNAPSHOT_VERSION = 1
-MAX_SESSIONS = 2048  # clients whose answers are kept: a thousand proxies, old and new process of each
-ANSWERS_PER_SESSION = 4  # kept for retries, and so the commands that a client may have in flight
-MAX_STATE_BYTES = 131_072  # of all parts: a snapshot has to fit a message between proxies
+MAX_SESSIONS = 2048  # clients with stored answers: an old and a new process of each of a thousand proxies
+ANSWERS_PER_SESSION = 4  # stored for retries; also limits the commands that a client may have in flight
+MAX_STATE_BYTES = 131_072  # of all parts together; a snapshot must fit a message between proxies
 MAX_CLIENT_ID_LENGTH = 160
 
 
 class Command(NamedTuple):
-    """A command as it stands in an entry; ``number`` rises with each command of a client."""
+    """A command as stored in a log entry; ``number`` increases with each command of a client."""
 
     client: str
     number: int
@@ -32,21 +33,21 @@
 
 
 class Part(Protocol):
-    """A part of the state; ``COMMANDS`` names what :meth:`execute` knows."""
+    """A part of the state machine; ``COMMANDS`` lists the commands that :meth:`execute` accepts."""
 
     COMMANDS: tuple[str, ...]
 
     def execute(self, name: str, args: list) -> Any:
-        """Change the state by a command and return the answer."""
+        """Execute a command, which may change the state, and return the answer."""
 
     def query(self, name: str, args: list) -> Any:
-        """Return an answer without changing the state."""
+        """Answer a query without changing the state."""
 
     def dump(self) -> Any:
         """Return the state as plain values, for a snapshot."""
 
     def load(self, dumped: Any) -> None:
-        """Replace the state by a dumped one; an empty dict is the initial state."""
+        """Replace the state by the result of :meth:`dump`; an empty dict is the initial state."""
 
 
 class KeyValueTable:
@@ -69,13 +70,12 @@
         self.size = 0  # bytes of all values
 
     def execute(self, name: str, args: list) -> Any:
-        """Execute ``set`` key, value, expected version.
+        """Execute the command ``set``.
 
-        The expected version is the present one, 0 for a key that does not exist, or None for any. An empty
-        value deletes the key.
-
-        :returns: whether it was done, and the version afterwards.
-        :raises KeyError: another command.
+        :param args: key, value and expected version. The expected version is 0 for a key that does not
+            exist; None accepts any version. An empty value deletes the key.
+        :returns: whether the value was set, and the key's version afterwards.
+        :raises KeyError: ``name`` is another command.
         """
         if name != "set":
             raise KeyError(name)
@@ -95,9 +95,10 @@
         return [True, version + 1 if value else 0]
 
     def query(self, name: str, args: list) -> Any:
-        """Answer ``get`` key: its value and version, ``b""`` and 0 where there is none.
+        """Answer the query ``get`` for a key.
 
-        :raises KeyError: another query.
+        :returns: the key's value and version; ``b""`` and 0 if the key does not exist.
+        :raises KeyError: ``name`` is another query.
         """
         if name != "get":
             raise KeyError(name)
@@ -114,17 +115,17 @@
 
 
 class StateMachine:
-    """The parts of the state, by name, and the last answers by client."""
+    """The parts of the state by name, and the last answers by client."""
 
     def __init__(self, **parts: Part) -> None:
         self.parts: dict[str, Part] = {"table": KeyValueTable(), **parts}
         self.answers: OrderedDict[str, dict[int, Any]] = OrderedDict()  # least recently used client first
 
     def apply(self, data: bytes) -> Any:
-        """Execute an entry's command, or return its answer again if it was executed before.
+        """Execute the command of an entry, or return the stored answer if it was executed before.
 
-        :returns: the answer; None for a command that failed, or is older than the answers kept.
-        :raises UnknownEntryError: the entry holds no command that this program knows.
+        :returns: the answer; None for a command that failed or is older than the stored answers.
+        :raises UnknownEntryError: the entry does not contain a command that this program knows.
         """
         command = self._decode(data)
         answers = self.answers.setdefault(command.client, {})
@@ -132,10 +133,10 @@
         if command.number in answers:
             return answers[command.number]
         if answers and command.number < min(answers) and len(answers) >= ANSWERS_PER_SESSION:
-            return None  # nobody waits for it any more; executed or not, it is not executed again
+            return None  # no client waits for this command any more; it must not be executed again
         try:
             answer = self.parts[command.part].execute(command.name, command.args)
-        except Exception:  # it fails alike at every replica, and must stop none
+        except Exception:  # the command fails at every replica in the same way and must not stop them
             answer = None
         answers[command.number] = answer
         while len(answers) > ANSWERS_PER_SESSION:
@@ -150,11 +151,11 @@
         except msgspec.MsgspecError:
             fields = None
         if not isinstance(fields, list) or not self.accepts(fields):
-            raise UnknownEntryError(f"an entry that we do not know: {str(fields)[:80]}")
+            raise UnknownEntryError(f"log entry contains an unknown command: {str(fields)[:80]}")
         return Command(*fields)
 
     def accepts(self, fields: list) -> bool:
-        """Whether these are a command's fields; an entry of anything else would stop every replica."""
+        """Return whether the fields form a known command; an entry with others would stop every replica."""
         if len(fields) != 5:
             return False
         client, number, part, name, args = fields
@@ -163,23 +164,28 @@
         return valid_client and isinstance(number, int) and known and isinstance(args, list)
 
     def query(self, part: str, name: str, args: list) -> Any:
-        """Ask a part; raises whatever it raises for a query that it does not know."""
+        """Answer a query of a part.
+
+        Exceptions of the part, for instance for an unknown query, are passed on.
+        """
         return self.parts[part].query(name, args)
 
     def dump(self) -> bytes:
-        """Encode the whole state, for a snapshot."""
+        """Encode the complete state, for a snapshot."""
         parts = {name: part.dump() for name, part in self.parts.items()}
         answers = [[client, [*known.items()]] for client, known in self.answers.items()]
         return msgspec.msgpack.encode([SNAPSHOT_VERSION, parts, answers])
 
     def load(self, data: bytes) -> None:
-        """Replace the state by a snapshot's; ``b""`` is the initial state.
+        """Replace the state by that of a snapshot; ``b""`` is the initial state.
 
-        :raises UnknownEntryError: a newer version wrote it.
+        :raises UnknownEntryError: a newer version of this program wrote the snapshot.
         """
         version, parts, answers = msgspec.msgpack.decode(data) if data else (SNAPSHOT_VERSION, {}, [])
         if version != SNAPSHOT_VERSION or {*parts} - {*self.parts}:
-            raise UnknownEntryError(f"a snapshot of version {version} with {', '.join(parts)}")
+            raise UnknownEntryError(
+                f"snapshot has unknown version {version} or unknown parts: {', '.join(parts)}"
+            )
         for name, part in self.parts.items():
             part.load(parts.get(name, {}))
         self.answers = OrderedDict((client, dict(known)) for client, known in answers)
--- a/ivystack/consensus/storage.py
+++ b/ivystack/consensus/storage.py
@@ -1,8 +1,9 @@
-"""Durable storage of a replica: SQLite with full sync, written by a thread of its own.
+"""Durable storage of a replica: an SQLite database with full sync, written by a separate thread.
 
-A directory belongs to one process at a time and to one incarnation of a replica for ever. Each record is
-stored with a digest; a directory that is damaged, incomplete or a copy is reported, never repaired. A failed
-write is final: the kernel may drop what it could not write and report success for the next sync.
+A directory is used by one process at a time, and only ever by one incarnation of a replica. Each record is
+stored with a digest. A directory that is damaged, incomplete or a copy is reported, never repaired. After a
+failed write nothing more is written, because the kernel may drop the unwritten data and report success for
+the next sync.
 """
 
 from __future__ import annotations
@@ -47,14 +48,14 @@
     write_commit_count,
 )
 
-MAX_BATCHES_PER_COMMIT = 64  # those queued while the last commit was synced share the next one
+MAX_BATCHES_PER_COMMIT = 64  # batches queued during a sync share the next commit
 STOP_TIMEOUT_S = 5
-RETAINED_DIRECTORIES = 2  # unusable directories kept for inspection
+RETAINED_DIRECTORIES = 2  # number of unusable directories that are kept for inspection
 
 
 @dataclass
 class StoredState:
-    """What a directory holds; ``was_member``: this replica has belonged to a group."""
+    """The stored state of a replica; ``was_member``: the replica has been a member of a group."""
 
     incarnation: str
     term: int
@@ -71,15 +72,18 @@
 
 
 class Storage:
-    """The storage directory of one replica: opened once, then written by :meth:`save` until :meth:`stop`."""
+    """The storage directory of one replica.
+
+    The owner calls :meth:`open` and :meth:`start`, then :meth:`save` for each batch, then :meth:`stop`.
+    """
 
     def __init__(
         self, directory: Path, call_in_owner: Callable[..., None], on_failure: Callable[[str], None]
     ) -> None:
-        """Prepare storage in ``directory`` without touching it.
+        """Create the storage object without accessing ``directory``.
 
-        :param call_in_owner: ``call_in_owner(function, *args)`` runs a function on the owner's thread.
-        :param on_failure: called there once, with the reason, when a write has failed.
+        :param call_in_owner: ``call_in_owner(function, *args)`` calls a function on the owner's thread.
+        :param on_failure: called once on the owner's thread, with the reason, after a write has failed.
         """
         self.directory, self.call_in_owner, self.on_failure = directory, call_in_owner, on_failure
         self.database_path = directory / DATABASE_FILE
@@ -89,17 +93,17 @@
         self.batches_written = self.syncs = 0
         self.slowest_sync_s = 0.0
         self._jobs: queue.SimpleQueue[_Job | None] = queue.SimpleQueue()
-        self._stop_seen = False
+        self._stop_received = False
         self._thread: threading.Thread | None = None
         self._lock_file: IO[str] | None = None
-        self._opened_files: tuple[tuple[int, int], int] | None = None  # which files the thread opened
+        self._opened_files: tuple[tuple[int, int], int] | None = None  # _current_files() when opened
 
     def open(self) -> StoredState:
-        """Lock the directory and read or create its content.
+        """Lock the directory, then read its content, or create the files if there are none.
 
-        :raises StorageError: the directory is unusable; nothing in it has changed.
+        :raises StorageError: the directory is unusable; its content is unchanged.
         """
-        self._take_lock()
+        self._acquire_lock()
         if not self.marker_path.exists() and not self.database_path.exists():
             return self._create()
         try:
@@ -110,22 +114,22 @@
             raise StorageError(FaultCode.INCOMPLETE, f"{error.filename}: {error.strerror}") from None
 
     def set_aside(self, code: FaultCode) -> Path:
-        """Rename an unusable directory, so that it can be inspected; only the last few are kept.
+        """Rename the unusable directory for inspection, and delete all but the latest such directories.
 
-        :returns: its new path.
-        :raises OSError: it can't be renamed.
+        :returns: the new path of the directory.
+        :raises OSError: the directory can't be renamed.
         """
-        aside = self.directory.with_name(f"{self.directory.name}.{code}-{time.time_ns() // 1_000_000}")
+        moved_to = self.directory.with_name(f"{self.directory.name}.{code}-{time.time_ns() // 1_000_000}")
         self.close()
-        os.rename(self.directory, aside)
+        os.rename(self.directory, moved_to)
         retained = sorted(
-            aside.parent.glob(f"{self.directory.name}.*-*"), key=lambda path: path.stat().st_mtime
+            moved_to.parent.glob(f"{self.directory.name}.*-*"), key=lambda path: path.stat().st_mtime
         )
         for old in retained[:-RETAINED_DIRECTORIES]:
             for file in old.iterdir():
                 file.unlink()
             old.rmdir()
-        return aside
+        return moved_to
 
     def start(self) -> None:
         """Start the writer thread."""
@@ -133,11 +137,14 @@
         self._thread.start()
 
     def save(self, batch: WriteBatch, on_written: Callable[[int], None]) -> None:
-        """Write a batch atomically, then call ``on_written`` with its number on the owner's thread."""
+        """Queue a batch, which is written atomically.
+
+        :param on_written: called with the batch's number on the owner's thread once the batch is durable.
+        """
         self._jobs.put(_Job(batch, on_written))
 
     def stop(self) -> None:
-        """Write what is queued, then end the thread and unlock the directory."""
+        """Write all queued batches, stop the writer thread and unlock the directory."""
         if self._thread is not None:
             self._jobs.put(None)
             self._thread.join(STOP_TIMEOUT_S)
@@ -149,7 +156,7 @@
         if lock_file is not None:
             lock_file.close()
 
-    def _take_lock(self) -> None:
+    def _acquire_lock(self) -> None:
         try:
             self.directory.mkdir(parents=True, exist_ok=True)
             self._lock_file = open(self.directory / LOCK_FILE, "a")  # noqa: SIM115
@@ -162,22 +169,22 @@
             raise StorageError(FaultCode.UNWRITABLE, f"{self.directory}: {error.strerror}") from None
 
     def _create(self) -> StoredState:
-        incarnation, empty = secrets.token_hex(4), Snapshot(0, 0, Configuration())
+        incarnation, empty_snapshot = secrets.token_hex(4), Snapshot(0, 0, Configuration())
         try:
             with closing(connect(self.database_path)) as connection:
                 connection.executescript(TABLES)
                 put_record(connection, "head", encode(Head(FORMAT_VERSION, "", 0, 0, 0)))
-                put_record(connection, "snapshot", encode(empty))
+                put_record(connection, "snapshot", encode(empty_snapshot))
                 with open(self.counter_path, "xb") as counter, open(self.marker_path, "xb") as marker:
                     write_commit_count(counter.fileno(), 0)
                     os.fsync(marker.fileno())
                 sync_directory(self.directory)
-                # Last: a directory without it counts as incomplete.
+                # The identity is stored last: a directory without it is treated as incomplete.
                 identity = Identity(FORMAT_VERSION, incarnation, *marker_stat(self.marker_path))
                 put_record(connection, "identity", encode(identity))
         except (OSError, sqlite3.Error) as error:
             raise StorageError(FaultCode.UNWRITABLE, f"{self.directory}: {error}") from None
-        return StoredState(incarnation, 0, "", empty, [], False)
+        return StoredState(incarnation, 0, "", empty_snapshot, [], False)
 
     def _read(self) -> StoredState:
         marker = marker_stat(self.marker_path)
@@ -198,10 +205,14 @@
 
     def _read_identity(self, connection: sqlite3.Connection, marker: tuple[int, int]) -> Identity:
         if connection.execute("SELECT 1 FROM kept WHERE name = 'identity'").fetchall() == []:
-            raise StorageError(FaultCode.INCOMPLETE, f"{self.directory}: its creation was interrupted")
+            raise StorageError(
+                FaultCode.INCOMPLETE, f"{self.directory}: creation of the directory was interrupted"
+            )
         identity = decode_identity(get_record(connection, "identity", self.database_path))
         if (identity.marker_inode, identity.marker_changed_ns) != marker:
-            raise StorageError(FaultCode.STALE, f"{self.directory}: a copy; what it lacks can't be known")
+            raise StorageError(
+                FaultCode.STALE, f"{self.directory}: the directory is a copy and may lack later entries"
+            )
         return identity
 
     def _read_head(self, connection: sqlite3.Connection, acknowledged: int) -> Head:
@@ -209,11 +220,11 @@
         head = decode_head(get_record(connection, "head", path))
         self.commit_count = head.commit_count
         if head.version != FORMAT_VERSION:
-            text = f"{path}: version {head.version}, this program reads {FORMAT_VERSION}"
+            text = f"{path}: format version is {head.version}, this program reads version {FORMAT_VERSION}"
             raise StorageError(FaultCode.NEWER_FORMAT, text)
-        # One more than acknowledged: the process ended between the commit and the counter.
+        # One more than acknowledged: the process ended after the commit, before the counter was written.
         if not acknowledged <= head.commit_count <= acknowledged + 1:
-            text = f"{path}: {head.commit_count} commits, {acknowledged} were acknowledged"
+            text = f"{path}: storage has {head.commit_count} commits, but {acknowledged} were acknowledged"
             raise StorageError(FaultCode.STALE, text)
         return head
 
@@ -225,13 +236,16 @@
             "SELECT at, value, digest FROM entry WHERE at > ? ORDER BY at", (snapshot_index,)
         )
         for index, value, stored_digest in rows:
-            expected = snapshot_index + len(entries) + 1
-            if index != expected or digest(f"entry {index}", value) != stored_digest:
-                raise StorageError(FaultCode.CORRUPT, f"{self.database_path}: entry {expected}")
+            expected_index = snapshot_index + len(entries) + 1
+            if index != expected_index or digest(f"entry {index}", value) != stored_digest:
+                raise StorageError(
+                    FaultCode.CORRUPT,
+                    f"{self.database_path}: log entry {expected_index} is missing or damaged",
+                )
             entries.append(decode_entry(value))
-        found = snapshot_index + len(entries)
-        if last_index != found:
-            text = f"{self.database_path}: entries end at {found}, not {last_index}"
+        last_stored_index = snapshot_index + len(entries)
+        if last_index != last_stored_index:
+            text = f"{self.database_path}: last log entry is {last_stored_index}, expected {last_index}"
             raise StorageError(FaultCode.CORRUPT, text)
         return entries
 
@@ -255,20 +269,20 @@
                         resource.close()
 
     def _next_jobs(self) -> list[_Job]:
-        """Wait for a job and take those queued behind it; empty once the thread is to end."""
+        """Wait for a job and return it with the jobs queued after it; return none after :meth:`stop`."""
         jobs: list[_Job] = []
-        while not self._stop_seen and (
+        while not self._stop_received and (
             not jobs or (len(jobs) < MAX_BATCHES_PER_COMMIT and not self._jobs.empty())
         ):
             job = self._jobs.get()
             if job is None:
-                self._stop_seen = True
+                self._stop_received = True
             else:
                 jobs.append(job)
         return jobs
 
     def _commit(self, connection: sqlite3.Connection, counter_descriptor: int, jobs: list[_Job]) -> None:
-        began = time.monotonic()
+        start_time = time.monotonic()
         self._check_files()
         self.commit_count += 1
         connection.execute("BEGIN IMMEDIATE")
@@ -278,18 +292,21 @@
         write_commit_count(counter_descriptor, self.commit_count)
         self.syncs += 1
         self.batches_written += len(jobs)
-        self.slowest_sync_s = max(self.slowest_sync_s, time.monotonic() - began)
+        self.slowest_sync_s = max(self.slowest_sync_s, time.monotonic() - start_time)
 
     def _current_files(self) -> tuple[tuple[int, int], int]:
         return marker_stat(self.marker_path), os.stat(self.database_path).st_ino
 
     def _check_files(self) -> None:
-        """Fail if the directory was replaced: open files would be written, and found by nobody."""
+        """Raise an error if the directory was replaced.
+
+        Writes to the open files would succeed, but no process would read those files again.
+        """
         if self._current_files() != self._opened_files:
-            raise OSError("the directory was replaced")
+            raise OSError("the storage directory was replaced")
 
     def write_batch(self, connection: sqlite3.Connection, batch: WriteBatch) -> None:
-        """Write a batch within the caller's transaction."""
+        """Write a batch in the caller's transaction."""
         if batch.snapshot is not None:
             put_record(connection, "snapshot", encode(batch.snapshot))
         connection.execute(
--- a/ivystack/consensus/storage_files.py
+++ b/ivystack/consensus/storage_files.py
@@ -15,10 +15,10 @@
 
 DATABASE_FILE = "agreed.sqlite"
 LOCK_FILE = "lock"
-MARKER_FILE = "identity"  # created once and never written again
+MARKER_FILE = "identity"  # created with the directory and never written again
 COUNTER_FILE = "tail"  # the number of acknowledged commits
-COUNTER_SLOT_BYTES = 64  # two slots are written in turn, so that a torn write corrupts one at most
-COUNTER_RECORD_BYTES = 24  # the number and its digest
+COUNTER_SLOT_BYTES = 64  # two slots are written alternately, so that a torn write damages at most one
+COUNTER_RECORD_BYTES = 24  # the count and its digest
 JOURNAL_LIMIT_BYTES = 1_048_576
 TABLES = """
 CREATE TABLE IF NOT EXISTS kept (name TEXT PRIMARY KEY, value BLOB NOT NULL, digest BLOB NOT NULL);
@@ -27,7 +27,7 @@
 
 
 class Identity(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What tells a directory from its copies: the incarnation drawn for it, and its marker file."""
+    """Identifies a directory and distinguishes it from copies: its incarnation and its marker file."""
 
     version: int
     incarnation: str
@@ -36,7 +36,7 @@
 
 
 class Head(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The replica's term and vote, where its log ends, and how many commits led there."""
+    """The replica's term and vote, the index of its last log entry, and the number of commits."""
 
     version: int
     voted_for: str
@@ -52,14 +52,15 @@
 
 
 def digest(name: str, value: bytes) -> bytes:
-    """Digest of a record, keyed by its name: a record in another's place does not match."""
+    """Return the digest of a record, keyed by its name, so that records can't be exchanged unnoticed."""
     return blake2b(value, key=name.encode(), digest_size=16).digest()
 
 
 def marker_stat(marker: Path) -> tuple[int, int]:
-    """Inode and inode change time (ns) of the marker file.
+    """Return the inode number and the inode change time (nanoseconds) of the marker file.
 
-    No copying tool can set the change time. The device is left out: its number may differ after a reboot.
+    Tools that copy files can't set the change time. The device number is not used, because it may change
+    with a reboot.
     """
     stat = os.stat(marker)
     return stat.st_ino, stat.st_ctime_ns
@@ -91,19 +92,19 @@
 def get_record(connection: sqlite3.Connection, name: str, database: Path) -> bytes:
     """Read a named record.
 
-    :raises StorageError: CORRUPT where it is missing or its digest is wrong.
+    :raises StorageError: with code CORRUPT if the record is missing or its digest is wrong.
     """
     row = connection.execute("SELECT value, digest FROM kept WHERE name = ?", (name,)).fetchone()
     if row is None or digest(name, row[0]) != row[1]:
-        raise StorageError(FaultCode.CORRUPT, f"{database}: {name}")
+        raise StorageError(FaultCode.CORRUPT, f"{database}: record {name} is missing or damaged")
     return row[0]
 
 
 def write_commit_count(descriptor: int, count: int) -> None:
-    """Put the number of commits on disk, before they are acknowledged.
+    """Write the number of commits to disk, before the commits are acknowledged.
 
-    SQLite takes a damaged page of its log for the end of that log and opens without an error on what lies
-    before it; this counter shows that commits are missing.
+    SQLite treats a damaged page of its write-ahead log as the end of that log, and opens the database without
+    an error in the state before that page. This counter reveals the missing commits.
     """
     number = count.to_bytes(8, "big")
     os.pwrite(descriptor, number + digest(COUNTER_FILE, number), count % 2 * COUNTER_SLOT_BYTES)
@@ -113,11 +114,11 @@
 def read_commit_count(path: Path) -> int:
     """Read the number of acknowledged commits.
 
-    :raises StorageError: CORRUPT where both slots are damaged.
+    :raises StorageError: with code CORRUPT if both slots are damaged.
     """
     content = path.read_bytes()
     slots = [content[start : start + COUNTER_RECORD_BYTES] for start in (0, COUNTER_SLOT_BYTES)]
     counts = [int.from_bytes(slot[:8], "big") for slot in slots if digest(COUNTER_FILE, slot[:8]) == slot[8:]]
     if not counts:
-        raise StorageError(FaultCode.CORRUPT, f"{path}: wrong digest")
+        raise StorageError(FaultCode.CORRUPT, f"{path}: both copies of the commit count are damaged")
     return max(counts)
--- a/ivystack/consensus/wire.py
+++ b/ivystack/consensus/wire.py
@@ -1,6 +1,7 @@
-"""What proxies send each other about the consensus group, beside the core's own messages.
+"""Mesh messages of the consensus group: envelopes of Raft messages, announcements, requests and replies.
 
-Bodies are MessagePack arrays without field names; kinds and the order of fields are the protocol.
+Message bodies are MessagePack arrays without field names. Kinds and the order of fields are part of the
+protocol and must not change.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class MessageKind(StrEnum):
-    """Kinds of mesh messages; the values stand on the wire."""
+    """Kinds of mesh messages; the values are sent on the wire."""
 
     RAFT = "raft"  # an Envelope
     ANNOUNCEMENT = "knock"  # an Announcement
@@ -23,14 +24,14 @@
 
 
 class RequestKind(StrEnum):
-    """What a request wants; the values stand on the wire."""
+    """Kinds of requests; the values are sent on the wire."""
 
     COMMAND = "do"
     QUERY = "look"
 
 
 class Envelope(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A message of the core from one replica id to another."""
+    """A Raft message from one replica to another, with the ids of both."""
 
     sender: str
     receiver: str
@@ -38,17 +39,17 @@
 
 
 class Announcement(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A replica that is no member, or knows no leader, makes itself known."""
+    """Announces a replica that is not a member or knows no leader."""
 
     replica_id: str
-    has_state: bool  # it has been a member of a group, or was asked to be one
+    has_state: bool  # the replica has a configuration: it has been a member, or a group has added it
 
 
 class Request(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """A request to the leader.
 
-    ``fields`` are client id, command number, part, name and arguments of a command; part, name and arguments
-    of a query.
+    ``fields`` of a command are client id, command number, part, name and arguments; ``fields`` of a query are
+    part, name and arguments.
     """
 
     number: int
@@ -57,10 +58,10 @@
 
 
 class Reply(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The answer to a request.
+    """The reply to a request.
 
-    Where it was not ``accepted``, ``answer`` is the name of the leader as far as known, else ``""``; a
-    command may have been executed all the same.
+    If the request was not ``accepted``, ``answer`` is the name of the leader, or ``""`` if the leader is
+    unknown; a command may have been executed nevertheless.
     """
 
     number: int
--- a/ivystack/consensus/write_tracker.py
+++ b/ivystack/consensus/write_tracker.py
@@ -1,4 +1,4 @@
-"""What waits for the disk: unsaved changes, the batch being written, and messages that depend on them."""
+"""Tracks unsaved changes, the write batch in flight, and the messages that depend on them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class InFlightBatch(NamedTuple):
-    """A batch that was handed to the caller and is not reported as written yet."""
+    """A batch that the caller is writing and has not reported as written yet."""
 
     number: int
     last_index: int
 
 
 class HeldMessage(NamedTuple):
-    """A message that may leave once the batch of that number is durable."""
+    """A message that may be sent once batch ``batch_number`` is durable."""
 
     batch_number: int
     receiver: str
@@ -25,10 +25,10 @@
 
 
 class WriteTracker:
-    """Gathers changes into one batch at a time and releases messages when what they promise is durable."""
+    """Collects changes into one batch at a time; releases messages once the reported state is durable."""
 
     def __init__(self) -> None:
-        self.batch_number = 0  # of the latest batch handed out
+        self.batch_number = 0  # number of the latest batch that the caller has taken
         self.in_flight: InFlightBatch | None = None
         self.dirty = False
         self.first_unsaved_index: int | None = None
@@ -37,22 +37,24 @@
         self.sendable: list[tuple[str, Message]] = []
 
     def mark_dirty(self, first_index: int | None = None) -> None:
-        """Note a change that must be saved; ``first_index``: entries from there on have changed."""
+        """Record an unsaved change; ``first_index`` is the index of the first changed log entry."""
         self.dirty = True
         if first_index is not None:
-            known = self.first_unsaved_index
-            self.first_unsaved_index = first_index if known is None else min(first_index, known)
+            previous_index = self.first_unsaved_index
+            self.first_unsaved_index = (
+                first_index if previous_index is None else min(first_index, previous_index)
+            )
 
     def is_durable(self) -> bool:
-        """Whether everything is on disk."""
+        """Return whether all changes are durable."""
         return not self.dirty and self.in_flight is None
 
     def send(self, receiver: str, message: Message) -> None:
-        """Send a message that promises nothing about our disk."""
+        """Send a message that does not depend on the durability of any change."""
         self.sendable.append((receiver, message))
 
     def send_when_durable(self, receiver: str, message: Message) -> None:
-        """Send a message once all that has changed so far is on disk."""
+        """Send a message once all changes made so far are durable."""
         if self.is_durable():
             self.send(receiver, message)
             return
@@ -60,16 +62,16 @@
         self.held.append(HeldMessage(needed_batch, receiver, message))
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages that may leave now, by receiver."""
+        """Remove and return the messages that may be sent now, each with its receiver."""
         messages, self.sendable = self.sendable, []
         return messages
 
     def discard_messages(self) -> None:
-        """Drop all messages, held or not."""
+        """Drop all messages, whether held or sendable."""
         self.held, self.sendable = [], []
 
     def take_batch(self, log: RaftLog, term: int, voted_for: str) -> WriteBatch | None:
-        """Return what is to be written now; None while a batch is in flight or nothing has changed."""
+        """Return the changes to be written now; None while a batch is in flight or if nothing has changed."""
         if not self.dirty or self.in_flight is not None:
             return None
         self.batch_number += 1
@@ -88,16 +90,19 @@
         return batch
 
     def complete(self, number: int, last_index: int) -> int | None:
-        """Note that a batch is durable and release the messages that waited for it.
+        """Record that a batch is durable and release the messages that waited for it.
 
-        :param last_index: the log's last entry.
-        :returns: the index up to which it made the log durable; None for a batch that is not in flight.
+        :param number: number of the batch.
+        :param last_index: index of the last log entry.
+        :returns: the index up to which the log is durable now; None if the batch is not in flight.
         """
         if self.in_flight is None or self.in_flight.number != number:
             return None
         saved_index, self.in_flight = self.in_flight.last_index, None
-        unchanged = last_index if self.first_unsaved_index is None else self.first_unsaved_index - 1
+        last_unchanged_index = (
+            last_index if self.first_unsaved_index is None else self.first_unsaved_index - 1
+        )
         released = [(held.receiver, held.message) for held in self.held if held.batch_number <= number]
         self.held = [held for held in self.held if held.batch_number > number]
         self.sendable += released
-        return min(saved_index, unchanged)
+        return min(saved_index, last_unchanged_index)
