--- a/ivystack/consensus/environment.py
+++ b/ivystack/consensus/environment.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Intervals of the protocol in microseconds; each election timeout is one to two times the configured."""
+    """Intervals of the protocol in microseconds; a drawn election timeout is up to twice as long."""
 
     heartbeat_interval: int
     election_timeout: int
--- a/ivystack/consensus/mutations.py
+++ b/ivystack/consensus/mutations.py
@@ -1,6 +1,7 @@
-"""Planted faults that the tests must find: each replaces a piece of the core's source text.
+"""Mutations of the Raft core that the tests must detect; each replaces a part of the source text.
 
-They run in copies of the core's modules, made for the simulation; the modules of the program stay untouched.
+Mutations are applied to copies of the core's modules, which only the simulation uses. The imported modules of
+the program stay unchanged.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from . import errors, messages, records
 
-CORE_MODULES = (  # in the order of their imports
+CORE_MODULES = (  # in the order in which they import each other
     "log",
     "write_tracker",
     "read_queue",
@@ -27,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """In ``module`` of the core, the text ``before``, which stands there once, becomes ``after``."""
+    """Replaces the text ``before``, which must occur once in ``module`` of the core, by ``after``."""
 
     module: str
     before: str
     after: str
 
 
-# Found in randomly drawn schedules.
+# Detected by randomly drawn schedules.
 MUTATIONS = {
     "grants a vote to a shorter log": Mutation(
         "election",
@@ -106,7 +107,7 @@
     ),
 }
 
-# Too rare in random schedules: tests play a written schedule for each.
+# Rarely detected by random schedules; tests run a scripted schedule for each.
 SCRIPTED_MUTATIONS = {
     "keeps the configuration of truncated entries": Mutation(
         "log", "            self.configurations.pop()\n", "            break\n"
@@ -134,8 +135,8 @@
 def mutated_core(mutation: Mutation) -> ModuleType:
     """Build the core from its source with a mutation applied.
 
-    :returns: the counterpart of the module ``core``.
-    :raises ValueError: the mutation's text does not stand in its module exactly once.
+    :returns: the mutated counterpart of the module ``core``.
+    :raises ValueError: the text to be replaced does not occur exactly once in its module.
     """
     package = ModuleType(MUTANT_PACKAGE)
     package.__path__ = []
@@ -156,6 +157,6 @@
 def _replaced_once(source: str, mutation: Mutation) -> str:
     count = source.count(mutation.before)
     if count != 1:
-        text = f"stands {count} times in {mutation.module}, wanted once: {mutation.before!r}"
+        text = f"text occurs {count} times in {mutation.module}, expected once: {mutation.before!r}"
         raise ValueError(text)
     return source.replace(mutation.before, mutation.after)
--- a/ivystack/consensus/simulated_faults.py
+++ b/ivystack/consensus/simulated_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the simulation: kinds, profiles from which schedules draw, and their injection."""
+"""Faults of the simulation: their kinds, the profiles that schedules use, and their injection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FaultKind(StrEnum):
-    """What may happen to a group."""
+    """Kinds of faults and of the actions that end them."""
 
     CRASH = "crash"
     RESTART = "restart"
@@ -36,7 +36,10 @@
 
 @dataclass(frozen=True)
 class FaultProfile:
-    """Mean time between faults in microseconds, and their kinds; one listed twice is drawn twice as often."""
+    """Mean time between faults in microseconds, and the kinds of faults.
+
+    A kind that is listed twice is drawn twice as often.
+    """
 
     mean_interval: int
     kinds: tuple[FaultKind, ...]
@@ -110,7 +113,7 @@
 
 
 class FaultInjector:
-    """Injects faults drawn from a profile until ``end``, and keeps a log of them."""
+    """Injects random faults of a profile until ``end``, and records them in a log."""
 
     def __init__(self, simulation: Simulation, profile: FaultProfile) -> None:
         self.simulation, self.profile, self.rng = simulation, profile, simulation.rng
@@ -137,7 +140,7 @@
         }
 
     def inject(self) -> None:
-        """Inject a fault and schedule the next one."""
+        """Inject a fault and schedule the next fault."""
         interval = int(self.rng.expovariate(1 / self.profile.mean_interval)) + MS
         self.simulation.schedule(interval, self.inject)
         if self.simulation.now > self.end:
@@ -218,7 +221,10 @@
                 replica.start()
 
     def _lose_disk(self) -> None:
-        """Lose one disk at a time: the group promises nothing where a majority is lost."""
+        """Replace a disk by an empty one, unless the group is still recovering from an earlier loss.
+
+        The protocol does not tolerate the loss of a majority of the disks.
+        """
         replica = self.rng.choice(self._all())
         if not self._is_recovering():
             replica.stop()
@@ -226,7 +232,7 @@
             replica.start()
 
     def _is_recovering(self) -> bool:
-        """Whether some wanted replica's present incarnation is no voter yet."""
+        """Return whether the current incarnation of some wanted replica is not a voter yet."""
         newest = self.simulation.newest_leader()
         if newest is None or newest.core is None or not newest.core.may_change_membership():
             return True
--- a/ivystack/consensus/simulated_replica.py
+++ b/ivystack/consensus/simulated_replica.py
@@ -1,4 +1,4 @@
-"""A replica of the simulation: the real core on a simulated disk, driven as the proxy drives it."""
+"""A simulated replica: the real core with a simulated disk, called in the same way as in the proxy."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 ELECTION_TIMEOUT = 200 * MS
 ANNOUNCE_INTERVAL = 100 * MS
 ANNOUNCEMENT_TTL = 5 * ANNOUNCE_INTERVAL
-DEFAULT_WRITE_TIME = 2 * MS  # at most, for a batch
+DEFAULT_WRITE_TIME = 2 * MS  # longest time to write a batch
 
 
 @dataclass
 class SimulatedDisk:
-    """What has been written durably."""
+    """The durable state of a replica."""
 
     term: int
     voted_for: str
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
-    base_index: int = 0  # before the first entry
+    base_index: int = 0  # index before the first entry
 
     def write(self, batch: WriteBatch) -> None:
-        """Write a batch, as the real storage does."""
+        """Write a batch in the same way as the real storage."""
         self.term, self.voted_for = batch.term, batch.voted_for
         if batch.snapshot is not None:
             self.snapshot = batch.snapshot
-        kept = self.entries[: max(0, batch.first_index - self.base_index - 1)]
-        kept = kept[max(0, batch.retained_from - 1 - self.base_index) :]
+        retained = self.entries[: max(0, batch.first_index - self.base_index - 1)]
+        retained = retained[max(0, batch.retained_from - 1 - self.base_index) :]
         self.base_index = max(self.base_index, batch.retained_from - 1)
-        self.entries = [*kept, *batch.entries]
+        self.entries = [*retained, *batch.entries]
 
     def load(self) -> dict[str, Any]:
-        """Return the core's arguments."""
+        """Return the stored state as keyword arguments for the core."""
         after_snapshot = self.entries[self.snapshot.index - self.base_index :]
         return {
             "term": self.term,
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class SimulatedCommand:
-    """A command that the leader has taken: where its entry is to be, and what it holds."""
+    """A command that the leader has accepted: index and term of its entry, and its data."""
 
     proposal: Proposal
     data: bytes
@@ -65,19 +65,22 @@
 
 @dataclass(frozen=True)
 class ReceivedAnnouncement:
-    """A replica that is no member, and when it said so."""
+    """The announcement of a replica that is not a member, and the time of its arrival."""
 
     replica_id: str
     received_at: int
 
 
 def entry_digest_input(index: int, entry: Entry) -> bytes:
-    """Return an entry and its place as text; its last word is the command."""
+    """Return the bytes that the state digest covers: index, term, kind and data of an entry."""
     return b"%d %d %b %b" % (index, entry.term, entry.kind.encode(), entry.data)
 
 
 class SimulatedReplica:
-    """A replica that can crash, restart and lose its disk; its state is a digest of what it has applied."""
+    """A replica that can crash, restart and lose its disk.
+
+    Its state machine is a digest of all applied entries.
+    """
 
     def __init__(self, simulation: Simulation, name: str) -> None:
         self.simulation, self.name = simulation, name
@@ -86,7 +89,7 @@
         self.core: Core | None = None
         self.batch_in_flight: WriteBatch | None = None
         self.id = ""
-        self.process_number = 0  # events of an earlier process do nothing
+        self.process_number = 0  # events of an earlier process are ignored
         self.write_time = DEFAULT_WRITE_TIME
         self.write_fails = False
         self.state_digest = b""
@@ -95,13 +98,13 @@
         self.announcements: dict[str, ReceivedAnnouncement] = {}  # by proxy name
 
     def replace_disk(self) -> None:
-        """Begin with an empty disk, as a new incarnation."""
+        """Replace the disk by an empty one, with a new incarnation."""
         self.incarnation_count += 1
         self.id = replica_id(self.name, str(self.incarnation_count))
         self.disk = SimulatedDisk(0, "", Snapshot(0, 0, Configuration()))
 
     def start(self) -> None:
-        """Start a process on the disk as it is."""
+        """Start a process with the state on the disk."""
         self.process_number += 1
         simulation = self.simulation
         rng = Random(simulation.rng.getrandbits(32))
@@ -118,7 +121,7 @@
         self.process_ready()
 
     def stop(self) -> None:
-        """Crash: a batch on its way to disk is there completely or not at all."""
+        """Crash; a batch in flight is written completely or not at all."""
         if self.core is not None:
             batch = self.batch_in_flight if self.core.writes.in_flight is not None else None
             if batch is not None and self.simulation.rng.random() < 0.5:
@@ -127,7 +130,7 @@
         self.batch_in_flight = None
 
     def propose(self, data: bytes) -> None:
-        """Ask this replica to execute a command."""
+        """Propose a command at this replica."""
         proposal = self.core.propose(data) if self.core is not None else None
         if proposal is not None:
             self.commands[proposal.index] = SimulatedCommand(proposal, data)
@@ -139,12 +142,12 @@
             self.process_ready()
 
     def receive_announcement(self, sender: str) -> None:
-        """Note a replica that is no member."""
+        """Record the announcement of a replica that is not a member."""
         if self.core is not None:
             self.announcements[proxy_name(sender)] = ReceivedAnnouncement(sender, self.simulation.now)
 
     def process_ready(self) -> None:
-        """Carry out what the core wants done."""
+        """Execute the work that the core has ready."""
         while self.core is not None:
             ready = self.core.take_ready(self.simulation.now)
             if ready.restore is not None:
@@ -174,7 +177,7 @@
         self.simulation.schedule(min(delay, HEARTBEAT_INTERVAL), self._tick, process_number)
 
     def _announce(self, process_number: int) -> None:
-        """Announce this replica to all where it is no member, and let a leader change the membership."""
+        """Announce this replica if it is not a member; propose a membership change if this replica leads."""
         core, simulation = self.core, self.simulation
         if process_number != self.process_number or core is None:
             return
@@ -187,16 +190,16 @@
             for name, received in self.announcements.items()
             if simulation.now - received.received_at < ANNOUNCEMENT_TTL
         }
-        step = next_configuration(core, simulation.wanted, recent, simulation.now)
-        if step is not None:
-            core.change_membership(step, simulation.now)
+        proposed_configuration = next_configuration(core, simulation.wanted, recent, simulation.now)
+        if proposed_configuration is not None:
+            core.change_membership(proposed_configuration, simulation.now)
             self.process_ready()
         simulation.schedule(ANNOUNCE_INTERVAL, self._announce, process_number)
 
     def _written(self, process_number: int, batch: WriteBatch) -> None:
         if process_number != self.process_number or self.core is None or self.core.withdrawn:
             return
-        if self.write_fails:  # final for this process
+        if self.write_fails:  # a write failure is final for this process
             self.core.withdrawn = True
             self.batch_in_flight = None
             return
@@ -207,7 +210,9 @@
 
     def _apply(self, core: Core, index: int, entry: Entry) -> None:
         if index != self.applied_index + 1:
-            raise PropertyViolationError(f"{self.name} applied {index} after {self.applied_index}")
+            raise PropertyViolationError(
+                f"{self.name} applied entry {index} after entry {self.applied_index}"
+            )
         self.applied_index = index
         digest_input = entry_digest_input(index, entry)
         self.state_digest = blake2b(self.state_digest + digest_input, digest_size=8).digest()
--- a/ivystack/consensus/simulation.py
+++ b/ivystack/consensus/simulation.py
@@ -1,7 +1,7 @@
-"""A consensus group in virtual time: a seeded network and seeded disks with faults, and what must hold.
+"""Simulation of a consensus group in virtual time, with faults of network and disks and property checks.
 
-A schedule drives the core only by the calls that the proxy makes. It is judged when it has run to its end:
-faults are injected for some seconds, then everything is repaired and the group has to go on.
+A schedule calls the core only through the methods that the proxy uses. Faults are injected for
+:data:`DURATION`; then all faults are repaired and the group has to recover. The seed determines the schedule.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
     entry_digest_input,
 )
 
-DURATION = 5_000 * MS  # of the faults
-RECOVERY_TIME = 4_000 * MS  # until a repaired group must be led and complete
-PROGRESS_TIME = 500 * MS  # within which a repaired group must commit
+DURATION = 5_000 * MS  # microseconds during which faults are injected
+RECOVERY_TIME = 4_000 * MS  # after the repair, by which a leader and all acknowledged entries must exist
+PROGRESS_TIME = 500 * MS  # within which a repaired group must commit new entries
 LOAD_INTERVAL = 15 * MS
 FIRST_FAULT_AT = 500 * MS
 START_TIME = 1_000_000_000  # microseconds
-READ_FRACTION = 0.3  # of the load
-REPORTED_FAULTS = 12  # the last ones before a violation
+READ_FRACTION = 0.3  # probability that a command is followed by a read
+REPORTED_FAULTS = 12  # number of faults before a violation that are reported
 
 
 @dataclass(frozen=True)
 class AppliedEntry:
-    """An entry as the first replica applied it, and that replica's state afterwards."""
+    """An entry as the first replica applied it, and the digest of that replica's state afterwards."""
 
     digest_input: bytes
     state_digest: bytes
 
 
 class SimulatedNetwork:
-    """Links between replicas: blocked pairs of names, and what happens to the other messages."""
+    """The network between replicas: blocked pairs of proxy names, loss, duplication and delay of messages."""
 
     def __init__(self) -> None:
         self.blocked: set[tuple[str, str]] = set()
@@ -55,20 +55,20 @@
         self.mean_delay = 3 * MS
 
     def heal(self, mean_delay: int) -> None:
-        """Remove all faults."""
+        """Remove all faults; set the mean message delay in microseconds."""
         self.blocked = set()
         self.loss = self.duplication = 0.0
         self.mean_delay = mean_delay
 
 
 class Simulation:
-    """One schedule, wholly determined by its seed."""
+    """One simulated schedule, which its seed determines completely."""
 
     def __init__(self, seed: int, core_module: ModuleType = real_core) -> None:
         self.rng = Random(seed)
         self.core_module = core_module
         self.now, self.event_count = START_TIME, 0
-        self.events: list[tuple[int, int, Callable, tuple]] = []  # a heap by time and number
+        self.events: list[tuple[int, int, Callable, tuple]] = []  # heap, ordered by time and event number
         profile = self.rng.choice(["mixed", "mixed", *PROFILES])
         self.snapshot_interval = self.rng.choice([7, 40, 100_000])  # entries
         self.max_entries_per_message = self.rng.choice([1, 256, 256])
@@ -80,7 +80,7 @@
         self.leaders: dict[int, str] = {}  # by term
         self.applied_log: dict[int, AppliedEntry] = {}  # by index
         self.acknowledged: dict[bytes, int] = {}  # index by command
-        self.read_floors: dict[int, int] = {}  # by read id: the greatest index acknowledged before the read
+        self.read_floors: dict[int, int] = {}  # greatest index acknowledged before a read, by read id
         self.proposal_count = self.read_count = self.completed_reads = 0
         self._bootstrap()
 
@@ -96,12 +96,12 @@
     # --- Events ---
 
     def schedule(self, delay: int, call: Callable, *args: Any) -> None:
-        """Call a function after so many microseconds."""
+        """Schedule a call after ``delay`` microseconds."""
         self.event_count += 1
         heapq.heappush(self.events, (self.now + delay, self.event_count, call, args))
 
     def run_until(self, end: int) -> None:
-        """Play all events up to that time, and check the leaders after each."""
+        """Run all events up to time ``end``, and check the leaders after each event."""
         while self.events and self.events[0][0] <= end:
             self.now, _, call, args = heapq.heappop(self.events)
             call(*args)
@@ -109,18 +109,18 @@
         self.now = end
 
     def send(self, sender: SimulatedReplica, receiver_id: str, message: Message) -> None:
-        """Send a message of the core; it may be lost, duplicated and overtaken."""
+        """Send a Raft message, which may be lost, duplicated or reordered."""
         name = proxy_name(receiver_id)
         for delay in self._delays(sender.name, name):
             self.schedule(delay, self._deliver, sender.id, name, receiver_id, message)
 
     def send_announcement(self, sender: SimulatedReplica, receiver: str) -> None:
-        """Tell a proxy of a replica that is no member."""
+        """Send a proxy the announcement of a replica that is not a member."""
         for delay in self._delays(sender.name, receiver):
             self.schedule(delay, self.replicas[receiver].receive_announcement, sender.id)
 
     def _delays(self, sender: str, receiver: str) -> list[int]:
-        """Draw the delay of each copy of a message that arrives."""
+        """Draw the delay of each copy of a message that arrives; return no delay for a lost message."""
         network = self.network
         if (sender, receiver) in network.blocked or receiver not in self.replicas:
             return []
@@ -136,7 +136,7 @@
     # --- Properties ---
 
     def _check_leaders(self) -> None:
-        """No term has two leaders, and a new one's log holds all that was applied anywhere."""
+        """Check that no term has two leaders, and that a new leader's log has all applied entries."""
         for replica in self.replicas.values():
             core = replica.core
             if core is None or core.role != Role.LEADER or core.withdrawn:
@@ -151,36 +151,40 @@
     def _check_complete(self, leader: SimulatedReplica) -> None:
         if leader.core is None:
             return
-        log, top = leader.core.log, max(self.applied_log)
-        if log.last_index < top:
-            raise PropertyViolationError(f"leader {leader.id} lacks entry {top}, which was committed")
-        for index in range(log.base_index + 1, top + 1):
+        log, last_applied_index = leader.core.log, max(self.applied_log)
+        if log.last_index < last_applied_index:
+            raise PropertyViolationError(f"leader {leader.id} lacks committed entry {last_applied_index}")
+        for index in range(log.base_index + 1, last_applied_index + 1):
             if entry_digest_input(index, log.entry_at(index)) != self.applied_log[index].digest_input:
-                text = f"leader {leader.id} holds another entry {index} than was committed"
+                text = f"leader {leader.id} has an entry {index} that differs from the committed entry"
                 raise PropertyViolationError(text)
 
     def check_applied(self, replica: SimulatedReplica, index: int, entry: Entry) -> None:
-        """All replicas apply the same entry at an index, and come to the same state."""
+        """Check that all replicas apply the same entry at an index and reach the same state."""
         applied = AppliedEntry(entry_digest_input(index, entry), replica.state_digest)
         known = self.applied_log.setdefault(index, applied)
         if known.digest_input != applied.digest_input:
-            text = f"{replica.name} applied {applied.digest_input!r}, another {known.digest_input!r}"
+            text = f"{replica.name} applied {applied.digest_input!r}, another replica {known.digest_input!r}"
             raise PropertyViolationError(text)
         if known.state_digest != applied.state_digest:
-            raise PropertyViolationError(f"{replica.name}'s state after {index} differs from another's")
+            raise PropertyViolationError(
+                f"state of {replica.name} after entry {index} differs from another replica's"
+            )
 
     def check_read(self, replica: SimulatedReplica, read_id: int) -> None:
-        """A read shows all that was acknowledged before it began."""
+        """Check that a read reflects all commands that were acknowledged before the read began."""
         self.completed_reads += 1
         floor = self.read_floors[read_id]
         if replica.applied_index < floor:
-            text = f"a read at {replica.name} shows {replica.applied_index}, {floor} was acknowledged"
+            text = (
+                f"read at {replica.name} reflects entry {replica.applied_index}, but {floor} was acknowledged"
+            )
             raise PropertyViolationError(text)
 
-    # --- Load and members ---
+    # --- Load and membership ---
 
     def _load(self) -> None:
-        """Ask each replica that believes to lead for a command, and sometimes for a read."""
+        """Send a command, and sometimes a read, to each replica that considers itself the leader."""
         self.schedule(LOAD_INTERVAL, self._load)
         for leader in self.leading_replicas():
             self.proposal_count += 1
@@ -192,7 +196,7 @@
             leader.process_ready()
 
     def leading_replicas(self) -> list[SimulatedReplica]:
-        """Return the replicas that believe to lead."""
+        """Return the replicas that consider themselves the leader."""
         return [
             replica
             for replica in self.replicas.values()
@@ -205,7 +209,7 @@
         return max(leaders, key=lambda replica: replica.core.term if replica.core else 0, default=None)
 
     def change_wanted_members(self) -> None:
-        """Let the group grow from three to five members, or shrink to three others."""
+        """Change the wanted members: from three to all five, or from five to three random ones."""
         if len(self.wanted) != 3:
             self.wanted = self.rng.sample([*self.replicas], 3)
             return
@@ -219,9 +223,9 @@
     # --- The schedule ---
 
     def run(self) -> None:
-        """Play the schedule.
+        """Run the schedule.
 
-        :raises PropertyViolationError: a property does not hold.
+        :raises PropertyViolationError: a property of the protocol is violated.
         """
         self.faults.began_at, self.faults.end = self.now, self.now + DURATION
         for replica in [*self.replicas.values()]:
@@ -242,25 +246,29 @@
                 replica.start()
 
     def _check_recovered(self) -> None:
-        """There is a leader, nothing acknowledged is lost, and new entries reach all members."""
+        """Check that a leader exists, no acknowledged entry is lost, and new entries reach all members."""
         leader = self.newest_leader()
         if leader is None or leader.core is None:
-            raise PropertyViolationError("no leader four seconds after all was repaired")
+            raise PropertyViolationError("no leader four seconds after the repair")
         self._check_acknowledged()
-        before, top = self.proposal_count, max(self.applied_log)
+        before, last_applied_index = self.proposal_count, max(self.applied_log)
         self.run_until(self.now + PROGRESS_TIME)
-        if max(self.applied_log) <= top or self.proposal_count <= before:
-            raise PropertyViolationError("nothing new was committed after all was repaired")
+        if max(self.applied_log) <= last_applied_index or self.proposal_count <= before:
+            raise PropertyViolationError("no new entry was committed after the repair")
         if leader.core is None:
-            raise PropertyViolationError("the leader is gone though all was repaired")
+            raise PropertyViolationError("the leader stopped after the repair")
         voters = leader.core.configuration.voters
         replicas = self.replicas.values()
-        late = [replica.name for replica in replicas if replica.id in voters and replica.applied_index < top]
-        if late:
-            raise PropertyViolationError(f"members that stay behind: {' '.join(late)}")
+        lagging = [
+            replica.name
+            for replica in replicas
+            if replica.id in voters and replica.applied_index < last_applied_index
+        ]
+        if lagging:
+            raise PropertyViolationError(f"members without all committed entries: {' '.join(lagging)}")
         wanted = {replica.id for replica in replicas if replica.name in self.wanted}
         if {*voters} != wanted:
-            raise PropertyViolationError(f"members are {sorted(voters)}, wanted {sorted(wanted)}")
+            raise PropertyViolationError(f"voters are {sorted(voters)}, expected {sorted(wanted)}")
 
     def _check_acknowledged(self) -> None:
         indexes = {
@@ -268,21 +276,23 @@
         }
         for data, index in self.acknowledged.items():
             if indexes.get(data) != index:
-                raise PropertyViolationError(f"{data!r} was acknowledged at {index} and is not there")
+                raise PropertyViolationError(
+                    f"command {data!r} was acknowledged at entry {index} but is not there"
+                )
 
 
 def play_schedule(seed: int, core_module: ModuleType = real_core) -> str | None:
-    """Play the schedule of a seed; return what does not hold, None if all does."""
+    """Run the schedule of a seed; return a description of the violated property, or None."""
     simulation = Simulation(seed, core_module)
     try:
         simulation.run()
-    except Exception as error:  # what the core itself raises is a violation too
+    except Exception as error:  # an exception in the core is a violation as well
         kind = "" if isinstance(error, PropertyViolationError) else f"{type(error).__name__} "
         return f"seed {seed}: {kind}{error}; faults: {', '.join(simulation.faults.log[-REPORTED_FAULTS:])}"
     return None
 
 
 def first_failing_seed(mutation: Mutation, seeds: range) -> int | None:
-    """Return the first seed whose schedule shows a mutation, None if none does."""
+    """Return the first seed whose schedule detects a mutation, or None."""
     module = mutated_core(mutation)
     return next((seed for seed in seeds if play_schedule(seed, module)), None)
--- a/ivystack/consensus/state_machine.py
+++ b/ivystack/consensus/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine, which executes the commands of committed entries at every replica.
 
 The state machine consists of named parts. It stores the last answers to each client, so that a retried
-command is executed once. Execution must be deterministic: it must not depend on a clock, a random source or any
-order that the entries do not define. An unknown entry stops the replica, because the states of the replicas
+command is executed once. Execution must be deterministic: no clock, no random source and no order that the
+entries do not define may influence it. An unknown entry stops the replica, because the states of the replicas
 could differ otherwise.
 """
 
