--- a/ivystack/consensus/simulation.py
+++ b/ivystack/consensus/simulation.py
@@ -281,7 +281,7 @@
                 )
 
 
-def play_schedule(seed: int, core_module: ModuleType = real_core) -> str | None:
+def run_schedule(seed: int, core_module: ModuleType = real_core) -> str | None:
     """Run the schedule of a seed; return a description of the violated property, or None."""
     simulation = Simulation(seed, core_module)
     try:
@@ -295,4 +295,4 @@
 def first_failing_seed(mutation: Mutation, seeds: range) -> int | None:
     """Return the first seed whose schedule detects a mutation, or None."""
     module = mutated_core(mutation)
-    return next((seed for seed in seeds if play_schedule(seed, module)), None)
+    return next((seed for seed in seeds if run_schedule(seed, module)), None)
--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -144,7 +144,7 @@
     from concurrent.futures import ProcessPoolExecutor
 
     from ..consensus.mutations import MUTATIONS
-    from ..consensus.simulation import first_failing_seed, play_schedule
+    from ..consensus.simulation import first_failing_seed, run_schedule
 
     began, bad = time.monotonic(), 0
     seeds = range(seed, seed + count)
@@ -155,7 +155,7 @@
                 click.echo(f"{'not found' if at is None else f'seed {at}':>12}  {name}")
                 bad += at is None
         else:
-            for told in pool.map(play_schedule, seeds, chunksize=8):
+            for told in pool.map(run_schedule, seeds, chunksize=8):
                 if told:
                     click.echo(f"BREACH {told}")
                     bad += 1
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -27,7 +27,7 @@
 from ivystack.consensus.mutations import MUTATIONS, SCRIPTED_MUTATIONS, mutated_core
 from ivystack.consensus.records import Role
 from ivystack.consensus.replica import MAX_COMMAND_BYTES, MAX_PENDING_PER_PROXY, Replica
-from ivystack.consensus.simulation import first_failing_seed, play_schedule
+from ivystack.consensus.simulation import first_failing_seed, run_schedule
 from ivystack.consensus.state_machine import StateMachine
 from ivystack.consensus.wire import Reply
 
@@ -38,7 +38,7 @@
 
 def test_three_hundred_schedules_with_every_fault_hold():
     with ProcessPoolExecutor() as pool:
-        assert [failure for failure in pool.map(play_schedule, range(300), chunksize=10) if failure] == []
+        assert [failure for failure in pool.map(run_schedule, range(300), chunksize=10) if failure] == []
 
 
 def test_every_mutation_is_found():
