--- a/ivystack/simulator/__init__.py
+++ b/ivystack/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the simulator's line protocol: decodes lines, calls the balancer, encodes its decisions."""
+"""Adapter for the simulator's line protocol: decode lines, call the balancer, encode its decisions."""
--- a/ivystack/simulator/__main__.py
+++ b/ivystack/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""Read batches of events from standard input and answer each on standard output, until the input ends.
+"""Read batches of events from standard input and answer each batch on standard output until end of input.
 
-Exit codes: 0 the input ended; 2 a line was malformed, and standard error says which and why.
+Exit codes: 0 at end of input; 2 for a malformed line, whose number and fault are written to standard error.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 def main() -> int:
-    """Serve standard input; return the exit code."""
+    """Process standard input until it ends and return the exit code."""
     adapter = SimulatorAdapter()
-    number = 0
+    line_number = 0
     try:
         for line in sys.stdin.buffer:
-            number += 1
+            line_number += 1
             reply = adapter.handle_line(line)
             if reply is not None:
                 sys.stdout.buffer.write(reply)
                 sys.stdout.buffer.flush()
     except BadLineError as error:
-        print(f"line {number}: {error}", file=sys.stderr)
+        print(f"line {line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/ivystack/simulator/adapter.py
+++ b/ivystack/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's lines, hands each event to its instance, and encodes the actions that follow."""
+"""Decode the simulator's lines, dispatch each event to its instance and encode the resulting actions."""
 
 from __future__ import annotations
 
@@ -37,23 +37,24 @@
     **dict.fromkeys(IGNORED_EVENTS, SimulatedInstance.ignore),
 }
 
-# What unpacking and using a malformed message's values can raise.
-MALFORMED = (TypeError, ValueError, KeyError, IndexError, AttributeError)
+# Exceptions raised when the values of a malformed message are unpacked or used.
+MALFORMED_MESSAGE_ERRORS = (TypeError, ValueError, KeyError, IndexError, AttributeError)
 
 
 class SimulatorAdapter:
-    """Answers the simulator's lines for all of its proxies.
+    """Processes the simulator's lines for all simulated proxies.
 
-    A proxy whose balancer fails is reported once and its later events are ignored; the others go on.
+    If the balancer of a proxy raises an exception, the failure is reported once and later events of that
+    proxy are ignored.  The other proxies are not affected.
     """
 
     def __init__(self) -> None:
-        self.now: int | None = None  # microseconds; None: outside a batch
-        self.instances: dict[str, SimulatedInstance] = {}
-        self.touched: dict[str, SimulatedInstance] = {}  # had an event in this batch
-        self.failed: set[str] = set()
-        self.failures: list[list[Any]] = []  # to report at the end of this batch
-        self.endpoint_lists: dict[int, list[list[Any]]] = {}  # by the simulator's number
+        self.now: int | None = None  # microseconds; None outside a batch
+        self.instances: dict[str, SimulatedInstance] = {}  # by proxy name
+        self.instances_in_batch: dict[str, SimulatedInstance] = {}  # instances with an event in this batch
+        self.failed_proxies: set[str] = set()
+        self.failure_reports: list[list[Any]] = []  # actions to append at the end of this batch
+        self.endpoint_lists: dict[int, list[list[Any]]] = {}  # by the simulator's list number
         self.handlers: dict[str, Callable[..., bytes | None]] = {
             START_BATCH: self._start_batch,
             END_BATCH: self._end_batch,
@@ -64,7 +65,7 @@
         }
 
     def handle_line(self, line: bytes) -> bytes | None:
-        """Process one line; return the answer if it ends a batch.
+        """Process one line and return the encoded answer if the line ends a batch.
 
         :raises BadLineError: the line is malformed.
         """
@@ -78,13 +79,13 @@
             self._instance_event(name, *values)
         except DecisionError as error:
             self._report_failure(values[0], error)
-        except MALFORMED as error:
+        except MALFORMED_MESSAGE_ERRORS as error:
             raise BadLineError(f"{name}: {type(error).__name__}: {error}") from None
         return None
 
     @staticmethod
     def _decode(line: bytes) -> tuple[str, list[Any]]:
-        """Return a message's name and its values."""
+        """Return the name and the values of a message."""
         try:
             message = orjson.loads(line)
         except orjson.JSONDecodeError as error:
@@ -94,77 +95,80 @@
         return message[0], message[1:]
 
     def _start_batch(self, now: int, *_: object) -> None:
-        """Set the clock; it comes in nanoseconds."""
+        """Begin a batch at time `now`, in nanoseconds."""
         self.now = microseconds(now)
 
     def _register_endpoints(self, number: int, entries: list[list[Any]], *_: object) -> None:
         self.endpoint_lists[number] = entries
 
     def _instance_started(self, proxy: str, seed: int, config: dict[str, Any], *_: object) -> None:
-        if proxy in self.failed:
+        if proxy in self.failed_proxies:
             return
-        instance = SimulatedInstance(proxy, seed, config, self._time())
-        self.touched[proxy] = self.instances[proxy] = instance
+        instance = SimulatedInstance(proxy, seed, config, self._batch_time())
+        self.instances_in_batch[proxy] = self.instances[proxy] = instance
 
     def _instance_killed(self, proxy: str, *_: object) -> None:
-        if proxy in self.failed:
+        if proxy in self.failed_proxies:
             return
         self.instances.pop(proxy, None)
-        self.touched.pop(proxy, None)
+        self.instances_in_batch.pop(proxy, None)
 
     def _endpoints_changed(self, proxy: str, *values: Any) -> None:
-        if proxy in self.failed:
+        if proxy in self.failed_proxies:
             return
-        instance = self._touch(proxy, ENDPOINTS_CHANGED)
+        instance = self._running_instance(proxy, ENDPOINTS_CHANGED)
         number, list_kind, *_ = values
         if list_kind not in LIST_KINDS:
-            raise BadLineError("an endpoint list of no known kind")
+            raise BadLineError("unknown kind of endpoint list")
         entries = [] if list_kind == LIST_FAILED else self.endpoint_lists[number]
-        instance.endpoints_changed(self._time(), entries, list_kind)
+        instance.endpoints_changed(self._batch_time(), entries, list_kind)
 
     def _instance_event(self, name: str, proxy: str, *values: Any) -> None:
-        """Hand an event to its instance."""
-        if proxy in self.failed:
+        """Dispatch an event to the instance of its proxy."""
+        if proxy in self.failed_proxies:
             return
-        instance = self._touch(proxy, name)
+        instance = self._running_instance(proxy, name)
         handler = INSTANCE_EVENTS.get(name)
         if handler is None:
-            raise BadLineError(f"no such event: {name}")
+            raise BadLineError(f"unknown event: {name}")
         handler(instance, self.now, *values)
 
-    def _touch(self, proxy: str, event: str) -> SimulatedInstance:
-        """Return the running instance, whose due actions are then collected as the batch ends."""
+    def _running_instance(self, proxy: str, event: str) -> SimulatedInstance:
+        """Return the proxy's instance and mark it, so that its due actions are collected at the batch's end.
+
+        :raises BadLineError: no instance of the proxy is running.
+        """
         instance = self.instances.get(proxy)
         if instance is None:
-            raise BadLineError(f"{event} for a proxy that is not up")
-        self.touched[proxy] = instance
+            raise BadLineError(f"{event} for a proxy that is not running")
+        self.instances_in_batch[proxy] = instance
         return instance
 
-    def _time(self) -> int:
-        """Return the batch's time, in microseconds."""
+    def _batch_time(self) -> int:
+        """Return the time of the current batch, in microseconds."""
         assert self.now is not None
         return self.now
 
     def _report_failure(self, proxy: str, error: DecisionError) -> None:
-        """Report a failed balancer with this batch, and ignore its instance from now on."""
-        self.failures.append([INSTANCE_FAILED, proxy, str(error)])
-        self.failed.add(proxy)
-        self.touched.pop(proxy, None)
+        """Report the balancer's failure at the end of this batch and ignore later events of the proxy."""
+        self.failure_reports.append([INSTANCE_FAILED, proxy, str(error)])
+        self.failed_proxies.add(proxy)
+        self.instances_in_batch.pop(proxy, None)
 
     def _end_batch(self, *_: object) -> bytes:
-        """Return the actions of the batch, encoded."""
-        lines, self.failures = self.failures, []
-        now = self._time()
-        for proxy, instance in list(self.touched.items()):
+        """Return the encoded actions of the batch."""
+        lines, self.failure_reports = self.failure_reports, []
+        now = self._batch_time()
+        for proxy, instance in list(self.instances_in_batch.items()):
             try:
                 instance.batch_ended(now)
             except DecisionError as error:
                 self._report_failure(proxy, error)
             lines += instance.actions
             instance.actions = []
-        lines += self.failures
-        self.failures = []
-        self.touched.clear()
+        lines += self.failure_reports
+        self.failure_reports = []
+        self.instances_in_batch.clear()
         self.now = None
         lines.append([BATCH_DONE])
         return b"".join(orjson.dumps(line) + b"\n" for line in lines)
--- a/ivystack/simulator/instance.py
+++ b/ivystack/simulator/instance.py
@@ -1,4 +1,4 @@
-"""One simulated proxy: its balancer, its requests under way and its timer."""
+"""One simulated proxy: its balancer, its requests in flight and its timer."""
 
 from __future__ import annotations
 
@@ -29,28 +29,29 @@
     LIST_ANSWERS_POLL,
     LIST_FAILED,
     LIST_IS_DELTA,
-    OUTCOME_OF_WORD,
+    OUTCOME_BY_NAME,
     POLL_ENDPOINTS,
     REJECT,
     SEND,
     SEND_GOSSIP,
     SET_TIMER,
-    STATE_OF_WORD,
+    STATE_BY_NAME,
     UNKNOWN_KIND,
     BadLineError,
     DecisionError,
 )
 
-MIN_TIMER_US = 1  # a timer that is due at once would be called again within the same moment
+MIN_TIMER_US = 1  # a timer with no delay would fire again at the same simulated time
 NANOSECONDS_PER_MICROSECOND = 1000
 
 T = TypeVar("T")
 
 
 def call_balancer(method: Callable[..., T], *arguments: Any) -> T:
-    """Call a method of the balancer.
+    """Call a method of the balancer and return its result.
 
-    :raises DecisionError: the method raised; so its failure is not taken for a malformed line.
+    :raises DecisionError: the method raised an exception.  The separate type keeps a failure of the balancer
+        from being reported as a malformed line.
     """
     try:
         return method(*arguments)
@@ -59,27 +60,27 @@
 
 
 class SimulatedInstance:
-    """Passes one proxy's events to its balancer and collects the actions that follow.
+    """Passes the events of one proxy to its balancer and collects the resulting actions.
 
-    The parameters of its event methods are those of the events, in order; `now` is in microseconds.  Values
-    that an event has beyond them are ignored.
+    The event methods take the values of their events in order; additional values are ignored.  `now` is the
+    time of the batch in microseconds.
     """
 
     def __init__(self, name: str, seed: int, config: dict[str, Any], now: int) -> None:
         self.name = name
         self.settings = InstanceConfiguration(seed, config)
         self.balancer = self.settings.balancer
-        self.requests: dict[int, Request] = {}  # by the simulator's id
+        self.requests: dict[int, Request] = {}  # by the simulator's request id
         self.request_ids: dict[Request, int] = {}
-        self.timer_at: int | None = None  # microseconds
-        self.actions: list[list[Any]] = []  # since the last batch ended
+        self.timer_at: int | None = None  # microseconds; None if no timer was set yet
+        self.actions: list[list[Any]] = []  # actions since the end of the last batch
         self.poll_in_progress = False
-        polls = self.settings.settings.discovery == "ask"
-        self.poll_backoff = self.settings.poll_backoff if polls else None
+        is_polling = self.settings.settings.discovery == "ask"
+        self.poll_backoff = self.settings.poll_backoff if is_polling else None
         if self.poll_backoff:
             self.poll_backoff.next_at = now
 
-    # Events.
+    # Events
 
     def request_arrived(
         self,
@@ -88,7 +89,7 @@
         class_name: str,
         tenant_name: str | None = None,
         key: int | None = None,
-        time_limit: int | None = None,
+        deadline_ns: int | None = None,
         hint: object = None,
         size: object = None,
         is_client_retry: bool = False,
@@ -97,18 +98,20 @@
     ) -> None:
         """Route a client's request.
 
-        :param time_limit: its deadline, in nanoseconds.
+        :param deadline_ns: the request's deadline, in nanoseconds.
+        :raises BadLineError: the class is unknown, the deadline is missing, the id is in use, or the key is
+            not an integer.
         """
         request_class = self.settings.request_classes.get(class_name)
         if (
             request_class is None
-            or time_limit is None
+            or deadline_ns is None
             or request_id in self.requests
             or not isinstance(key, int | None)
         ):
-            raise BadLineError("a request of an unknown class, without a deadline, or with an id used before")
+            raise BadLineError("request with an unknown class, no deadline, an id in use or an invalid key")
         tenant = self.settings.tenants.get(tenant_name) if isinstance(tenant_name, str) else None
-        deadline = microseconds(time_limit)
+        deadline = microseconds(deadline_ns)
         request = Request(request_class, now, deadline, key, tenant, bool(is_write), bool(is_client_retry))
         self.requests[request_id] = request
         self.request_ids[request] = request_id
@@ -120,44 +123,49 @@
         request_id: int,
         number: int,
         server_name: str,
-        outcome_word: str,
+        outcome_name: str,
         delay: object = None,
         is_last: bool = False,
         cache_info: int | None = None,
         report: dict[str, Any] | None = None,
         *_: object,
     ) -> None:
-        """Record the outcome of a request's attempt of that number.
+        """Record the outcome of an attempt and act on the balancer's decision.
 
-        :param is_last: the simulator has answered the client with it.
+        :param number: index of the attempt within its request.
+        :param is_last: whether the simulator has answered the client with this outcome.
+        :raises BadLineError: the attempt or the outcome is unknown, or the attempt already has an outcome.
         """
         request = self.requests.get(request_id)
-        if request is None or not 0 <= number < len(request.attempts) or outcome_word not in OUTCOME_OF_WORD:
-            raise BadLineError("an outcome of an attempt that was never made, or of no known kind")
+        if request is None or not 0 <= number < len(request.attempts) or outcome_name not in OUTCOME_BY_NAME:
+            raise BadLineError("outcome for an unknown attempt, or unknown kind of outcome")
         attempt = request.attempts[number]
         if attempt.outcome is not None:
-            raise BadLineError("a second outcome of one attempt")
+            raise BadLineError("second outcome for the same attempt")
         if is_last:
             request.concluded = True
-        figures = usable_figures(report, self.settings.columns)
+        load_figures = usable_figures(report, self.settings.columns)
         is_hit = cache_info == ANSWERED_FROM_CACHE
-        outcome = OUTCOME_OF_WORD[outcome_word]
-        result = call_balancer(self.balancer.record_outcome, attempt, outcome, now, figures, is_hit)
+        outcome = OUTCOME_BY_NAME[outcome_name]
+        result = call_balancer(self.balancer.record_outcome, attempt, outcome, now, load_figures, is_hit)
         self._cancel(request, result.cancel)
         self._apply_decision(request, Done() if request.concluded else result.decision)
 
     def client_gone(self, now: int, request_id: int, *_: object) -> None:
-        """Drop a request whose client hung up; one that was answered a moment ago is ignored."""
+        """Drop a request whose client disconnected.
+
+        The event is ignored if the request has already been concluded.
+        """
         request = self.requests.get(request_id)
         if request is None or request.concluded:
             return
         request.concluded = True
         if request.attempts:
             self._cancel(request, call_balancer(self.balancer.client_gone, request))
-        self._close(request)
+        self._conclude(request)
 
     def endpoints_changed(self, now: int, entries: list[list[Any]], list_kind: str) -> None:
-        """Pass a new endpoint list on, or note that the poll or the watch failed."""
+        """Pass an endpoint list to the balancer, or record that the poll or the watch failed."""
         was_polling = self.poll_in_progress
         self.poll_in_progress = was_polling and list_kind == LIST_ANSWERS_POLL
         if list_kind == LIST_FAILED:
@@ -165,33 +173,37 @@
                 self.poll_backoff.record_failure(now)
             return
         if was_polling and list_kind != LIST_ANSWERS_POLL and self.poll_backoff:
-            self.poll_backoff.failures = 0  # the watch works
-        servers = [self._server(*entry) for entry in entries]
+            self.poll_backoff.failures = 0  # an update outside a poll proves that the watch works
+        servers = [self._server_from_entry(*entry) for entry in entries]
         call_balancer(self.balancer.update_endpoints, servers, list_kind != LIST_IS_DELTA, now)
 
     def gossip_received(self, now: int, sender: object, datagram: str, *_: object) -> None:
-        """Pass a peer's datagram on; it comes in base64."""
+        """Pass a peer's gossip datagram, encoded in base64, to the balancer."""
         call_balancer(self.balancer.receive_gossip, b64decode(datagram), now)
 
     def ignore(self, now: int, *_: object) -> None:
-        """Do nothing on an event that only ends a wait."""
+        """Accept an event that carries no data; due actions are collected when the batch ends."""
 
     def batch_ended(self, now: int) -> None:
-        """Do what is due now, and set a timer for what is due next."""
+        """Perform the actions that are due now and set a timer for the next one."""
         while True:
             wakeup = call_balancer(self.balancer.next_wakeup, now)
             if not wakeup.due:
                 break
             for action in wakeup.due:
-                self._act(action, now)
+                self._perform(action, now)
         delay = self._poll_if_due(now, wakeup.delay)
         if delay is not None:
             self._set_timer(now, max(delay, MIN_TIMER_US))
 
-    # Actions.
+    # Actions
 
     def _poll_if_due(self, now: int, delay: int | None) -> int | None:
-        """Poll the endpoint list if it is time; return the microseconds until anything is due."""
+        """Poll the endpoint list if a poll is due.
+
+        :param delay: microseconds until the balancer's next due action, None if there is none.
+        :returns: microseconds until the next due action or poll, None if there is neither.
+        """
         backoff = self.poll_backoff
         if backoff is None:
             return delay
@@ -204,13 +216,13 @@
         return until_poll if delay is None else min(delay, until_poll)
 
     def _set_timer(self, now: int, delay: int) -> None:
-        """Set a timer, unless one is set that is due no later."""
+        """Set a timer, unless a pending timer fires no later."""
         due_at = now + delay
         if self.timer_at is None or due_at < self.timer_at or self.timer_at <= now:
             self.timer_at = due_at
             self.actions.append([SET_TIMER, self.name, delay * NANOSECONDS_PER_MICROSECOND, due_at])
 
-    def _act(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
+    def _perform(self, action: Request | SendGossip | CloseIdleConnections, now: int) -> None:
         match action:
             case SendGossip(peer, datagram):
                 self.actions.append([SEND_GOSSIP, self.name, peer, b64encode(datagram).decode()])
@@ -220,24 +232,24 @@
                 self._apply_decision(request, call_balancer(self.balancer.route, request, now))
 
     def _apply_decision(self, request: Request, decision: Decision) -> None:
-        """Add the action that a decision asks for."""
+        """Append the action for a decision on the request."""
         request_id = self.request_ids.get(request)
         match decision:
             case Send(server, timeout_at):
                 timeout = timeout_at * NANOSECONDS_PER_MICROSECOND
                 self.actions.append([SEND, self.name, request_id, timeout, server.name])
             case Reject(retry_after):
-                pause = retry_after * NANOSECONDS_PER_MICROSECOND
-                self.actions.append([REJECT, self.name, request_id, pause])
-                self._close(request)
+                retry_after_ns = retry_after * NANOSECONDS_PER_MICROSECOND
+                self.actions.append([REJECT, self.name, request_id, retry_after_ns])
+                self._conclude(request)
             case Fail():
                 self.actions.append([FAIL, self.name, request_id])
-                self._close(request)
+                self._conclude(request)
             case Done():
-                self._close(request)
+                self._conclude(request)
 
-    def _close(self, request: Request) -> None:
-        """Conclude a request, and forget it unless an attempt has no outcome yet."""
+    def _conclude(self, request: Request) -> None:
+        """Mark a request as concluded and remove it once all of its attempts have an outcome."""
         request.concluded = True
         if all(attempt.outcome is not None for attempt in request.attempts):
             if request in self.request_ids:
@@ -248,24 +260,24 @@
             number = request.attempts.index(attempt)
             self.actions.append([CANCEL, self.name, self.request_ids[request], number])
 
-    def _server(
+    def _server_from_entry(
         self,
         kind: str,
         name: str,
         weight: float | None,
         cell: int | None,
-        state_word: str,
+        state_name: str,
         zone: str | None,
         started_at: int | None,
         *_: object,
     ) -> Server:
-        """Return the server that an entry of an endpoint list describes; null says nothing."""
+        """Return the server described by an entry of an endpoint list; null values get defaults."""
         return Server(
             name,
             self.settings.kinds.get(kind, UNKNOWN_KIND),
             weight or 0.0,
             zone or "",
             cell or 0,
-            STATE_OF_WORD[state_word],
+            STATE_BY_NAME[state_name],
             microseconds(started_at),
         )
--- a/ivystack/simulator/protocol.py
+++ b/ivystack/simulator/protocol.py
@@ -1,20 +1,20 @@
-"""The words of the simulator's line protocol, mapped to the terms of the code, and the adapter's errors.
+"""The names of the simulator's line protocol, mapped to the terms of the code, and the adapter's errors.
 
-A line is a JSON array that begins with a message's name.  Events come in batches, from START_BATCH to
-END_BATCH; the answer to a batch is a line for each action and then BATCH_DONE.  Times and spans are
-nanoseconds, but for the id of a timer, its point in time in microseconds.
+A line is a JSON array that begins with the name of a message.  Events arrive in batches, from START_BATCH to
+END_BATCH.  The answer to a batch is one line for each action, followed by BATCH_DONE.  Times and durations
+are nanoseconds, except for the id of a timer, which is the time in microseconds at which the timer fires.
 """
 
 from __future__ import annotations
 
 from ..model import Outcome, ServerState
 
-# Messages of the adapter itself.
+# Messages to the adapter itself
 START_BATCH = "TURN"
 END_BATCH = "END"
 REGISTER_ENDPOINTS = "REGISTER"
 
-# Events of one instance.
+# Events of one instance
 INSTANCE_STARTED = "UP"
 INSTANCE_KILLED = "KILLED"
 ENDPOINTS_CHANGED = "MEMBERS"
@@ -22,10 +22,10 @@
 ATTEMPT_ENDED = "FINISHED"
 CLIENT_GONE = "CANCELLED_BY_CLIENT"
 GOSSIP_RECEIVED = "INBOX"
-# Events without content of their own: what is due is asked for after each batch.
+# Events without data of their own: the actions that are due are collected at the end of every batch.
 IGNORED_EVENTS = ("TIMER", "CHECKED", "BEGUN")
 
-# Actions.
+# Actions
 SEND = "TRANSMIT"
 REJECT = "DENY"
 FAIL = "LOSE"
@@ -37,18 +37,18 @@
 INSTANCE_FAILED = "GIVE_IN"
 BATCH_DONE = "FINISHED"
 
-# How an endpoint list came.
-LIST_IS_DELTA = "D"  # only the entries that changed
+# Kinds of endpoint lists
+LIST_IS_DELTA = "D"  # only the changed entries
 LIST_IS_COMPLETE = "F"
-LIST_ANSWERS_POLL = "C"  # complete; the watch that follows has brought nothing yet
-LIST_FAILED = "X"  # the poll failed or the watch broke: no list
+LIST_ANSWERS_POLL = "C"  # complete list in answer to a poll; the watch has not delivered an update yet
+LIST_FAILED = "X"  # no list, because the poll failed or the watch broke
 LIST_KINDS = (LIST_IS_DELTA, LIST_IS_COMPLETE, LIST_ANSWERS_POLL, LIST_FAILED)
 
-ANSWERED_FROM_CACHE = 1  # what an ended attempt says of the server's cache
+ANSWERED_FROM_CACHE = 1  # value of ATTEMPT_ENDED's `cache_info` for a cache hit at the server
 
-UNKNOWN_KIND = -2  # index of a machine kind that the settings do not name
+UNKNOWN_KIND = -2  # index of a machine kind that is missing from the settings
 
-OUTCOME_OF_WORD = {
+OUTCOME_BY_NAME = {
     "completed": Outcome.SUCCEEDED,
     "errored": Outcome.ERROR,
     "saturated": Outcome.OVERLOADED,
@@ -59,7 +59,7 @@
     "superseded": Outcome.NOT_SENT,
     "lookup_miss": Outcome.CACHE_MISS,
 }
-STATE_OF_WORD = {
+STATE_BY_NAME = {
     "active": ServerState.READY,
     "leaving": ServerState.DRAINING,
     "left": ServerState.GONE,
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,3 +1,5 @@
+"""The simulator adapter: which actions it answers to which events, and what it does with malformed lines."""
+
 import orjson
 import pytest
 from helpers import S
@@ -5,39 +7,41 @@
 from ivystack.simulator.adapter import SimulatorAdapter
 from ivystack.simulator.protocol import BadLineError
 
-METHOD = {"name": "read", "semantics": "pure", "latency_budget": S * 1000, "give_up": 2 * S * 1000}
+REQUEST_CLASS = {"name": "read", "semantics": "pure", "latency_budget": S * 1000, "give_up": 2 * S * 1000}
 
 
-def play(adapter, *messages):
+def send_messages(adapter, *messages):
     reply = None
     for message in messages:
         reply = adapter.handle_line(orjson.dumps(message))
     return [orjson.loads(line) for line in reply.splitlines()]
 
 
-def up(adapter, mode="active", **config):
-    node = ["std", "n1", 1, 0, mode, "z", None]
-    return play(
+def start_proxy(adapter, server_state="active", **config):
+    server = ["std", "n1", 1, 0, server_state, "z", None]
+    return send_messages(
         adapter,
         ["TURN", 1000],
-        ["UP", "proxy_0", 7, {"methods": [METHOD], "limits": None, "unheard_of": [1], **config}],
-        ["REGISTER", 0, [node]],
+        ["UP", "proxy_0", 7, {"methods": [REQUEST_CLASS], "limits": None, "unheard_of": [1], **config}],
+        ["REGISTER", 0, [server]],
         ["MEMBERS", "proxy_0", 0, "C", 1],
         ["END"],
     )
 
 
-def test_a_req_goes_out_and_its_answer_closes_it():
+def test_a_request_is_sent_and_its_outcome_concludes_it():
     adapter = SimulatorAdapter()
-    assert up(adapter) == [["FINISHED"]]
-    reply = play(adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
+    assert start_proxy(adapter) == [["FINISHED"]]
+    reply = send_messages(
+        adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"]
+    )
     assert reply == [["TRANSMIT", "proxy_0", 9, S * 1000 + 2000, "n1"], ["FINISHED"]]
-    done = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, None, None]
-    assert play(adapter, ["TURN", 3000], done, ["END"]) == [["FINISHED"]]
+    outcome = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, None, None]
+    assert send_messages(adapter, ["TURN", 3000], outcome, ["END"]) == [["FINISHED"]]
     assert not adapter.instances["proxy_0"].requests
 
 
-def test_unreadable_lines_are_told_in_one_line():
+def test_a_malformed_line_raises_an_error_with_a_message_of_one_line():
     for lines in (
         [b"no"],
         [b"[]"],
@@ -47,33 +51,37 @@
         [b'["TURN","x"]'],
     ):
         adapter = SimulatorAdapter()
-        with pytest.raises(BadLineError) as fault:
+        with pytest.raises(BadLineError) as raised:
             for line in lines:
                 adapter.handle_line(line)
-        assert "\n" not in str(fault.value)
+        assert "\n" not in str(raised.value)
 
 
-def test_a_client_gone_that_we_ended_just_now_is_ignored():
+def test_a_client_disconnect_for_a_concluded_request_is_ignored():
     adapter = SimulatorAdapter()
-    up(adapter, "leaving")
-    assert play(adapter, ["TURN", 2000], ["CANCELLED_BY_CLIENT", "proxy_0", 5], ["END"]) == [["FINISHED"]]
+    start_proxy(adapter, "leaving")
+    assert send_messages(adapter, ["TURN", 2000], ["CANCELLED_BY_CLIENT", "proxy_0", 5], ["END"]) == [
+        ["FINISHED"]
+    ]
 
 
-def test_a_failure_of_the_decisions_gives_in_for_that_instance_alone():
+def test_a_balancer_failure_is_reported_for_that_instance_alone():
     adapter = SimulatorAdapter()
-    up(adapter)
+    start_proxy(adapter)
     adapter.instances["proxy_0"].balancer.route = None
-    reply = play(adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
+    reply = send_messages(
+        adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"]
+    )
     assert reply[0][:2] == ["GIVE_IN", "proxy_0"] and reply[-1] == ["FINISHED"]
 
 
-def test_a_load_report_goes_to_the_decisions_and_one_that_is_none_is_malformed():
-    settings = {"methods": [METHOD], "weight_source": "live"}
+def test_a_load_report_is_passed_to_the_balancer_and_one_of_another_type_is_malformed():
+    settings = {"methods": [REQUEST_CLASS], "weight_source": "live"}
     settings["reporting"] = {"how": "answers", "columns": ["active"]}
     entries = [["std", name, weight, 0, "active", "z", None] for name, weight in (("n1", 1), ("n2", None))]
     for report, load in (({"active": 2, "cpu": 5}, 2), ({"active": -2}, 0), ({}, 0), (None, 0), ([1], None)):
         adapter = SimulatorAdapter()
-        play(
+        send_messages(
             adapter,
             ["TURN", 1000],
             ["UP", "proxy_0", 7, settings],
@@ -81,43 +89,54 @@
             ["MEMBERS", "proxy_0", 0, "C", 1],
             ["END"],
         )
-        reply = play(adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
-        done = ["FINISHED", "proxy_0", 9, 0, reply[0][4], "completed", 10, True, None, report]
+        reply = send_messages(
+            adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"]
+        )
+        outcome = ["FINISHED", "proxy_0", 9, 0, reply[0][4], "completed", 10, True, None, report]
         if load is None:
             with pytest.raises(BadLineError):
-                play(adapter, ["TURN", 3000], done, ["END"])
+                send_messages(adapter, ["TURN", 3000], outcome, ["END"])
         else:
-            play(adapter, ["TURN", 3000], done, ["END"])
+            send_messages(adapter, ["TURN", 3000], outcome, ["END"])
             assert adapter.instances["proxy_0"].balancer.servers[reply[0][4]].load == load
 
 
-def test_where_the_list_is_asked_for_a_proxy_calls_at_its_start_and_again_after_a_failure():
-    # Guards the drain rule: a proxy without a watch is deemed told of drains that it never heard of.
-    assert up(SimulatorAdapter(), discovery="push") == [["FINISHED"]]
+def test_a_polling_proxy_polls_at_its_start_and_again_after_a_failure():
+    # The rules count a drain as announced to every proxy after a fixed time, so a proxy without a watch must
+    # poll again within that time.
+    assert start_proxy(SimulatorAdapter(), discovery="push") == [["FINISHED"]]
     adapter = SimulatorAdapter()
-    assert up(adapter, discovery="ask", rules={"ask_within": 10 * S * 1000})[0] == ["WATCH", "proxy_0", True]
-    for failed in range(3):  # calls that fail, or later a watch that breaks
-        at = (failed + 1) * 10 * S * 1000
-        timer, *rest = play(adapter, ["TURN", at], ["MEMBERS", "proxy_0", 0, "X", 1], ["END"])
+    assert start_proxy(adapter, discovery="ask", rules={"ask_within": 10 * S * 1000})[0] == [
+        "WATCH",
+        "proxy_0",
+        True,
+    ]
+    for failure_count in range(3):  # failed polls, or later a broken watch
+        at = (failure_count + 1) * 10 * S * 1000
+        timer, *rest = send_messages(adapter, ["TURN", at], ["MEMBERS", "proxy_0", 0, "X", 1], ["END"])
         assert timer[0] == "SET_TIMER" and rest == [["FINISHED"]]
-        assert 0 < timer[2] < 8 * S * 1000  # within the time after which it would be deemed told
+        assert 0 < timer[2] < 8 * S * 1000  # before the drain counts as announced to this proxy
         due = at + timer[2] + 1000
-        assert play(adapter, ["TURN", due], ["TIMER", "proxy_0", 1], ["END"])[0] == ["WATCH", "proxy_0", True]
-    news = ["MEMBERS", "proxy_0", 0, "D", 2]
-    assert play(adapter, ["TURN", 99 * S * 1000], news, ["END"]) == [["FINISHED"]]
+        assert send_messages(adapter, ["TURN", due], ["TIMER", "proxy_0", 1], ["END"])[0] == [
+            "WATCH",
+            "proxy_0",
+            True,
+        ]
+    update = ["MEMBERS", "proxy_0", 0, "D", 2]
+    assert send_messages(adapter, ["TURN", 99 * S * 1000], update, ["END"]) == [["FINISHED"]]
     assert not adapter.instances["proxy_0"].poll_backoff.failures
 
 
-def test_a_hit_is_told_to_the_decisions():
-    for info, hit in ((1, True), (2, False), (None, False)):
-        adapter, seen = SimulatorAdapter(), []
-        up(adapter)
-        play(adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
+def test_a_cache_hit_is_passed_to_the_balancer():
+    for cache_info, expected in ((1, True), (2, False), (None, False)):
+        adapter, recorded = SimulatorAdapter(), []
+        start_proxy(adapter)
+        send_messages(adapter, ["TURN", 2000], ["ASK", "proxy_0", 9, "read", None, 5, 3 * S * 1000], ["END"])
         balancer = adapter.instances["proxy_0"].balancer
-        after = balancer.record_outcome
-        balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(values[-1]) or after(
-            *values
+        original = balancer.record_outcome
+        balancer.record_outcome = lambda *values, original=original, recorded=recorded: (
+            recorded.append(values[-1]) or original(*values)
         )
-        done = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, info, None]
-        play(adapter, ["TURN", 3000], done, ["END"])
-        assert seen == [hit]
+        outcome = ["FINISHED", "proxy_0", 9, 0, "n1", "completed", 10, True, cache_info, None]
+        send_messages(adapter, ["TURN", 3000], outcome, ["END"])
+        assert recorded == [expected]
