--- a/ivystack/configuration/instance.py
+++ b/ivystack/configuration/instance.py
@@ -1,6 +1,6 @@
-"""Builds the decisions of one instance from its settings.
+"""Build the balancer of one instance from its settings.
 
-This is the one place where the settings' keys are mapped to the terms of the code (docs/glossary.md).
+This module alone maps the keys of the settings to the terms of the code (docs/glossary.md).
 """
 
 from __future__ import annotations
@@ -33,33 +33,36 @@
     microseconds,
 )
 
-IDEMPOTENCY_OF_SEMANTICS = {
+IDEMPOTENCY_BY_SEMANTICS = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.KEYED,
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
 
-DEFAULT_OVERLOAD_FACTOR = 4.0  # times its capacity: the load that overloads a server in slow start
+DEFAULT_OVERLOAD_FACTOR = 4.0  # load that overloads a server in slow start, in multiples of its capacity
 
-# Pauses between polls where endpoint lists are pushed, and a poll only makes up for a lost watch.  They are
-# short, as the agent is on the same machine.
+# Pauses between polls where endpoint lists are pushed and a poll only replaces a lost watch.  They are short,
+# because the agent runs on the same machine.
 PUSH_BASE_PAUSE_US = 100_000
 PUSH_MAX_PAUSE_US = 200_000
-# The longest pause, with its jitter of up to a half, must end well within the time in which a drain counts.
+# The longest pause, with its jitter of up to one half, must end well before a drain takes effect
+# (`rules.stop_sending_within`); it is at most that time divided by this number.
 DRAIN_NOTICE_FRACTION = 4
 
-# Pauses where lists come as answers to polls alone: one service of fixed capacity answers all instances.
+# Pauses where lists arrive only as answers to polls.  One service of fixed capacity answers all instances.
 POLL_BASE_PAUSE_US = 750_000
-POLL_MAX_PAUSE_FACTOR = 8  # of the base pause; this, too, must end within `rules.ask_within`
+POLL_MAX_PAUSE_FACTOR = 8  # longest pause in base pauses; the longest pause is at most `rules.ask_within`
 
 
 class InstanceConfiguration:
-    """One instance's balancer, and the names that the wire uses for request classes, tenants and kinds."""
+    """The balancer of one instance and the wire names of its request classes, tenants and machine kinds."""
 
     def __init__(self, seed: int, config: Any) -> None:
-        """:param config: the settings, as read from JSON or already converted to `InstanceSettings`.
+        """Build the balancer.
 
-        :raises ConfigurationError: names the key at fault.
+        :param seed: seed of the random number generators.
+        :param config: the settings, as decoded from JSON or already converted to `InstanceSettings`.
+        :raises ConfigurationError: the settings are invalid; the message names the key at fault.
         """
         rng = Random(seed)
         settings = config if isinstance(config, InstanceSettings) else convert(config, InstanceSettings)
@@ -74,14 +77,14 @@
         self.columns = frozenset(reporting.columns or []) if reporting.how == "answers" else frozenset()
         self.hedging_enabled = bool(limits.may_duplicate)
         self.streams_per_connection = limits.streams_per_conn or 1
-        self.idle_timeout = microseconds(limits.conn_idle)  # microseconds; 0: not set
-        self.connect_timeout = microseconds(limits.connect_timeout)  # microseconds; 0: not set
+        self.idle_timeout = microseconds(limits.conn_idle)  # microseconds; 0 if not set
+        self.connect_timeout = microseconds(limits.connect_timeout)  # microseconds; 0 if not set
         self.poll_pauses = poll_pauses(settings)
         self.poll_backoff = PollBackoff(Random(seed + 1), *self.poll_pauses)
         self.balancer = self._build_balancer(rng)
 
     def _build_balancer(self, rng: Random) -> Balancer:
-        """Return the balancer; all of its parts draw from the one generator."""
+        """Return the balancer; all of its components share the random number generator."""
         settings = self.settings
         limits, rules = settings.limits or LimitSettings(), settings.rules or RuleSettings()
         origin_kind = (settings.specifics or OriginSettings()).origin_kind
@@ -108,7 +111,7 @@
         slot_order = SlotOrderExchange(rng, own_number, process_count) if limits.peers else None
         return Balancer(rng, parameters, components, gossip, slot_order)
 
-    def longest_wait(self) -> int:
+    def longest_deadline(self) -> int:
         """Return the longest deadline of any request class, in microseconds."""
         entries = self.settings.methods or []
         return max(
@@ -116,20 +119,20 @@
         )
 
     def apply(self, new: InstanceConfiguration) -> list[RequestClass]:
-        """Go by the new configuration from now on; what the balancer has observed is kept.
+        """Apply a new configuration and keep the observations of the balancer.
 
-        :returns: the request class objects that only requests under way still use; pass them to `discard`
-            when those have ended.
+        :returns: the replaced request class objects, which only requests in flight still use.  Pass them to
+            `discard` when those requests have ended.
         """
         return apply_configuration(self, new)
 
     def discard(self, replaced: list[RequestClass]) -> None:
-        """Drop what servers hold of request classes that no request uses any more."""
+        """Remove the failures of replaced request classes from all servers, once no request uses them."""
         discard_class_failures(self.balancer, replaced)
 
 
 def poll_pauses(settings: InstanceSettings) -> tuple[int, int]:
-    """Return the first and the longest pause between polls of the endpoint list, in microseconds."""
+    """Return the base pause and the longest pause between polls of the endpoint list, in microseconds."""
     rules = settings.rules or RuleSettings()
     if settings.discovery == "ask":
         base = min(POLL_BASE_PAUSE_US, microseconds(rules.ask_within) // POLL_MAX_PAUSE_FACTOR)
@@ -141,10 +144,10 @@
 
 
 def build_request_class(entry: RequestClassSettings) -> RequestClass:
-    """Return the request class that an entry of `settings.methods` describes."""
+    """Return the request class described by an entry of `settings.methods`."""
     return RequestClass(
         entry.name,
-        IDEMPOTENCY_OF_SEMANTICS[entry.semantics or "side_effect"],
+        IDEMPOTENCY_BY_SEMANTICS[entry.semantics or "side_effect"],
         microseconds(entry.latency_budget or entry.give_up),
         entry.criticality or 0.0,
         DedupGroup(entry.group or "cell"),
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -273,7 +273,7 @@
         if self.ending:
             return
         self.ending = True
-        longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_wait())
+        longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_deadline())
         time_left = longest_timeout + self.KILL_DELAY_US - self.STALL_ALLOWANCE_US
         self.request_handler.answer_by = self.now() + time_left
         inherited = self.run.inherited_descriptor is not None  # another process accepts there, or will
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -64,7 +64,7 @@
         "pauses": settings.poll_pauses,
         "hedging": settings.hedging_enabled,
         "streams": settings.streams_per_connection,
-        "longest_wait": settings.longest_wait(),
+        "longest_wait": settings.longest_deadline(),
         "classes": {
             name: [
                 REPEATS[m.idempotency],
