--- a/ivystack/configuration/__init__.py
+++ b/ivystack/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Reads, checks and applies the configuration of a proxy and of a simulated instance."""
+"""Read, validate and apply the configuration of a proxy or of a simulated instance."""
--- a/ivystack/configuration/errors.py
+++ b/ivystack/configuration/errors.py
@@ -1,7 +1,7 @@
-"""The error of this package."""
+"""The exception raised for a faulty configuration."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(ValueError):
-    """The configuration can't be used; the message is one line that names the key at fault."""
+    """The configuration is invalid; the message is one line that names the key at fault."""
--- a/ivystack/configuration/process.py
+++ b/ivystack/configuration/process.py
@@ -1,4 +1,4 @@
-"""The configuration of one process: the file that LB_CONFIG names, and the environment."""
+"""The configuration of one process, read from the file named by LB_CONFIG and from the environment."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 
 DEFAULT_IDLE_TIMEOUT_US = 60_000_000
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
-DEFAULT_DESCRIPTORS = 1024  # the usual limit of a process
+DEFAULT_DESCRIPTORS = 1024  # the usual limit of open files per process
 DEFAULT_MEMORY_MB = 192
 BYTES_PER_MB = 2**20
-LONGEST_DESCRIPTOR = 6  # digits
+MAX_DESCRIPTOR_DIGITS = 6
 
-ENVIRONMENT_KEYS = ("name", "listen", "discovery", "admin_addr")  # LB_NAME and so on go before the file's
+# Keys for which an environment variable (LB_NAME and so on) takes precedence over the file.
+ENVIRONMENT_KEYS = ("name", "listen", "discovery", "admin_addr")
 
 
 class ProcessConfiguration:
-    """All that a proxy on sockets needs to know before it opens one.
+    """The complete configuration of a proxy on sockets, validated before the first socket is opened.
 
-    :raises ConfigurationError: names the key or the variable at fault.
+    :raises ConfigurationError: a value is invalid; the message names its key or variable.
     """
 
-    FIXED_KEYS = ("name", "listen", "admin_addr", "limits", "peer_listen")  # read at the start alone
+    FIXED_KEYS = ("name", "listen", "admin_addr", "limits", "peer_listen")  # take effect only at a start
 
     def __init__(
         self,
@@ -38,18 +39,23 @@
         environ: Mapping[str, str] | None = None,
         stated: frozenset[str] = frozenset(),
     ) -> None:
-        """`stated` are the keys that the file itself has."""
+        """Build the configuration from a decoded file.
+
+        :param stated: the top-level keys that the file itself has.
+        """
         environ = environ or {}
         self.file = file
         self.stated = stated
-        self.inherited_descriptor = parse_descriptor(environ.get("LB_FD"))  # a socket listening at `listen`
-        self.restart_folder = environ.get("TMPDIR")  # common to both processes of a hot restart
+        self.inherited_descriptor = parse_descriptor(
+            environ.get("LB_FD")
+        )  # a socket that listens at `listen`
+        self.restart_folder = environ.get("TMPDIR")  # directory shared by both processes of a hot restart
         self.name = file.name or "proxy"
         self.listen = parse_address(file.listen, "listen")
         self.discovery = parse_address(file.discovery, "discovery")
         self.admin = parse_address(file.admin_addr, "admin_addr") if file.admin_addr else None
         self.peer_listen = parse_address(file.peer_listen, "peer_listen") if file.peer_listen else None
-        self.peers = [parse_address(text, f"peers[{place}]") for place, text in enumerate(file.peers or [])]
+        self.peers = [parse_address(text, f"peers[{index}]") for index, text in enumerate(file.peers or [])]
         self.seed = parse_seed(file.seed)
         self.known_endpoints = file.known
         limits = file.limits or MachineLimits()
@@ -60,19 +66,19 @@
         self.connect_timeout_us = self.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US
 
     def changed_fixed_keys(self, other: ProcessConfiguration) -> list[str]:
-        """Return the keys that only a start reads and that have another value in the other configuration."""
+        """Return the keys of FIXED_KEYS whose values differ between the two configurations."""
         return [key for key in self.FIXED_KEYS if getattr(self.file, key) != getattr(other.file, key)]
 
     def warnings(self) -> list[str]:
-        """Return a line for each value that is allowed but seldom meant, with its key."""
+        """Return one line for each value that is valid but probably a mistake; the line names its key."""
         lines = []
         settings = self.settings
-        least = settings.balancer.parameters.clock_margin
-        for place, request_class in enumerate(settings.request_classes.values()):
-            window, key = request_class.dedup_window, f"settings.methods[{place}].window"
+        clock_margin = settings.balancer.parameters.clock_margin
+        for index, request_class in enumerate(settings.request_classes.values()):
+            window, key = request_class.dedup_window, f"settings.methods[{index}].window"
             if request_class.idempotency is not Idempotency.KEYED:
                 continue
-            if window <= least:
+            if window <= clock_margin:
                 lines.append(f"`{key}`: {window} us; no request of {request_class.name} is ever sent again")
             elif window <= self.connect_timeout_us:
                 lines.append(f"`{key}`: {window} us, no longer than `settings.limits.connect_timeout`")
@@ -80,16 +86,22 @@
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """Return the number of the inherited descriptor that LB_FD names, if any."""
+    """Return the number of the inherited descriptor given by LB_FD, or None if there is none.
+
+    :raises ConfigurationError: the text is not the number of a descriptor.
+    """
     if not text:
         return None
-    if not (text.isascii() and text.isdigit() and len(text) <= LONGEST_DESCRIPTOR):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
         raise ConfigurationError(f"`LB_FD`: wanted the number of a descriptor, got {text!r}")
     return int(text)
 
 
 def parse_seed(seed: str | int | None) -> int:
-    """Return the seed of the random draws; text is hexadecimal."""
+    """Return the seed of the random number generators; a text is read as a hexadecimal number.
+
+    :raises ConfigurationError: the text is not a hexadecimal number.
+    """
     try:
         return int(seed, 16) if isinstance(seed, str) else seed or 0
     except ValueError:
@@ -97,12 +109,12 @@
 
 
 def load(environ: Mapping[str, str], running: ProcessConfiguration | None = None) -> ProcessConfiguration:
-    """Read the file that LB_CONFIG names; the other LB_ variables go before its keys.
+    """Read the file named by LB_CONFIG; the other LB_ variables take precedence over its keys.
 
-    Where `running` is given the file is read again, and its `discovery` goes before LB_DISCOVERY: only the
-    file can have changed.
+    If `running` is given, the file is being reloaded.  In that case its `discovery` takes precedence over
+    LB_DISCOVERY, because only the file can have changed since the start.
 
-    :raises ConfigurationError: names the key or the variable at fault; `running` is unchanged.
+    :raises ConfigurationError: the message names the key or the variable at fault; `running` is unchanged.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -124,7 +136,10 @@
 
 
 def read_json(path: str) -> Any:
-    """Return what the file holds; its faults name LB_CONFIG."""
+    """Return the decoded content of a JSON file.
+
+    :raises ConfigurationError: the file can't be read or is not JSON; the message names LB_CONFIG.
+    """
     try:
         return msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
@@ -134,7 +149,10 @@
 
 
 def apply_environment(values: dict[str, Any], environ: Mapping[str, str], reloading: bool) -> None:
-    """Put the LB_ variables in the place of the file's keys."""
+    """Override keys of the file with the values of the LB_ variables.
+
+    :param reloading: whether the file is being reloaded; its `discovery` then overrides LB_DISCOVERY.
+    """
     for key in ENVIRONMENT_KEYS:
         from_environment, from_file = environ.get(f"LB_{key.upper()}"), values.get(key)
         if reloading and key == "discovery":
--- a/ivystack/configuration/reload.py
+++ b/ivystack/configuration/reload.py
@@ -1,4 +1,4 @@
-"""Applies a new configuration to a running instance; what its balancer has observed is kept."""
+"""Apply a new configuration to a running instance and keep the observations of its balancer."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 PARAMETER_FIELDS = ("max_attempts", "hedging_enabled", "retry_after", "clock_granularity")
 SLOW_START_FIELDS = ("initial_fraction", "duration", "spill_over")
 PLACEMENT_FIELDS = ("weighted", "live_weights", "parts")
-SAMPLE_FIELDS = ("attempt_times", "success_times")  # of a request class: observed, not configured
+SAMPLE_FIELDS = ("attempt_times", "success_times")  # observed fields of a request class, not configured ones
 
 
 def apply_configuration(running: InstanceConfiguration, new: InstanceConfiguration) -> list[RequestClass]:
-    """Make the running instance go by the new configuration.
+    """Apply the new configuration to the running instance.
 
-    `new` must not be used afterwards: some of its objects are in use in `running` then.
+    `new` must not be used afterwards, because `running` takes over some of its objects.
 
-    :returns: the replaced request class objects, which requests under way still use.
+    :returns: the replaced request class objects, which requests in flight still use.
     """
     balancer, new_balancer = running.balancer, new.balancer
     copy_fields(INSTANCE_FIELDS, new, running)
@@ -48,14 +48,14 @@
 
 
 def discard_class_failures(balancer: Balancer, replaced: list[RequestClass]) -> None:
-    """Drop the failures that servers hold of these request classes."""
+    """Remove the failures of these request classes from all servers."""
     for server in known_servers(balancer):
         for request_class in replaced:
             server.class_failures.pop(request_class, None)
 
 
 def apply_kinds(running: InstanceConfiguration, new: InstanceConfiguration) -> None:
-    """Add the new machine kinds; one that stays keeps its index, by which servers refer to it."""
+    """Add new machine kinds; existing kinds keep their index, because servers refer to it."""
     names = [*new.kinds]
     for name in names:
         running.kinds.setdefault(name, len(running.kinds))
@@ -66,45 +66,51 @@
 
 
 def apply_request_classes(running: InstanceConfiguration, new: InstanceConfiguration) -> list[RequestClass]:
-    """Replace the request classes that changed, and return the objects that they replace."""
+    """Replace the request classes that changed or were removed; return the replaced objects."""
     replaced = []
     servers = known_servers(running.balancer)
     for name, old in running.request_classes.items():
-        fresh = new.request_classes.get(name)
-        if fresh is not None and configured_fields(fresh) == configured_fields(old):
+        replacement = new.request_classes.get(name)
+        if replacement is not None and configured_fields(replacement) == configured_fields(old):
             new.request_classes[name] = old
             continue
         replaced.append(old)
-        if fresh is not None:
-            restrict(old, fresh)
-            hand_on_observations(old, fresh, servers)
+        if replacement is not None:
+            apply_stricter_retry_rules(old, replacement)
+            carry_over_observations(old, replacement, servers)
     running.request_classes = new.request_classes
     return replaced
 
 
-def hand_on_observations(old: RequestClass, fresh: RequestClass, servers: set[Server]) -> None:
-    """Let a class that replaces another go on with its samples and its failures at servers."""
-    copy_fields(SAMPLE_FIELDS, old, fresh)
+def carry_over_observations(old: RequestClass, replacement: RequestClass, servers: set[Server]) -> None:
+    """Copy the samples of a request class and its failures at servers to its replacement."""
+    copy_fields(SAMPLE_FIELDS, old, replacement)
     for server in servers:
         if old in server.class_failures:
-            server.class_failures[fresh] = server.class_failures[old]
+            server.class_failures[replacement] = server.class_failures[old]
 
 
-def restrict(old: RequestClass, fresh: RequestClass) -> None:
-    """Give `old` the stricter of both classes' retry rules, for its requests under way.
+def apply_stricter_retry_rules(old: RequestClass, replacement: RequestClass) -> None:
+    """Give `old` the stricter retry rules of both classes, for its requests in flight.
 
-    Servers may already go by the new rules, or still by the old ones.
+    Each server may already apply the new rules or still apply the old ones.
     """
-    keyed = [one for one in (old, fresh) if one.idempotency is Idempotency.KEYED]
-    old.idempotency = max(old.idempotency, fresh.idempotency, key=[*Idempotency].index)
+    keyed = [
+        request_class
+        for request_class in (old, replacement)
+        if request_class.idempotency is Idempotency.KEYED
+    ]
+    old.idempotency = max(old.idempotency, replacement.idempotency, key=[*Idempotency].index)
     old.dedup_group = max(
-        (one.dedup_group for one in keyed), key=[*DedupGroup].index, default=old.dedup_group
+        (request_class.dedup_group for request_class in keyed),
+        key=[*DedupGroup].index,
+        default=old.dedup_group,
     )
-    old.dedup_window = min((one.dedup_window for one in keyed), default=old.dedup_window)
+    old.dedup_window = min((request_class.dedup_window for request_class in keyed), default=old.dedup_window)
 
 
 def apply_tenants(running: InstanceConfiguration, new: InstanceConfiguration) -> None:
-    """Set the tenants and their quotas; one that stays keeps its recent requests."""
+    """Set the tenants and their quotas; existing tenants keep the count of their recent requests."""
     for name, tenant in new.tenants.items():
         running.tenants.setdefault(name, tenant).quota = tenant.quota
     running.tenants = {name: running.tenants[name] for name in new.tenants}
@@ -114,7 +120,7 @@
 
 
 def apply_peers(balancer: Balancer, new_balancer: Balancer) -> None:
-    """Start, stop or change the exchange with peers."""
+    """Start, stop or reconfigure the gossip and slot order exchanges with peers."""
     for name in ("gossip", "slot_order"):
         old, new = getattr(balancer, name), getattr(new_balancer, name)
         if old is None or new is None:
@@ -128,7 +134,7 @@
 
 
 def apply_weights(balancer: Balancer, new_balancer: Balancer) -> None:
-    """Change where servers' weights come from; that invalidates placements and load estimates."""
+    """Change the source of the servers' weights, and invalidate cached placements and load estimates."""
     old, new = balancer.placement, new_balancer.placement
     if (old.weighted, old.parts) != (new.weighted, new.parts):
         copy_fields(PLACEMENT_FIELDS, new, old)
@@ -138,17 +144,17 @@
 
 
 def known_servers(balancer: Balancer) -> set[Server]:
-    """Return the listed servers and those that still have slots."""
+    """Return the servers of the endpoint list and those that still have slots."""
     return {*balancer.servers.values(), *balancer.placement.slots}
 
 
 def configured_fields(request_class: RequestClass) -> list[Any]:
-    """Return the values of a request class that the settings give."""
+    """Return the values of a request class that come from the settings."""
     names = (name for name in RequestClass.__slots__ if name not in SAMPLE_FIELDS)
     return [getattr(request_class, name) for name in names]
 
 
 def copy_fields(names: tuple[str, ...], source: object, target: object) -> None:
-    """Set the named attributes of the target to those of the source."""
+    """Copy the named attributes from the source to the target."""
     for name in names:
         setattr(target, name, getattr(source, name))
--- a/ivystack/configuration/schema.py
+++ b/ivystack/configuration/schema.py
@@ -1,7 +1,8 @@
 """The configuration file's keys and their types, as operators write them.
 
-Field names are the file's keys; `instance.py` maps them to the terms of the code (docs/glossary.md).  Unknown
-keys are ignored, and absent and null ones get their defaults where they are read.  Spans are nanoseconds.
+The field names are the keys of the file; `instance.py` maps them to the terms of the code (docs/glossary.md).
+Unknown keys are ignored.  Missing keys and null values get their defaults where the values are read.
+Durations are nanoseconds.
 """
 
 from __future__ import annotations
@@ -17,86 +18,89 @@
 
 Nanoseconds = Annotated[int, Meta(ge=0)] | None
 Fraction = Annotated[float, Meta(ge=0, le=1)] | None
-# Finite: a priority beyond all others would have no rank.
-Figure = Annotated[float, Meta(ge=0, le=1e12)] | None
-Count = Annotated[int, Meta(ge=1)] | None
+# Bounded, because an infinite priority weight could not be ranked against the others.
+NonNegativeNumber = Annotated[float, Meta(ge=0, le=1e12)] | None
+PositiveInteger = Annotated[int, Meta(ge=1)] | None
 
-ADDRESSES_CACHED = 8192  # an endpoint list names each of its servers anew
+ADDRESS_CACHE_SIZE = 8192  # every endpoint list repeats the addresses of all servers
 
 T = TypeVar("T")
 
 
 class RequestClassSettings(Struct):
-    """One entry of `settings.methods`."""
+    """A request class: one entry of `settings.methods`."""
 
     name: str
     semantics: Literal["pure", "token", "side_effect"] | None = None  # `Idempotency`
     latency_budget: Nanoseconds = None  # latency objective
-    give_up: Nanoseconds = None  # longest deadline; without a latency objective, that too
-    criticality: Figure = None  # priority weight
-    tardy_criticality: Figure = None  # priority weight of a late answer
-    group: Literal["all", "zone", "cell"] | None = None  # `DedupGroup`: servers that know each other's keys
-    window: Nanoseconds = None  # dedup window
+    give_up: Nanoseconds = None  # longest deadline; also the latency objective if `latency_budget` is missing
+    criticality: NonNegativeNumber = None  # priority weight
+    tardy_criticality: NonNegativeNumber = None  # priority weight of a late answer
+    # `DedupGroup`: the servers that share their idempotency keys
+    group: Literal["all", "zone", "cell"] | None = None
+    window: Nanoseconds = None  # deduplication window
 
 
 class TenantSettings(Struct):
-    """One entry of `settings.parties`."""
+    """A tenant: one entry of `settings.parties`."""
 
     name: str
-    allowance_per_s: Figure = None  # quota: requests a second over all processes
+    allowance_per_s: NonNegativeNumber = None  # quota: requests per second over all processes
 
 
 class LimitSettings(Struct):
-    """`settings.limits`."""
+    """`settings.limits`: limits of connections, attempts and retries."""
 
     conn_idle: Nanoseconds = None  # idle timeout of connections
     connect_timeout: Nanoseconds = None
-    streams_per_conn: Count = None  # attempts in flight on a connection
-    most_write_outs: Count = None  # attempts of a request
-    may_duplicate: bool | None = None  # hedging is enabled
-    retry_after: bool | None = None  # rejections carry a Retry-After
-    max_retry_after: Nanoseconds = None  # the Retry-After that is sent
-    peers: bool | None = None  # gossip is enabled
+    streams_per_conn: PositiveInteger = None  # maximum attempts in flight per connection
+    most_write_outs: PositiveInteger = None  # maximum attempts per request
+    may_duplicate: bool | None = None  # whether hedging is enabled
+    retry_after: bool | None = None  # whether rejections carry a Retry-After
+    max_retry_after: Nanoseconds = None  # the value of that Retry-After
+    peers: bool | None = None  # whether gossip is enabled
 
 
 class RuleSettings(Struct):
-    """`settings.rules`: the slow start of servers, and how soon list changes count."""
+    """`settings.rules`: the slow start of servers, and how soon changes of the endpoint list take effect."""
 
     cold: Nanoseconds = None  # duration of the slow start
     cold_share: Fraction = None  # initial fraction of the slow start
-    overload_factor: Figure = None  # times its capacity that pushes a cold server over
-    ask_within: Nanoseconds = None  # poll backoff: the pauses, where lists are polled
-    stop_sending_within: Nanoseconds = None  # poll backoff: bounds the pauses, where lists are pushed
+    overload_factor: NonNegativeNumber = (
+        None  # load that overloads a cold server, in multiples of its capacity
+    )
+    ask_within: Nanoseconds = None  # sets the pauses of the poll backoff where lists are polled
+    stop_sending_within: Nanoseconds = None  # bounds the pauses of the poll backoff where lists are pushed
 
 
 class LoadReportSettings(Struct):
-    """`settings.reporting`."""
+    """`settings.reporting`: the load reports of servers."""
 
-    how: Literal["answers", "probe", "none"] | None = None  # answers: load reports come with them
-    columns: list[str] | None = None  # figures of a load report
+    how: Literal["answers", "probe", "none"] | None = None  # `answers`: load reports arrive with the answers
+    columns: list[str] | None = None  # names of the load report's values in use
 
 
 class ObjectiveSettings(Struct):
-    """`settings.blend`, what the operators weigh: checked and carried, no decision depends on it."""
+    """`settings.blend`: the operators' objectives.  They are validated, but no decision depends on them."""
 
-    whole: Figure = None
-    worst_window: Figure = None
-    worst_class: Figure = None
-    worst_tenant: Figure = None
-    tail_part: Figure = None
+    whole: NonNegativeNumber = None
+    worst_window: NonNegativeNumber = None
+    worst_class: NonNegativeNumber = None
+    worst_tenant: NonNegativeNumber = None
+    tail_part: NonNegativeNumber = None
     miss_share: Fraction = None
-    availability: Figure = None
-    nines_wanted: Figure = None
+    availability: NonNegativeNumber = None
+    nines_wanted: NonNegativeNumber = None
 
 
 class OriginSettings(Struct):
-    """`settings.specifics`."""
+    """`settings.specifics`: the origin."""
 
     origin_kind: int | None = None  # index of the origin's machine kind
 
 
 class InstanceSettings(Struct):
-    """`settings`: what an instance is given, on sockets and in the simulator alike."""
+    """`settings`: the settings of one instance, the same on sockets and in the simulator."""
 
     methods: list[RequestClassSettings] | None = None  # request classes
     parties: list[TenantSettings] | None = None  # tenants
@@ -108,23 +112,23 @@
     blend: ObjectiveSettings | None = None  # objectives
     zone: str | None = None
     zones: list[str] | None = None
-    discovery: Literal["push", "ask"] | None = None  # ask: lists come only as answers to polls
-    weight_source: Literal["none", "nominal", "rough", "live"] | None = None  # of the servers
-    excess_criticality: Figure = None  # factor on the priority weight beyond a quota
-    n_instances: Count = None  # number of processes
-    slot_no: Annotated[int, Meta(ge=0)] | None = None  # this process's number among them
-    granularity: Nanoseconds = None  # of the clock
+    discovery: Literal["push", "ask"] | None = None  # `ask`: lists arrive only as answers to polls
+    weight_source: Literal["none", "nominal", "rough", "live"] | None = None  # source of the servers' weights
+    excess_criticality: NonNegativeNumber = None  # factor on the priority weight of requests beyond a quota
+    n_instances: PositiveInteger = None  # number of processes
+    slot_no: Annotated[int, Meta(ge=0)] | None = None  # index of this process among them
+    granularity: Nanoseconds = None  # resolution of the clock
 
 
 class MachineLimits(Struct):
-    """`limits`: what the process may use of its machine."""
+    """`limits`: the resources of the machine that the process may use."""
 
     sockets: Annotated[int, Meta(ge=64)] | None = None
     memory_mb: Annotated[float, Meta(gt=0)] | None = None
 
 
 class ConfigurationFile(Struct):
-    """The whole file of a proxy on sockets."""
+    """The whole configuration file of a proxy on sockets."""
 
     settings: InstanceSettings
     listen: str | None = None
@@ -143,22 +147,23 @@
     return (nanoseconds or 0) // 1000
 
 
-def convert(values: Any, kind: type[T]) -> T:
-    """Return the values as that type.
+def convert(values: Any, target_type: type[T]) -> T:
+    """Convert decoded values to `target_type`.
 
-    :raises ConfigurationError: names the key that has another type or is out of bounds.
+    :raises ConfigurationError: a value has another type or is out of bounds; the message names its key.
     """
     try:
-        return msgspec.convert(values, kind)
+        return msgspec.convert(values, target_type)
     except msgspec.ValidationError as error:
         raise ConfigurationError(str(error).replace("$", "configuration")) from None
 
 
-@lru_cache(maxsize=ADDRESSES_CACHED)
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def parse_address(text: str | None, key: str) -> tuple[str, int]:
-    """Return the IP address and the port of `HOST:PORT`.
+    """Return the IP address and the port of a text of the form `ADDRESS:PORT`.
 
-    :raises ConfigurationError: names the key.
+    :param key: key of the configuration that holds the text, for the error message.
+    :raises ConfigurationError: the text is not an IP address and a port.
 
     >>> parse_address("127.0.0.1:6379", "listen")
     ('127.0.0.1', 6379)
