--- a/ivystack/configuration/validation.py
+++ b/ivystack/configuration/validation.py
@@ -62,7 +62,7 @@
 def check_reload(running: ConfigurationFile, new: ConfigurationFile) -> None:
     """Check that a reloaded file has every key of the running configuration.
 
-    A key that is missing indicates that the file is damaged or only partly written.
+    A missing key indicates that the file is damaged or only half written.
     """
     check_nothing_missing(running, new, "")
     old_classes = running.settings.methods or []
--- a/ivystack/duties/__init__.py
+++ b/ivystack/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties: named leases, each held by at most one process of the fleet at a time."""
+"""Duties: named leases, each of which is held by at most one process of the fleet at a time."""
--- a/ivystack/duties/exceptions.py
+++ b/ivystack/duties/exceptions.py
@@ -8,8 +8,8 @@
 
 
 class UnknownDutyError(DutyError, ValueError):
-    """A request names a duty that this version does not know."""
+    """A request names a duty that is unknown to this version."""
 
 
 class UnknownLeaseRequestError(DutyError, KeyError):
-    """A request to the lease table has a name that this version does not know."""
+    """A request to the lease table has a name that is unknown to this version."""
--- a/ivystack/duties/lease_client.py
+++ b/ivystack/duties/lease_client.py
@@ -1,4 +1,4 @@
-"""Typed lease requests to the consensus group."""
+"""Lease requests to the consensus group, with typed results."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from .protocol import LEASE_PART, LeaseCommand, LeaseRead
 
-REQUEST_TIMEOUT = 2_000_000  # microseconds for an answer of the group
+REQUEST_TIMEOUT = 2_000_000  # microseconds to wait for an answer of the group
 
 
 class GroupRequest(Protocol):
-    """A request to the group as its client offers it: False if it was not sent, else one call of `callback`.
+    """A function that sends a request to the group and returns whether the request was sent.
 
-    `callback(True, answer)` on an answer, `callback(False, None)` once `timeout` microseconds have passed
-    without one.
+    If the request was sent, `callback` is called once: `callback(True, answer)` when the answer arrives, or
+    `callback(False, None)` if no answer arrives within `timeout` microseconds.
     """
 
     def __call__(  # noqa: D102
@@ -24,30 +24,30 @@
 
 
 class LeaseGrant(NamedTuple):
-    """The holder of a lease and its token, after an attempt to acquire it."""
+    """The holder and the token of a lease after a request to acquire it."""
 
     holder: str
     token: int
 
 
 class RenewalResult(Enum):
-    """What became of a request to renew a lease."""
+    """The result of a request to renew a lease."""
 
     GRANTED = auto()
-    NOT_HOLDER = auto()  # the lease is not held by that owner under that token
-    NOT_EXTENDED = auto()  # held, but the last answer from the group is too old to grant more time
-    UNANSWERED = auto()
+    NOT_HOLDER = auto()  # the owner does not hold the lease under its token
+    NOT_EXTENDED = auto()  # held, but not extended, because the last answer from the group is too old
+    UNANSWERED = auto()  # no answer arrived in time
 
 
 class PutResult(NamedTuple):
-    """Whether a value was written, and the version of the lease's value then."""
+    """Whether a value was accepted, and the resulting version of the lease's value."""
 
     accepted: bool
     version: int
 
 
 class LeaseValue(NamedTuple):
-    """The value of a lease, its version, and the token that it was written under."""
+    """The value of a lease, its version, and the token under which it was written."""
 
     version: int
     token: int
@@ -60,54 +60,62 @@
     def __init__(self, command: GroupRequest, read: GroupRequest) -> None:
         self.command, self.read = command, read
 
-    def acquire(self, duty: str, owner: str, done: Callable[[LeaseGrant | None], None]) -> bool:
-        """Ask for a free lease; `done` gets who holds it then, None if there was no answer."""
+    def acquire(self, duty: str, owner: str, callback: Callable[[LeaseGrant | None], None]) -> bool:
+        """Request a lease; `callback` gets its holder after the request, or None without an answer."""
 
         def answered(was_answered: bool, answer: Any) -> None:
             holder, token = answer if was_answered and answer else ("", 0)
-            done(LeaseGrant(holder, token) if was_answered else None)
+            callback(LeaseGrant(holder, token) if was_answered else None)
 
         return self.command(LEASE_PART, LeaseCommand.ACQUIRE.value, [duty, owner], answered, REQUEST_TIMEOUT)
 
     def renew(
-        self, duty: str, token: int, owner: str, answer_age: int | None, done: Callable[[RenewalResult], None]
+        self,
+        duty: str,
+        token: int,
+        owner: str,
+        answer_age: int | None,
+        callback: Callable[[RenewalResult], None],
     ) -> bool:
-        """Ask for more time; `answer_age` is the microseconds since the last answered request was sent."""
+        """Request a renewal of a held lease.
+
+        :param answer_age: microseconds since the last answered request was sent, None if none was answered.
+        """
 
         def answered(was_answered: bool, answer: Any) -> None:
             if not was_answered:
-                done(RenewalResult.UNANSWERED)
+                callback(RenewalResult.UNANSWERED)
             elif answer is True:
-                done(RenewalResult.GRANTED)
+                callback(RenewalResult.GRANTED)
             else:
-                done(RenewalResult.NOT_HOLDER if answer is False else RenewalResult.NOT_EXTENDED)
+                callback(RenewalResult.NOT_HOLDER if answer is False else RenewalResult.NOT_EXTENDED)
 
         args = [duty, token, owner, answer_age]
         return self.read(LEASE_PART, LeaseRead.RENEW.value, args, answered, REQUEST_TIMEOUT)
 
     def release(self, duty: str, token: int) -> bool:
-        """Free the lease; the answer is not waited for, since an unheard release expires by itself."""
+        """Free the lease without waiting for an answer; if the request is lost, the lease expires anyway."""
         args = [duty, token]
         return self.command(
             LEASE_PART, LeaseCommand.RELEASE.value, args, lambda was_answered, answer: None, REQUEST_TIMEOUT
         )
 
     def put_value(
-        self, duty: str, token: int, value: bytes, done: Callable[[PutResult | None], None]
+        self, duty: str, token: int, value: bytes, callback: Callable[[PutResult | None], None]
     ) -> bool:
-        """Write the lease's value; `done` gets None if there was no answer."""
+        """Write the value of the lease; `callback` gets None without an answer."""
 
         def answered(was_answered: bool, answer: Any) -> None:
             accepted, version = answer if was_answered and answer else (False, 0)
-            done(PutResult(accepted, version) if was_answered else None)
+            callback(PutResult(accepted, version) if was_answered else None)
 
         args = [duty, token, value]
         return self.command(LEASE_PART, LeaseCommand.PUT_VALUE.value, args, answered, REQUEST_TIMEOUT)
 
-    def get_value(self, duty: str, done: Callable[[LeaseValue | None], None]) -> bool:
-        """Read the lease's value; `done` gets None if there was no answer."""
+    def get_value(self, duty: str, callback: Callable[[LeaseValue | None], None]) -> bool:
+        """Read the value of the lease; `callback` gets None without an answer."""
 
         def answered(was_answered: bool, answer: Any) -> None:
-            done(LeaseValue(*answer) if was_answered and answer else None)
+            callback(LeaseValue(*answer) if was_answered and answer else None)
 
         return self.read(LEASE_PART, LeaseRead.GET_VALUE.value, [duty], answered, REQUEST_TIMEOUT)
--- a/ivystack/duties/lease_holder.py
+++ b/ivystack/duties/lease_holder.py
@@ -1,8 +1,8 @@
-"""The holder's side of the leases: campaign, acquire, renew, release.
+"""The holder's side of the leases: campaign for, acquire, renew and release them.
 
-There is no I/O here: the clock is passed in and the group is asked through a `LeaseClient`.  A lease counts
-from the moment before it was requested and is shortened by the clock drift, so that the holder's time is over
-before the leader's is.  All times are microseconds.
+This module does no I/O: the current time is a parameter, and requests go to the group through a
+`LeaseClient`.  A lease starts when its request is sent, and its duration is shortened by the clock drift, so
+that it ends for the holder before it expires at the leader.  All times are microseconds.
 """
 
 from __future__ import annotations
@@ -16,37 +16,38 @@
 from .lease_client import REQUEST_TIMEOUT, LeaseClient, LeaseGrant, RenewalResult
 from .protocol import FREE_LEASE, LeaseSummary
 
-RENEWALS_PER_LEASE = 3  # renewals due in one duration, so that a lost one does not cost the lease
-MAX_CANDIDACY_DELAY = 600_000  # microseconds that the last candidate waits longer than the first
+RENEWALS_PER_LEASE = 3  # renewals per lease duration, so that the loss of one does not cost the lease
+MAX_CANDIDACY_DELAY = 600_000  # microseconds; upper bound of the candidates' delays before they campaign
 CANNOT_SERVE_GRACE = 1_000_000  # microseconds after which a holder that cannot serve releases the lease
-BACKOFF = 10_000_000  # microseconds without a campaign after that: a link that flaps must not move the lease
+# Microseconds without a campaign after such a release, so that a flapping link does not move the lease.
+BACKOFF = 10_000_000
 
 
 class LeaseLossReason(StrEnum):
     """Why a lease is no longer held; the value is the `code=` of the log line."""
 
     EXPIRED = "ran-out"  # not renewed in time
-    REVOKED = "taken-away"  # the group says that it is not ours
-    CANNOT_SERVE = "unable"
-    SHUTDOWN = "handed-on"
+    REVOKED = "taken-away"  # the group does not list this process as the holder under its token
+    CANNOT_SERVE = "unable"  # released, because this process cannot perform the duty
+    SHUTDOWN = "handed-on"  # released, because this process is shutting down
 
 
 @dataclass
 class DutyLease:
-    """The lease of one duty as this process stands to it."""
+    """This process's view of the lease of one duty.  Times are microseconds."""
 
     duty: str
-    can_serve: Callable[[], bool]
-    token: int = 0  # our fencing token; 0: not held
+    can_serve: Callable[[], bool]  # whether this process can perform the duty at present
+    token: int = 0  # fencing token of this process; 0 if the lease is not held here
     expires_at: int = 0
     renew_at: int = 0
     request_pending: bool = False
     cannot_serve_since: int | None = None
     backoff_until: int = 0
-    available_since: int | None = None
-    answered_request_at: int | None = None  # when the last answered request was sent: we can receive, too
-    released_token: int = 0  # not ours again, though the group may not know of the release yet
-    released_at: int = 0  # when the group was last asked to free it
+    available_since: int | None = None  # since when the lease has been free
+    answered_request_at: int | None = None  # send time of the last answered request: this process can receive
+    released_token: int = 0  # not held again, even if the group has not processed the release yet
+    released_at: int = 0  # when the release was last sent
 
 
 class LeaseHolder:
@@ -61,11 +62,13 @@
         on_lost: Callable[[str, int, LeaseLossReason], None],
         on_acquired: Callable[[str, int], None],
     ) -> None:
-        """Create a holder without any duty.
+        """Create a holder without duties.
 
         :param owner: this process, as `name/incarnation`.
-        :param lease: duration in microseconds.
+        :param lease: duration of a lease in microseconds.
         :param drift: the largest relative difference between the rates of two clocks.
+        :param on_lost: called with the duty, the token and the reason when a lease is lost or released.
+        :param on_acquired: called with the duty and the token when a lease is acquired.
         """
         self.owner, self.client, self.on_lost, self.on_acquired = owner, client, on_lost, on_acquired
         self.duration = int(lease * (1 - drift))
@@ -73,25 +76,31 @@
         self.shutting_down = False
 
     def add_duty(self, duty: str, can_serve: Callable[[], bool]) -> None:
-        """Make this process a candidate for a duty whenever `can_serve` says so."""
+        """Make this process a candidate for a duty whenever `can_serve` returns True."""
         self.leases[duty] = DutyLease(duty, can_serve)
 
     def held_token(self, duty: str, now: int) -> int:
-        """End the lease if it has expired; return its token, 0 if not held.  Ask right before each action."""
+        """Return the token of the lease, or 0 if it is not held; drop the lease if it has expired.
+
+        Callers must check this right before each action under the duty.
+        """
         lease = self.leases[duty]
         if lease.token and now >= lease.expires_at:
             self._lose(lease, LeaseLossReason.EXPIRED)
         return lease.token
 
     def candidacy_delay(self, duty: str) -> int:
-        """Return how long this proxy waits before it campaigns, by hash: duties spread over proxies."""
-        rank = blake2b(f"{duty} {proxy_name(self.owner)}".encode(), digest_size=2).digest()
-        return int.from_bytes(rank, "big") * MAX_CANDIDACY_DELAY // 65_536
+        """Return the microseconds that this proxy waits before it campaigns for a duty.
+
+        The delay is a hash of the duty and the proxy's name, so that duties spread over the proxies.
+        """
+        name_hash = blake2b(f"{duty} {proxy_name(self.owner)}".encode(), digest_size=2).digest()
+        return int.from_bytes(name_hash, "big") * MAX_CANDIDACY_DELAY // 65_536
 
     def tick(self, announced: Mapping[str, LeaseSummary] | None, now: int) -> None:
         """Run one cycle, several times a second.
 
-        :param announced: the leases as the leader announced them, None if that is stale.
+        :param announced: the leases as the leader announced them, None if the announcement is out of date.
         """
         for lease in self.leases.values():
             can_serve = lease.can_serve()
@@ -102,16 +111,16 @@
                 self._act_on_announcement(lease, announced.get(lease.duty, FREE_LEASE), can_serve, now)
 
     def release_all(self, now: int) -> None:
-        """Release everything held and campaign no more: a planned end."""
+        """Release all held leases and stop campaigning, because this process is shutting down."""
         self.shutting_down = True
         for lease in self.leases.values():
             if lease.token:
                 self._release(lease, LeaseLossReason.SHUTDOWN, now)
 
     def _renew_or_release(self, lease: DutyLease, now: int) -> None:
-        """Renew a held lease when due, or release it where this process cannot serve."""
-        since = lease.cannot_serve_since
-        if since is not None and now - since >= CANNOT_SERVE_GRACE:
+        """Renew a held lease when due, or release it if this process cannot serve for too long."""
+        cannot_serve_since = lease.cannot_serve_since
+        if cannot_serve_since is not None and now - cannot_serve_since >= CANNOT_SERVE_GRACE:
             lease.backoff_until = now + BACKOFF
             self._release(lease, LeaseLossReason.CANNOT_SERVE, now)
         elif now >= lease.renew_at and not lease.request_pending:
@@ -120,7 +129,7 @@
     def _act_on_announcement(
         self, lease: DutyLease, announced: LeaseSummary, can_serve: bool, now: int
     ) -> None:
-        """Act on the announced state of a lease that is not held here."""
+        """Campaign for a lease that is not held here, or reclaim it, according to its announced state."""
         if announced.holder == self.owner:
             self._reclaim(lease, announced.token, now)
         elif announced.holder or not can_serve or now < lease.backoff_until:
@@ -129,14 +138,14 @@
             self._campaign(lease, now)
 
     def _reclaim(self, lease: DutyLease, token: int, now: int) -> None:
-        """Renew a lease whose grant was not heard, or repeat a release that was not."""
+        """Renew a lease whose grant did not arrive here, or repeat a release that did not reach the group."""
         if token != lease.released_token:
             self._renew(lease, token, now)
         elif now - lease.released_at > REQUEST_TIMEOUT:
             self._send_release(lease, now)
 
     def _campaign(self, lease: DutyLease, now: int) -> None:
-        """Acquire a lease that has been free for our candidacy delay."""
+        """Request a lease that has been free for at least this proxy's candidacy delay."""
         lease.available_since = lease.available_since or now
         if now - lease.available_since < self.candidacy_delay(lease.duty):
             return
@@ -155,7 +164,7 @@
             lease.request_pending = False
 
     def _renew(self, lease: DutyLease, token: int, now: int) -> None:
-        """Ask for more time, counted from now."""
+        """Request a renewal of the lease; the new duration starts now."""
         lease.request_pending = True
 
         def answered(result: RenewalResult) -> None:
@@ -173,13 +182,13 @@
             lease.request_pending = False
 
     def _extend(self, lease: DutyLease, token: int, requested_at: int) -> None:
-        """Hold the lease under `token`, for its duration from the time of the request."""
-        new = lease.token != token
-        if new and lease.token:
+        """Hold the lease under `token` for its duration, which started at `requested_at`."""
+        is_new = lease.token != token
+        if is_new and lease.token:
             self._lose(lease, LeaseLossReason.REVOKED)
         lease.token, lease.expires_at = token, requested_at + self.duration
         lease.renew_at = requested_at + self.duration // RENEWALS_PER_LEASE
-        if new:
+        if is_new:
             self.on_acquired(lease.duty, token)
 
     def _lose(self, lease: DutyLease, reason: LeaseLossReason) -> None:
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -1,4 +1,4 @@
-"""The consensus leader's part in the leases: it ends expired ones and announces all of them to the fleet."""
+"""The consensus leader's part in the leases: end expired leases and announce all leases to the fleet."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 if TYPE_CHECKING:
     from ..consensus.replica import Replica
 
-ANNOUNCEMENT_INTERVAL = 500_000  # microseconds between announcements where nothing changes
+ANNOUNCEMENT_INTERVAL = 500_000  # microseconds between announcements while no lease changes
 
 
 class LeaseLeader:
-    """Acts on the lease table of our own group member, wherever that member leads."""
+    """Acts on the lease table of this process's replica while that replica leads the group."""
 
     def __init__(
         self,
@@ -31,10 +31,10 @@
         now: Callable[[], int],
         on_announcement: Callable[[LeaseAnnouncement], None],
     ) -> None:
-        """Register with the member.
+        """Register with this process's replica, `member`.
 
-        :param now: the clock, in microseconds.
-        :param on_announcement: takes each announcement in this process, before it is sent.
+        :param now: returns the current time in microseconds.
+        :param on_announcement: called in this process with each announcement, before it is sent.
         """
         self.member, self.table, self.expiry, self.mesh = member, table, expiry, mesh
         self.now, self.on_announcement = now, on_announcement
@@ -45,18 +45,18 @@
         member.authorize = self.is_allowed
 
     def tick(self, now: int) -> None:
-        """Expire and announce, if this process leads and has committed an entry of its term."""
+        """Expire and announce leases if this process leads and has committed an entry of its term."""
         core = self.member.core
         if core is None or core.role is not Role.LEADER or core.log.term_at(core.commit_index) != core.term:
             return
         for duty, token in self.expiry.expired(self.table.records, core.term, now):
-            logger.info("duty: lease expired, its holder was not heard from duty={} token={}", duty, token)
+            logger.info("duty: lease expired, no renewal from its holder duty={} token={}", duty, token)
             self.member.propose(LEASE_PART, LeaseCommand.RELEASE.value, [duty, token])
         if now >= self.next_announcement:
             self._announce(core.term, now)
 
     def state_changed(self) -> None:
-        """Announce at once where the replicated state has changed and this process leads."""
+        """Announce the leases at once if the table has changed and this process leads."""
         core = self.member.core
         if core is not None and core.role is Role.LEADER and self.table.summaries() != self.announced:
             self._announce(core.term, self.now())
@@ -64,15 +64,16 @@
     def _announce(self, term: int, now: int) -> None:
         self.next_announcement = now + ANNOUNCEMENT_INTERVAL
         self.announced = self.table.summaries()
-        news = LeaseAnnouncement(term, self.member.applied_index, self.announced)
-        self.on_announcement(news)
+        announcement = LeaseAnnouncement(term, self.member.applied_index, self.announced)
+        self.on_announcement(announcement)
         for peer in [*self.mesh.peers]:
-            self.mesh.send(peer, MessageKind.LEASE_NEWS.value, news)
+            self.mesh.send(peer, MessageKind.LEASE_ANNOUNCEMENT.value, announcement)
 
     def is_allowed(self, process: str, part: Any, name: Any, args: Any) -> bool:
-        """Return whether `process` may ask for this: each acquires, releases and writes for itself alone.
+        """Return whether `process` may send this request: a process may change only its own leases.
 
-        A peer with a valid key may lie about whom it acts for; the token it names is checked by the table.
+        A peer with a valid key may give a false owner in its request.  The token in the request is checked by
+        the lease table.
         """
         if part != LEASE_PART or name == LeaseRead.GET_VALUE:
             return True
@@ -84,6 +85,6 @@
         return record is not None and record.holder == process
 
     def read_answered(self, part: str, name: str, args: list, answer: Any) -> None:
-        """Count a renewal as a sign of life of the holder; a majority has confirmed that we lead."""
+        """Record a granted renewal.  A majority has confirmed that this process leads."""
         if part == LEASE_PART and name == LeaseRead.RENEW and answer is True:
             self.expiry.renewed(args[0], args[1], self.now())
--- a/ivystack/duties/lease_table.py
+++ b/ivystack/duties/lease_table.py
@@ -1,7 +1,8 @@
 """The replicated lease table: holder, fencing token and value of each duty.
 
-A part of the consensus group's state machine, so every member must compute the same result from the same
-command: there is no clock here.  Whether a lease has expired is decided by the leader (lease_expiry.py).
+The table is a part of the consensus group's state machine.  It uses no clock, because every member must
+compute the same result from the same command.  The leader decides whether a lease has expired
+(lease_expiry.py).
 """
 
 from __future__ import annotations
@@ -12,38 +13,38 @@
 from .exceptions import UnknownDutyError, UnknownLeaseRequestError
 from .protocol import KNOWN_DUTIES, LeaseCommand, LeaseRead, LeaseSummary
 
-MAX_VALUE_BYTES = 16_384  # a slot order of 5,000 servers
+MAX_VALUE_BYTES = 16_384  # enough for a slot order of 5,000 servers
 MAX_OWNER_CHARS = 128
 
 
 @dataclass(slots=True)
 class LeaseRecord:
-    """One lease.  The fields are stored in this order."""
+    """One lease.  Snapshots store the fields in this order."""
 
-    holder: str = ""  # `name/incarnation` of the holding process; empty: the lease is free
-    token: int = 0  # fencing token of the holder, or of the last one
+    holder: str = ""  # `name/incarnation` of the holding process; empty if the lease is free
+    token: int = 0  # fencing token of the current or last holder
     value: bytes = b""
-    version: int = 0  # of the value
-    value_token: int = 0  # the token under which the value was written
+    version: int = 0  # version of the value
+    value_token: int = 0  # token under which the value was written
 
     def summary(self) -> LeaseSummary:
         """Return the lease without its value."""
         return LeaseSummary(self.holder, self.token, self.version)
 
     def acquire(self, owner: str) -> list:
-        """Give a free lease to `owner` under a new token; return the holder and its token then."""
+        """Give the lease to `owner` under a new token if it is free; return the current holder and token."""
         if not self.holder:
             self.holder, self.token = owner, self.token + 1
         return [self.holder, self.token]
 
     def release(self, token: Any) -> bool:
-        """Free the lease if it is held under `token`; return whether it was."""
+        """Free the lease if it is held under `token`; return whether it was held so."""
         held = bool(self.holder) and token == self.token
         self.holder = "" if held else self.holder
         return held
 
     def put(self, token: Any, value: Any) -> list:
-        """Write the value if the lease is held under `token`; return whether it was, and the version then."""
+        """Write the value if the lease is held under `token`; return whether it was, and its version."""
         accepted = isinstance(value, bytes) and len(value) <= MAX_VALUE_BYTES
         accepted = accepted and bool(self.holder) and token == self.token
         if accepted and value != self.value:
@@ -52,32 +53,34 @@
 
 
 class LeaseTable:
-    """The leases by duty, changed by commands and read by queries of the consensus group."""
+    """The leases of all duties, changed by commands and read by queries of the consensus group."""
 
     COMMANDS = tuple(command.value for command in LeaseCommand)
 
     def __init__(self, lease: int = 0) -> None:
         """Create an empty table.
 
-        :param lease: duration in microseconds; used by reads alone and no part of the replicated state.
+        :param lease: duration in microseconds; only reads use it, and it is not replicated.
         """
-        self.max_answer_age = lease * 2 // 3  # a holder without an answer for longer gets no more time
-        self.records: dict[str, LeaseRecord] = {}
+        self.max_answer_age = lease * 2 // 3  # a holder whose last answer is older gets no renewal
+        self.records: dict[str, LeaseRecord] = {}  # by duty
 
     def record(self, duty: str) -> LeaseRecord:
-        """Return the lease of a duty, created free where it is not there yet.
+        """Return the lease of a duty; create a free lease if the table has none.
 
-        :raises UnknownDutyError: which bounds the number of records.
+        :raises UnknownDutyError: the duty is unknown.  This bounds the number of records.
         """
         if duty not in KNOWN_DUTIES:
             raise UnknownDutyError(duty)
         return self.records.setdefault(duty, LeaseRecord())
 
     def execute(self, name: str, args: list) -> Any:
-        """Apply a command: `take` duty owner, `free` duty token, or `put` duty token value.
+        """Apply a command and return its result.
 
-        :raises UnknownDutyError: nothing is changed.
-        :raises UnknownLeaseRequestError: no lease is changed.
+        The commands are `take` (duty, owner), `free` (duty, token) and `put` (duty, token, value).
+
+        :raises UnknownDutyError: the duty is unknown; nothing is changed.
+        :raises UnknownLeaseRequestError: the command is unknown; no lease is changed.
 
         >>> table = LeaseTable()
         >>> table.execute("take", ["slot-order", "a/1"]), table.execute("take", ["slot-order", "b/1"])
@@ -98,14 +101,15 @@
         raise UnknownLeaseRequestError(name)
 
     def query(self, name: str, args: list) -> Any:
-        """Answer a read: `renew` duty token owner answer-age, or `value` duty.
+        """Answer a read: `renew` (duty, token, owner, answer age) or `value` (duty).
 
-        `renew` gives whether that owner holds the lease under that token; None, which grants no more time,
-        where its last answer from the group is too old or absent: a holder that can send but not receive
-        would keep the lease forever.  `value` gives the version, the token it was written under, the value.
+        `renew` returns whether the owner holds the lease under the token.  It returns None, which grants no
+        renewal, if the owner's last answer from the group is too old or absent.  Otherwise a holder that can
+        send but not receive would keep the lease forever.  `value` returns the version of the value, the
+        token under which it was written, and the value.
 
-        :raises UnknownDutyError: the duty is not known.
-        :raises UnknownLeaseRequestError: the request is not known.
+        :raises UnknownDutyError: the duty is unknown.
+        :raises UnknownLeaseRequestError: the read is unknown.
         """
         record = self.record(args[0])
         if name == LeaseRead.RENEW:
@@ -118,16 +122,16 @@
         raise UnknownLeaseRequestError(name)
 
     def summaries(self) -> dict[str, LeaseSummary]:
-        """Return all leases without their values, as they are announced to the fleet."""
+        """Return all leases by duty without their values, as they are announced to the fleet."""
         return {duty: record.summary() for duty, record in self.records.items()}
 
     def dump(self) -> Any:
-        """Return the table as it is stored in a snapshot."""
+        """Return the content of the table for a snapshot."""
         return {
-            duty: [one.holder, one.token, one.value, one.version, one.value_token]
-            for duty, one in self.records.items()
+            duty: [record.holder, record.token, record.value, record.version, record.value_token]
+            for duty, record in self.records.items()
         }
 
-    def load(self, what: Any) -> None:
-        """Replace the table by one from a snapshot."""
-        self.records = {duty: LeaseRecord(*values) for duty, values in what.items()}
+    def load(self, stored: Any) -> None:
+        """Replace the content of the table by that of a snapshot."""
+        self.records = {duty: LeaseRecord(*values) for duty, values in stored.items()}
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -1,4 +1,4 @@
-"""Runs the duties of one proxy: their cycle, the announced leases, and each duty's parts."""
+"""Run the duties of one proxy: a periodic cycle over the announced leases and the components of each duty."""
 
 from __future__ import annotations
 
@@ -26,20 +26,21 @@
     from ..net.proxy import Proxy
 
 TICK_INTERVAL = 100_000  # microseconds
-ANNOUNCEMENT_TTL = 3_000_000  # microseconds: older announcements tell nothing
-NEW_GROUP_AFTER = (
-    10 * ANNOUNCEMENT_TTL
-)  # microseconds without news: then even an older index is a new group's
+ANNOUNCEMENT_TTL = 3_000_000  # microseconds after which an announcement is out of date
+# Microseconds without an announcement after which a lower log index is accepted, because it must belong to a
+# newly created group.
+NEW_GROUP_TIMEOUT = 10 * ANNOUNCEMENT_TTL
 
 ORDER, CHECKS = DutyName.SLOT_ORDER.value, DutyName.HEALTH_CHECKS.value
 
 
 class DutyManager:
-    """Drives the lease holder and the duties, one cycle per tick.  No client request ever waits for it."""
+    """Drives the lease holder and the duties, one cycle per tick.  No client request waits for a cycle."""
 
     def __init__(self, proxy: Proxy, mesh: Mesh, client: Client, lease: int, drift: float) -> None:
-        """Create the duties of `proxy`, not started yet.
+        """Create the duties of `proxy` without starting them.
 
+        :param client: client of the consensus group.
         :param lease: duration of a lease in microseconds.
         :param drift: the largest relative difference between the rates of two clocks.
         """
@@ -57,19 +58,22 @@
             self.checks, mesh, self.holder, self.fencing, self.now, self._check_holder
         )
         self.leader: LeaseLeader | None = None
-        self.leases: dict[str, LeaseSummary] = {}  # as last announced
+        self.leases: dict[str, LeaseSummary] = {}  # by duty, as last announced
         self.announced_index = (-1, -1)  # term and log index of the last announcement
         self.announced_at = -ANNOUNCEMENT_TTL
         self.stopped = False
-        mesh.handlers[MessageKind.LEASE_NEWS.value] = self.news_received
+        mesh.handlers[MessageKind.LEASE_ANNOUNCEMENT.value] = self.announcement_received
 
     def attach_member(self, member: Replica, table: LeaseTable) -> None:
-        """Take part in the group through our own process's member."""
+        """Take part in the consensus group through this process's own replica.
+
+        :param table: the lease table of the replica's state machine.
+        """
         self.leader = LeaseLeader(member, table, self.expiry, self.mesh, self.now, self._apply_announcement)
         self.exchange.is_member = True
 
     def start(self) -> None:
-        """Begin the cycle."""
+        """Start the periodic cycle."""
         self.tick()
 
     def tick(self) -> None:
@@ -80,34 +84,34 @@
         now = self.now()
         if self.leader is not None:
             self.leader.tick(now)
-        fresh = self._is_fresh(now)
-        self.holder.tick(self.leases if fresh else None, now)
-        if fresh:
+        is_fresh = self._is_fresh(now)
+        self.holder.tick(self.leases if is_fresh else None, now)
+        if is_fresh:
             self.order.tick(self.leases.get(ORDER), now)
             self.exchange.tick(now)
 
-    def news_received(self, sender: str, body: Any) -> None:
-        """Take an announcement of the leader.
+    def announcement_received(self, sender: str, body: Any) -> None:
+        """Apply an announcement of the leader.
 
-        :raises msgspec.ValidationError: the body has another shape.
+        :raises msgspec.ValidationError: the body is not a lease announcement.
         """
         if sender not in self.mesh.members:
             return self.mesh.count_drop(DropCode.NOT_A_MEMBER, sender)
-        news = msgspec.convert(body, LeaseAnnouncement)
-        if {*news.leases} <= {*KNOWN_DUTIES}:
-            self._apply_announcement(news)
+        announcement = msgspec.convert(body, LeaseAnnouncement)
+        if {*announcement.leases} <= {*KNOWN_DUTIES}:
+            self._apply_announcement(announcement)
         return None
 
     def release_all(self) -> None:
-        """Release all leases and campaign no more: the proxy is shutting down."""
+        """Release all leases and stop campaigning, because the proxy is shutting down."""
         self.holder.release_all(self.now())
 
     def stop(self) -> None:
-        """End the cycle."""
+        """Stop the periodic cycle."""
         self.stopped = True
 
     def state(self) -> dict[str, Any]:
-        """Return how things stand, for the operators' JSON."""
+        """Return the state of the leases and duties for the status JSON."""
         now = self.now()
         held = {duty: token for duty in self.holder.leases if (token := self.holder.held_token(duty, now))}
         return {
@@ -123,12 +127,12 @@
     def _is_fresh(self, now: int) -> bool:
         return now - self.announced_at < ANNOUNCEMENT_TTL
 
-    def _apply_announcement(self, news: LeaseAnnouncement) -> None:
-        index, now = (news.term, news.applied_index), self.now()
-        if index < self.announced_index and now - self.announced_at < NEW_GROUP_AFTER:
-            return  # from a former leader
-        self.announced_index, self.leases, self.announced_at = index, news.leases, now
-        for duty, lease in news.leases.items():
+    def _apply_announcement(self, announcement: LeaseAnnouncement) -> None:
+        index, now = (announcement.term, announcement.applied_index), self.now()
+        if index < self.announced_index and now - self.announced_at < NEW_GROUP_TIMEOUT:
+            return  # sent by a former leader
+        self.announced_index, self.leases, self.announced_at = index, announcement.leases, now
+        for duty, lease in announcement.leases.items():
             self.fencing.announce(duty, lease.token)
 
     def _check_holder(self) -> str:
--- a/ivystack/duties/protocol.py
+++ b/ivystack/duties/protocol.py
@@ -1,6 +1,7 @@
-"""Names and message shapes of the duties on the wire, each mapped once to the term used in the code.
+"""Wire names and message types of the duties, mapped to the terms of the code.
 
-The wire values are fixed: they stand in the replicated log, in snapshots and in messages between versions.
+The wire values must not change, because they appear in the replicated log, in snapshots and in messages
+between different versions.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 from ..consensus.membership import proxy_name
 
-LEASE_PART = "duty"  # the part of the replicated state machine that holds the leases
+LEASE_PART = "duty"  # name of the replicated state machine's part with the leases
 MAX_SERVERS_PER_MESSAGE = 64  # server names in one health check message
 
 
@@ -26,7 +27,7 @@
 
 
 class LeaseCommand(StrEnum):
-    """A request that changes the lease table and goes through the replicated log."""
+    """A request that changes the lease table through the replicated log."""
 
     ACQUIRE = "take"
     RELEASE = "free"
@@ -36,8 +37,8 @@
 class LeaseRead(StrEnum):
     """A linearizable read of the lease table."""
 
-    # A read, since only the leader keeps the times of renewals (LeaseExpiry) and nothing is replicated; the
-    # read proves that it leads.
+    # A renewal is a read, because only the leader keeps the times of renewals (LeaseExpiry) and nothing is
+    # replicated.  The read proves that the process is still the leader.
     RENEW = "renew"
     GET_VALUE = "value"
 
@@ -45,7 +46,7 @@
 class MessageKind(StrEnum):
     """A message between proxies that this package handles."""
 
-    LEASE_NEWS = "duty"
+    LEASE_ANNOUNCEMENT = "duty"
     SERVERS_DOWN = "down"
     HEALTH_CHECK_RESULTS = "looked"
 
@@ -53,9 +54,9 @@
 class LeaseSummary(NamedTuple):
     """A lease without its value, as the leader announces it."""
 
-    holder: str  # `name/incarnation` of the holding process; empty: the lease is free
-    token: int  # fencing token of the holder, or of the last one
-    version: int  # of the value
+    holder: str  # `name/incarnation` of the holding process; empty if the lease is free
+    token: int  # fencing token of the current or last holder
+    version: int  # version of the value
 
     @property
     def holder_name(self) -> str:
@@ -67,7 +68,7 @@
 
 
 class LeaseAnnouncement(NamedTuple):
-    """All leases at one index of the replicated log, announced by the leader of that term."""
+    """All leases by duty at one index of the replicated log, announced by the leader of `term`."""
 
     term: int
     applied_index: int
@@ -81,4 +82,4 @@
     reached: dict[str, bool]
 
 
-ServersDown = list[str]  # names of servers that the sender holds to be down
+ServersDown = list[str]  # names of servers that are unhealthy at the sender
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -268,8 +268,10 @@
         ("duty", "value", ["slot-order"]),
         ("duty", "free", ["slot-order", 1]),
     ]
-    news = LeaseAnnouncement(5, 9, {"slot-order": LeaseSummary("a/1", 1, 0)})
-    assert encode((MessageKind.LEASE_NEWS, news)) == encode(["duty", [5, 9, {"slot-order": ["a/1", 1, 0]}]])
+    announcement = LeaseAnnouncement(5, 9, {"slot-order": LeaseSummary("a/1", 1, 0)})
+    assert encode((MessageKind.LEASE_ANNOUNCEMENT, announcement)) == encode(
+        ["duty", [5, 9, {"slot-order": ["a/1", 1, 0]}]]
+    )
     results = HealthCheckResults(1, {"n0": False})
     assert encode((MessageKind.HEALTH_CHECK_RESULTS, results)) == encode(["looked", [1, {"n0": False}]])
 
