--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -1,8 +1,10 @@
-"""The balancer: each key's digits fix k replicas; pick one at random, skip a loaded one.
+"""The balancer: the entry point of the balancing decisions of one process.
 
-A caller asks `route` for each new request, `record_outcome` for each attempt that ends, and `next_wakeup` for
-what is due and when to ask again; `update_endpoints` and `receive_gossip` bring news.  All are passed the
-time in microseconds.
+A key's hash determines its k replicas; a request is sent to a random one of them that is not overloaded.
+
+The caller calls `route` for each new request, `record_outcome` for each attempt that ends, and `next_wakeup`
+for what is due and when to call it again.  It passes changes of the endpoint list to `update_endpoints`, and
+datagrams of peers to `receive_gossip`.  All of these take the current time in microseconds.
 """
 
 from __future__ import annotations
@@ -43,21 +45,21 @@
 from .gossip import OutcomeGossip
 from .gossip_codec import OUTCOME_BYTES, GossipedOutcome, server_hash
 from .load_shedding import HOPELESS_CHANCE, success_chance
-from .outcomes import OutcomeLearner
+from .outcomes import OutcomeRecorder
 from .outlier_detection import later_attempt_succeeded
 from .parameters import BalancerParameters
 from .retry_policy import RetryPolicy, can_reject, hedge_delay, is_possibly_executed, is_retryable
 from .server_selection import ServerSelector
 from .slot_order import SlotOrderExchange
 
-CAPACITY_RECHECK_US = 20_000  # a request that no server has capacity for is decided again after this
-MAX_WAIT_DIVISOR = (
-    8  # it waits for this part of its time: later it is seldom answered in time, and a rejection is cheap
-)
+CAPACITY_RECHECK_US = 20_000  # delay until the next decision on a request while no server has capacity for it
+# A request waits for capacity for at most this part of the time until its answer deadline: one that waited
+# longer would seldom be answered in time, and rejecting it is cheap.
+MAX_WAIT_DIVISOR = 8
 
 
 class Balancer:
-    """The decisions of one process."""
+    """The balancing decisions of one process."""
 
     def __init__(
         self,
@@ -67,7 +69,7 @@
         gossip: OutcomeGossip | None = None,
         slot_order: SlotOrderExchange | None = None,
     ) -> None:
-        """:param gossip: None, like `slot_order`, where processes may not talk to each other."""
+        """:param gossip: None, like `slot_order`, if processes don't exchange datagrams."""
         self.rng, self.parameters = rng, parameters
         self.placement, self.hot_keys = components.placement, components.hot_keys
         self.outliers, self.zone_outliers = components.outliers, components.zone_outliers
@@ -77,20 +79,20 @@
         self.gossip, self.slot_order = gossip, slot_order
         self.retry_policy = RetryPolicy(parameters)
         self.selector = ServerSelector(rng, parameters, self.retry_policy, components)
-        self.learner = OutcomeLearner(parameters, components)
+        self.outcome_recorder = OutcomeRecorder(parameters, components)
         self.servers: dict[str, Server] = {}  # by name
-        self.origins: list[Server] = []  # the ready ones
-        self.in_flight = 0  # attempts, at all servers
-        # A heap: when, a running number, and the request to decide again.
+        self.origins: list[Server] = []  # origin servers that are ready
+        self.in_flight = 0  # attempts of this process at all servers
+        # A heap of (time, sequence number, request to decide on again); the number breaks ties.
         self.timers: list[tuple[int, int, Request]] = []
         self.timer_count = 0
-        self.first_attempts: deque[Request] = deque()  # due now, and not sent yet
-        self.retries: deque[Request] = deque()  # due now, and sent before
+        self.first_attempts: deque[Request] = deque()  # requests due now that have no attempt yet
+        self.retries: deque[Request] = deque()  # requests due now that have attempts
 
     # Requests.
 
     def route(self, request: Request, now: int) -> Decision:
-        """Decide what to do with a request now: send it, wait, or answer it."""
+        """Decide what to do with a request now: send it, wait, or answer the client."""
         if request.concluded:
             return Done()
         deadline = self.retry_policy.answer_deadline(request)
@@ -108,11 +110,11 @@
         return self._send(request, server, now, deadline, outstanding)
 
     def select_server(self, request: Request, now: int) -> Server | None:
-        """Return the server for the request's next attempt; None: no server can be sent it now."""
+        """Return the server for the request's next attempt; None if no server can take it now."""
         return self.selector.select(request, now, self.origins, self.in_flight)
 
     def client_gone(self, request: Request) -> list[Attempt]:
-        """Return the attempts to cancel, as the client needs no answer any more."""
+        """Return the attempts to cancel after the client has disconnected."""
         return request.outstanding()
 
     def record_outcome(
@@ -121,31 +123,31 @@
         outcome: Outcome,
         now: int,
         report: dict[str, float] | None = None,
-        is_hit: bool = False,
+        is_cache_hit: bool = False,
     ) -> OutcomeDecision:
-        """Learn from an attempt's outcome, and decide what follows for its request.
+        """Record an attempt's outcome, and decide what to do next with its request.
 
-        :param report: the figures of the server's load report, where it sent one.
-        :param is_hit: the server said that it answered from its cache.
+        :param report: the figures of the server's load report, if it sent one.
+        :param is_cache_hit: the server reported that it answered from its cache.
         """
         server = attempt.server
         attempt.outcome = outcome
         server.in_flight -= 1
         self.in_flight -= 1
         self.connections.note_ended(server, now)
-        gossiped = self.learner.learn(attempt, outcome, now, report, is_hit)
+        gossiped = self.outcome_recorder.record(attempt, outcome, now, report, is_cache_hit)
         if self.gossip and gossiped is not None:
             self.gossip.note(server, gossiped, now)
         return self._follow_up(attempt.request, outcome, now)
 
     def next_wakeup(self, now: int) -> Wakeup:
-        """Return what is due now, first attempts before retries, and when to ask again."""
+        """Return what is due now, with first attempts before retries, and when to call this again."""
         while self.timers and self.timers[0][0] <= now:
             request = heapq.heappop(self.timers)[2]
             if not request.concluded:
                 self.suspect_late_attempts(request, now)
                 (self.retries if request.attempts else self.first_attempts).append(request)
-        exchanges = [one for one in (self.gossip, self.slot_order) if one]
+        exchanges = [exchange for exchange in (self.gossip, self.slot_order) if exchange]
         datagrams = [datagram for exchange in exchanges for datagram in exchange.due(now)]
         due: list[Request | SendGossip | CloseIdleConnections] = [
             *self.first_attempts,
@@ -154,16 +156,17 @@
             *datagrams,
         ]
         self.first_attempts, self.retries = deque(), deque()
-        moments = [self.connections.next_at(), *(exchange.next_at for exchange in exchanges)]
+        due_times = [self.connections.next_at(), *(exchange.next_at for exchange in exchanges)]
         if self.timers:
-            moments.append(self.timers[0][0])
-        next_at = min((moment for moment in moments if moment is not None), default=None)
+            due_times.append(self.timers[0][0])
+        next_at = min((due_time for due_time in due_times if due_time is not None), default=None)
         return Wakeup(None if next_at is None else next_at - now, due)
 
     def suspect_late_attempts(self, request: Request, now: int) -> None:
-        """Count attempts that outlast the hedge delay against their servers, which get no more meanwhile.
+        """Count each attempt that exceeds the hedge delay as a failure of its server, before it times out.
 
-        Peers learn of a queue while it still grows.
+        The early failure keeps further requests away from the server, and peers learn of its queue while the
+        queue still grows.
         """
         for attempt in request.attempts:
             if attempt.outcome is not None or attempt.suspected or later_attempt_succeeded(attempt):
@@ -175,10 +178,10 @@
                 self.gossip.note(attempt.server, GossipedOutcome.SLOW_HIT, now)
 
     def _rank(self, request: Request, now: int, deadline: int) -> bool:
-        """Rank a new request, record its key and set its draws; return False to give it up.
+        """Rank a new request, record its key and set its random draw; return False if it is to be given up.
 
-        It is given up if it has hardly a chance to be answered in time; a few such still go out, which show
-        when there is hope.
+        A request with hardly any chance of an answer in time is given up.  A few of them are sent all the
+        same, to detect when answers in time become likely again.
         """
         request.is_ranked, request.warm_up_draw = True, self.rng.random()
         self.hot_keys.record(request.key)
@@ -189,7 +192,7 @@
     def _has_time_and_budget(
         self, request: Request, now: int, deadline: int, outstanding: list[Attempt], is_retry: bool
     ) -> bool:
-        """Return whether time, attempts and retry budget are left, and no forbidden hedge would be sent."""
+        """Return whether time, attempts and retry budget are left, and the attempt is no forbidden hedge."""
         if now >= deadline or len(request.attempts) >= self.parameters.max_attempts:
             return False
         if outstanding and not self.parameters.hedging_enabled:
@@ -199,14 +202,16 @@
     def _await_or_give_up(
         self, request: Request, now: int, deadline: int, outstanding: list[Attempt]
     ) -> Decision:
-        """Decide a request that is not sent: wait for what is in flight, unless that only fills a cache."""
+        """Wait for the attempts in flight, unless all only fill a cache for a client that no longer waits."""
         if not outstanding:
             return self.retry_policy.give_up(request)
-        only_fills = all(self.retry_policy.is_cache_fill(request, one.server) for one in outstanding)
-        return self.retry_policy.give_up(request) if now >= deadline and only_fills else Wait()
+        only_cache_fills = all(
+            self.retry_policy.is_cache_fill(request, attempt.server) for attempt in outstanding
+        )
+        return self.retry_policy.give_up(request) if now >= deadline and only_cache_fills else Wait()
 
     def _wait_for_capacity(self, request: Request, now: int, deadline: int) -> Decision:
-        """Decide again soon, for a part of the request's time, as no server can be sent it now."""
+        """Decide on the request again soon, or give it up if it has waited for capacity for too long."""
         recheck_at = now + CAPACITY_RECHECK_US
         wait_until = request.arrived_at + (deadline - request.arrived_at) // MAX_WAIT_DIVISOR
         if recheck_at >= wait_until or (request.attempts and not can_reject(request)):
@@ -230,7 +235,8 @@
             cell=server.cell,
             is_probe=ejection is not None,
         )
-        for other in outstanding:  # one that still waits to be sent is the repeat then, and this the first
+        # An attempt that has not been written yet may be written after this one, and is then the repeat.
+        for other in outstanding:
             other.send_by = min(other.send_by, send_by)
         if ejection:
             self.outliers.record_failure(ejection, False, now)
@@ -245,7 +251,7 @@
 
     def _schedule_after_send(self, attempt: Attempt, deadline: int) -> None:
         request, now = attempt.request, attempt.sent_at
-        if attempt.timeout_at > deadline:  # its client is answered then; the fetch goes on
+        if attempt.timeout_at > deadline:  # the client is answered at the deadline; the fetch continues
             self._schedule(request, deadline)
         elif attempt.timeout_at < deadline or (self.parameters.hedging_enabled and is_retryable(request)):
             delay = hedge_delay(request.request_class, deadline - now, attempt.is_probe)
@@ -273,9 +279,9 @@
     # Endpoint updates and gossip.
 
     def update_endpoints(self, servers: list[Server], is_complete: bool, now: int) -> None:
-        """Take news of the endpoint list; a server that was known before keeps its object.
+        """Apply the endpoint list or changes of it; a server that is already known keeps its `Server` object.
 
-        :param is_complete: the list names all servers, else those that have changed.
+        :param is_complete: `servers` is the whole list; otherwise it holds only the changed servers.
         """
         for listed in servers:
             self._update_server(listed, now)
@@ -295,37 +301,37 @@
             self.gossip.set_servers([*self.servers.values()])
 
     def cache_servers(self) -> list[Server]:
-        """Return the known servers other than the origin's, in order of their first listing."""
+        """Return the known servers other than origin servers, in the order of their first listing."""
         return [server for server in self.servers.values() if server.kind != self.parameters.origin_kind]
 
     def receive_gossip(self, datagram: bytes, now: int) -> None:
-        """Take a peer's datagram; whatever can't be used is ignored."""
+        """Process a peer's datagram; ignore whatever can't be decoded or names unknown servers."""
         if self.slot_order and len(datagram) % OUTCOME_BYTES:
             hashes = self.slot_order.receive(datagram, self.placement.slots, now)
             if hashes and hashes != [*map(server_hash, self.placement.slots)]:
                 self.placement.adopt_order(hashes, self.cache_servers(), now)
             return
         for server, outcome in self.gossip.receive(datagram) if self.gossip else []:
-            self._learn_from_peer(server, outcome, now)
+            self._record_peer_outcome(server, outcome, now)
 
-    def _learn_from_peer(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
-        # What a process in a small fleet sees itself, lately, goes before what its peers report.
-        seen_recently = (
+    def _record_peer_outcome(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
+        # In a small fleet, this process's own recent outcomes count for more than its peers' reports.
+        has_own_outcome = (
             not self.connections.is_large_fleet and now < server.last_outcome_at + RECENT_OUTCOME_US
         )
-        if outcome is GossipedOutcome.ON_TIME or (outcome is GossipedOutcome.SLOW_HIT and seen_recently):
+        if outcome is GossipedOutcome.ON_TIME or (outcome is GossipedOutcome.SLOW_HIT and has_own_outcome):
             raise_admitted_share(server)
         elif outcome is GossipedOutcome.SLOW_HIT:
             lower_admitted_share(server, SLOW_HIT_SHARE_FACTOR)
         else:
-            lower_admitted_share(server, RECENT_SHARE_FACTOR if seen_recently else SHARE_FACTOR)
+            lower_admitted_share(server, RECENT_SHARE_FACTOR if has_own_outcome else SHARE_FACTOR)
 
     def _update_server(self, listed: Server, now: int) -> None:
         server = self.servers.setdefault(listed.name, listed)
         if not server.concurrency_limit:
             is_origin = server.kind == self.parameters.origin_kind
             server.concurrency_limit = MAX_LIMIT if is_origin else INITIAL_LIMIT
-        if not 0 < listed.weight < inf:  # such a weight says nothing, and would take all keys or none
+        if not 0 < listed.weight < inf:  # an invalid weight would assign all keys or none
             listed.weight = 1.0
         elif self.placement.live_weights:
             self.load.record_listed_weight(server, listed.weight, now)
@@ -339,7 +345,7 @@
             server.was_draining = server.state is not ServerState.READY
 
     def _restart_server(self, server: Server, started_at: int) -> None:
-        """Forget a former process's failures."""
+        """Set the start time of a restarted server, and forget the failures of its previous process."""
         server.started_at = started_at
         server.health.consecutive_failures, server.health.probes = 0, 0
         server.class_failures = {}
@@ -350,10 +356,14 @@
                 server.state, server.gone_at = ServerState.GONE, now
 
     def _forget_gone_servers(self) -> None:
-        """Drop servers that are gone, once no slot awaits them and no attempt is in flight."""
-        kept = {
+        """Drop servers that are gone, hold no slot and have no attempt in flight."""
+        in_use = {
             *self.placement.slots,
-            *(one for one in self.servers.values() if one.state is not ServerState.GONE or one.in_flight),
+            *(
+                server
+                for server in self.servers.values()
+                if server.state is not ServerState.GONE or server.in_flight
+            ),
         }
-        self.servers = {name: server for name, server in self.servers.items() if server in kept}
+        self.servers = {name: server for name, server in self.servers.items() if server in in_use}
         self.zone_outliers.forget_unlisted({server.zone for server in self.servers.values()})
--- a/ivystack/balancing/retry_policy.py
+++ b/ivystack/balancing/retry_policy.py
@@ -1,8 +1,9 @@
 """Retry policy: whether, until when and where a request may be sent again, and when it is given up.
 
-This is the one place that decides whether an effect may be sent again.  A request that is not idempotent is
-sent again only if no earlier attempt can have been executed; one with an idempotency key also within the
-window and the group of servers that drop a repeat.
+Only this module decides whether a request that may already have taken effect is sent again.  A request that
+is not idempotent is sent again only if no earlier attempt can have been executed.  A request with an
+idempotency key is sent again in that case, and also within the time window and the group of servers in which
+repeats are dropped.
 """
 
 from __future__ import annotations
@@ -22,54 +23,54 @@
 )
 from .parameters import BalancerParameters
 
-# Outcomes that prove that the server has not executed the request, as the protocol states.  A cache that
-# reports a miss has looked the key up and done no more.  CANCELLED and TIMED_OUT end our wait, not the
-# server's work, and an ERROR may come after the request took effect: they prove nothing.
+# Outcomes after which, by the protocol, the server has certainly not executed the request.  A cache that
+# reports a miss has only looked up the key.  CANCELLED and TIMED_OUT prove nothing, because the server may
+# still be working; neither does ERROR, which may be reported after the request took effect.
 NEVER_EXECUTED = frozenset(
     {Outcome.OVERLOADED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT, Outcome.CACHE_MISS}
 )
-TOKENS_PER_SUCCESS = 0.15  # retries and hedged requests earned by each answered request
-MAX_TOKENS = 20.0  # enough for what a dying server had in flight
-HEDGE_FACTOR = 3  # times the 90th percentile of attempt times before a hedge is sent
-MIN_HEDGE_SAMPLES = 8  # attempt times; fewer give no usable percentile
+TOKENS_PER_SUCCESS = 0.15  # retries or hedges that each answered request adds to the budget
+MAX_TOKENS = 20.0  # enough to retry the attempts that a crashing server had in flight
+HEDGE_FACTOR = 3  # a hedge is sent after this multiple of the 90th percentile of attempt times
+MIN_HEDGE_SAMPLES = 8  # attempt times; a percentile of fewer samples is not usable
 
 
 class RetryBudget:
-    """Retries and hedges that answered requests have earned, so that retries can't multiply an overload."""
+    """A token bucket filled by answered requests; it keeps retries from amplifying an overload."""
 
     def __init__(self) -> None:
         self.tokens = MAX_TOKENS
 
     def allows_retry(self) -> bool:
-        """Return whether one more is earned."""
+        """Return whether the budget allows one more retry or hedge."""
         return self.tokens >= 1
 
     def withdraw(self) -> None:
-        """Spend one."""
+        """Spend a token on a retry or hedge."""
         self.tokens -= 1
 
     def deposit(self) -> None:
-        """Earn a part of one, for an answered request."""
+        """Add a part of a token, for an answered request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_SUCCESS)
 
 
 def is_possibly_executed(attempt: Attempt) -> bool:
-    """Return whether the server may have executed the attempt, or still may."""
+    """Return whether the server may have executed the attempt, or may still execute it."""
     return attempt.outcome not in NEVER_EXECUTED
 
 
 def possibly_executed(request: Request) -> list[Attempt]:
-    """Return the request's attempts that may have been executed, in the order in which they were sent."""
+    """Return the request's attempts that may have been executed, in the order of sending."""
     return [attempt for attempt in request.attempts if attempt.outcome not in NEVER_EXECUTED]
 
 
 def is_retryable(request: Request) -> bool:
-    """Return whether a possibly executed request of this class may be sent again at all."""
+    """Return whether the request may be sent again after an attempt that may have been executed."""
     return request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
 
 def can_reject(request: Request) -> bool:
-    """Return whether the client may be answered that it can safely send the request again."""
+    """Return whether the client can be told that sending the request again is safe."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -79,28 +80,29 @@
 
 
 def hedge_delay(request_class: RequestClass, time_left: int, is_probe: bool = False) -> int:
-    """Return how many microseconds an attempt may take before another one is worth sending.
+    """Return the microseconds to wait for an attempt before another one is worth sending.
 
-    At least half of the time left: a hedge sent sooner feeds the queue that made the first attempt late.  A
-    probe gets less, so that its request does not suffer for finding out whether the server is back.
+    The delay is at least half of `time_left`, because an earlier hedge would lengthen the queue that made the
+    first attempt late.  It is shorter for a probe, so that the request is still answered in time if the
+    probed server has not recovered.
     """
     times = sorted(request_class.attempt_times)
     if is_probe:
         return min(2 * times[len(times) // 2], time_left // 3) if times else time_left // 3
-    usual = time_left
+    delay = time_left
     if len(times) >= MIN_HEDGE_SAMPLES:
-        usual = HEDGE_FACTOR * times[len(times) * 9 // 10]
-    return max(min(usual, time_left), time_left // 2)
+        delay = HEDGE_FACTOR * times[len(times) * 9 // 10]
+    return max(min(delay, time_left), time_left // 2)
 
 
 class RetryPolicy:
-    """The rules that depend on the configuration."""
+    """The retry rules that depend on the configuration."""
 
     def __init__(self, parameters: BalancerParameters) -> None:
         self.parameters = parameters
 
     def answer_deadline(self, request: Request) -> int:
-        """Return when an answer is worth nothing any more, or nobody waits for it."""
+        """Return the time from which an answer is worthless to the client, or the client no longer waits."""
         deadline = request.deadline
         request_class = request.request_class
         if not request_class.late_priority_weight:
@@ -108,7 +110,7 @@
         return deadline - self.parameters.clock_margin
 
     def may_send_attempt(self, request: Request, now: int) -> bool:
-        """Return whether the request may be sent now, for the first time or again."""
+        """Return whether a first or further attempt of the request may be sent now."""
         return (
             not request.partly_sent
             and len(request.attempts) < self.parameters.max_attempts
@@ -116,23 +118,24 @@
         )
 
     def retry_send_by(self, request: Request) -> float:
-        """Return by when the last byte of the next attempt must have been sent; -inf: it must not be sent.
+        """Return the latest time for sending the last byte of the next attempt; -inf: it must not be sent.
 
-        The decision alone proves nothing: a connection may come up, or a socket take the bytes, much later.
+        The senders must check this time again, because the connection may be established, or the socket may
+        accept the bytes, long after the decision.
         """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return inf
-        executed = possibly_executed(request)
-        if not executed:
+        earlier_attempts = possibly_executed(request)
+        if not earlier_attempts:
             return inf
         if request_class.idempotency is not Idempotency.KEYED:
             return -inf
-        # The window is the servers' to keep: the repeat must reach one before it ends.
-        return executed[0].sent_at + (request_class.dedup_window - self.parameters.clock_margin)
+        # Servers drop a repeat only within the window, so the repeat must reach a server before its end.
+        return earlier_attempts[0].sent_at + (request_class.dedup_window - self.parameters.clock_margin)
 
     def within_dedup_group(self, request: Request, server: Server) -> bool:
-        """Return whether the server drops repeats of all attempts that may have been executed, or needn't."""
+        """Return whether the server would drop a repeat of each possibly executed attempt, or need not."""
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.KEYED or request_class.dedup_group is DedupGroup.ALL:
             return True
@@ -143,29 +146,29 @@
         )
 
     def is_cache_fill(self, request: Request, server: Server) -> bool:
-        """Return whether this is a read at the origin after a miss: its answer is cached, even a late one."""
-        missed = any(attempt.outcome is Outcome.CACHE_MISS for attempt in request.attempts)
-        return missed and not request.is_write and server.kind == self.parameters.origin_kind
+        """Return whether this is an origin read after a cache miss; even a late answer is cached."""
+        has_missed = any(attempt.outcome is Outcome.CACHE_MISS for attempt in request.attempts)
+        return has_missed and not request.is_write and server.kind == self.parameters.origin_kind
 
     def attempt_timeout_at(self, request: Request, server: Server, now: int, deadline: int) -> int:
-        """Return the moment (microseconds) until which the next attempt, sent now, may take.
+        """Return the time (microseconds) at which the next attempt, if sent now, times out.
 
         :param deadline: the request's answer deadline.
         """
         if self.is_cache_fill(request, server):
-            # A fetch that is given up leaves no copy, so it may outlast its client; one that was lost must
-            # not hold its place for long.
-            usual = 2 * max(server.response_times, default=deadline - now)
-            return max(deadline, min(now + usual, request.deadline - self.parameters.clock_margin))
+            # An abandoned fetch leaves no cached copy, so a fetch may continue after the client was answered.
+            # Its time is still bounded, because a lost fetch counts against the concurrency limit meanwhile.
+            max_duration = 2 * max(server.response_times, default=deadline - now)
+            return max(deadline, min(now + max_duration, request.deadline - self.parameters.clock_margin))
         is_last = len(request.attempts) + 1 >= self.parameters.max_attempts
-        nothing_follows = is_last or server.kind == self.parameters.origin_kind or not is_retryable(request)
-        if self.parameters.hedging_enabled or nothing_follows:
+        is_final = is_last or server.kind == self.parameters.origin_kind or not is_retryable(request)
+        if self.parameters.hedging_enabled or is_final:
             return deadline
         return now + hedge_delay(request.request_class, deadline - now)
 
     def give_up(self, request: Request) -> Reject | Fail:
-        """Return the final answer of a request that is not sent again.
+        """Return the final answer to a request that is not sent again.
 
-        Reject where the client may safely retry, else Fail.
+        The answer is Reject where the client may safely retry, else Fail.
         """
         return Reject(self.parameters.retry_after) if can_reject(request) else Fail()
--- a/ivystack/balancing/server_selection.py
+++ b/ivystack/balancing/server_selection.py
@@ -1,8 +1,13 @@
-"""Server selection: which server a request's next attempt goes to.
+"""Server selection: which server a request's next attempt is sent to.
 
-The steps, in order: the origin for what only it can answer; a probe of an ejected server; one of the key's
-replicas at random; its spare; a wider walk, where all of these are gone; and of several candidates the first
-that is not loaded, or else the least loaded.
+The selector applies these steps in order:
+
+- a request that only the origin can answer goes to the least loaded origin server;
+- a request that may probe an ejected replica whose pause is over goes to that replica;
+- the candidates are the key's available replicas, in an order that starts at a random one;
+- if there are none, the candidates are the key's available spares;
+- if all of these are unavailable, further slots of the key are searched;
+- the first candidate that is not overloaded gets the request, else the least loaded one.
 """
 
 from __future__ import annotations
@@ -18,33 +23,34 @@
 from .retry_policy import RetryPolicy
 from .server_load import RESTING_LOAD
 
-KEYLESS_BITS = 50  # of the random key of a request without one
-MIN_SKIP_BOUND = 2  # own attempts in flight at which a replica is never skipped as loaded
-SKIP_FACTOR = 2.0  # times the mean load beyond which a replica is skipped
-# Of the chance that reads go to their key's first replica: with each that finds no capacity at the origin,
-# and with each that finds some.  An origin without capacity can't bear the fetches of two copies.
+KEYLESS_BITS = 50  # size of the random key given to a request that has none
+MIN_SKIP_BOUND = 2  # with at most this many attempts in flight, a replica is never skipped as loaded
+SKIP_FACTOR = 2.0  # a replica is skipped as loaded above this multiple of the mean load
+# Changes of the probability that a read goes to its key's first replica: it rises with each read that finds
+# no capacity at the origin, and falls with each that finds capacity.  Reads of one replica need one fetch per
+# key from the origin; an origin without capacity can't serve a fetch for each of two replicas.
 FIRST_REPLICA_STEP_UP, FIRST_REPLICA_STEP_DOWN = 0.05, -0.005
-MIN_WAIT_SAMPLES = 8  # attempt times of a class
-# Outcomes after which the same server may be asked again, where no loads are reported and where they are.
+MIN_WAIT_SAMPLES = 8  # attempt times of a request class that a queueing estimate needs
+# Outcomes after which a request may be sent to the same server again, without and with reported loads.
 SAME_SERVER_RETRY_OUTCOMES = (Outcome.NOT_SENT, Outcome.OVERLOADED)
 SAME_SERVER_RETRY_OUTCOMES_WITH_LOADS = (Outcome.NOT_SENT,)
 
 
 @dataclass(eq=False, slots=True)
 class Selection:
-    """One search for a server."""
+    """The state of one search for a server."""
 
     request: Request
     now: int
     pacing: float  # microseconds between attempts at a server with a concurrency limit of one
     key: int
-    replicas: list[Server]  # in the order in which they are asked, the first one drawn at random
-    nearby: list[Server]  # the same in their own order, then the key's spares
-    excluded: list[Server]  # not to be asked again by this request
+    replicas: list[Server]  # in the order of preference, which starts at a random replica
+    replicas_and_spares: list[Server]  # the replicas in placement order, then the key's spares
+    excluded: list[Server]  # servers that this request must not be sent to again
 
 
 class ServerSelector:
-    """Selects servers by what the other rules say of them."""
+    """Selects a server by placement, health, capacity, load and slow start."""
 
     def __init__(
         self, rng: Random, parameters: BalancerParameters, policy: RetryPolicy, components: Components
@@ -55,14 +61,14 @@
         self.limiter, self.origin_limiter = components.limiter, components.origin_limiter
         self.slow_start, self.load = components.slow_start, components.load
         self.connections = components.connections
-        self.first_replica_chance = 0.0  # that a read goes to its key's first replica
+        self.first_replica_chance = 0.0  # probability that a read goes to its key's first replica
 
     def select(
         self, request: Request, now: int, origins: list[Server], total_in_flight: int
     ) -> Server | None:
-        """Return the server for the request's next attempt; None: no server can be sent it now.
+        """Return the server for the request's next attempt; None if no server can take it now.
 
-        :param origins: the origin's servers that are ready.
+        :param origins: the origin servers that are ready.
         :param total_in_flight: this process's attempts in flight at all servers.
         """
         if not self.policy.may_send_attempt(request, now):
@@ -80,9 +86,10 @@
         return self._least_loaded(selection, candidates, total_in_flight)
 
     def _goes_to_origin(self, request: Request) -> bool:
-        """Return whether only the origin is left: for writes, after a miss, for a last attempt after others.
+        """Return whether the next attempt must go to the origin.
 
-        A cache that lacks the key would use the last attempt up for nothing.
+        This holds for writes, after a cache miss, and for the last attempt of a request that had others: it
+        would be wasted on a cache server that lacks the key.
         """
         if self.parameters.origin_kind < 0:
             return False
@@ -96,7 +103,8 @@
     def _select_origin(
         self, request: Request, now: int, origins: list[Server], pacing: float
     ) -> Server | None:
-        # The rank counts half: it already let the request miss, and rejected here that was for nothing.
+        # The request's priority counts only half at the origin: the request already passed the limit of a
+        # cache server, and rejecting it now would waste that attempt.
         fraction = (1 + request.limit_fraction) / 2
         candidates = [
             server
@@ -110,35 +118,44 @@
         return min(candidates, key=lambda server: server.in_flight, default=None)
 
     def _start(self, request: Request, now: int, pacing: float) -> Selection:
-        """Locate the key's replicas and draw the one that is asked first."""
+        """Locate the key's replicas and draw the preferred one."""
         if request.key is None:
             key, k = self.rng.getrandbits(KEYLESS_BITS), REPLICAS
         else:
             key = request.key
             k = self.hot_keys.replica_count(key, REPLICAS, len(self.placement.slots))
-        nearby = self.placement.replicas_and_spares(key, k)
-        replicas = nearby[:k]
-        first = self._draw_first(replicas)
-        repeatable = (
+        replicas_and_spares = self.placement.replicas_and_spares(key, k)
+        replicas = replicas_and_spares[:k]
+        preferred = self._draw_preferred(replicas)
+        retry_outcomes = (
             SAME_SERVER_RETRY_OUTCOMES_WITH_LOADS if self.load.enabled else SAME_SERVER_RETRY_OUTCOMES
         )
-        excluded = [attempt.server for attempt in request.attempts if attempt.outcome not in repeatable]
-        return Selection(request, now, pacing, key, replicas[first:] + replicas[:first], nearby, excluded)
+        excluded = [attempt.server for attempt in request.attempts if attempt.outcome not in retry_outcomes]
+        return Selection(
+            request,
+            now,
+            pacing,
+            key,
+            replicas[preferred:] + replicas[:preferred],
+            replicas_and_spares,
+            excluded,
+        )
 
-    def _draw_first(self, replicas: list[Server]) -> int:
-        """Return the index of the replica that is asked first."""
-        first = self.rng.randrange(len(replicas))
+    def _draw_preferred(self, replicas: list[Server]) -> int:
+        """Return the index of the preferred replica."""
+        preferred = self.rng.randrange(len(replicas))
         if self.first_replica_chance and self.rng.random() < self.first_replica_chance:
-            first = 0
-        if self.load.enabled and len(replicas) > REPLICAS:  # by size: a hot key loads its replicas alike
+            preferred = 0
+        if self.load.enabled and len(replicas) > REPLICAS:
+            # The draw is by size, so that a hot key adds the same load per core to each of its replicas.
             weights = [server.weight for server in replicas]
-            first = self.rng.choices(range(len(replicas)), weights)[0]
-        return first
+            preferred = self.rng.choices(range(len(replicas)), weights)[0]
+        return preferred
 
     def _find_probe(self, selection: Selection) -> Server | None:
-        """Return an ejected replica whose pause is over, for a request that can bear a failed attempt.
+        """Return an ejected replica that is due for a probe, if the request may be used as the probe.
 
-        Also counts the request at each ejected replica as one that it was not sent.
+        Also count the request as skipped at each ejected replica.
         """
         request, now = selection.request, selection.now
         for server in selection.replicas:
@@ -147,12 +164,12 @@
                 continue
             if now == request.arrived_at:
                 ejection.skipped_requests += 1
-            # A server that errs on one class alone is probed with that class, whatever its idempotency.
-            bears_probe = not request.attempts and (
+            # A server ejected for one request class is probed with that class, whatever its idempotency.
+            may_probe = not request.attempts and (
                 request.request_class.idempotency is Idempotency.IDEMPOTENT or ejection is not server.health
             )
             if (
-                bears_probe
+                may_probe
                 and server.state is ServerState.READY
                 and self.outliers.probe_is_due(ejection, now)
                 and request.warm_up_draw < self.slow_start.warm_fraction(server, now)
@@ -161,31 +178,35 @@
         return None
 
     def _find_candidates(self, selection: Selection) -> list[Server]:
-        """Return the replicas that can be sent the request, else the spare, else those of a wider walk."""
+        """Return the replicas that can be sent the request, else spares, else servers of further slots."""
         candidates = [server for server in selection.replicas if self._can_send(selection, server)]
         if not candidates:
-            candidates = [server for server in selection.nearby if self._can_send(selection, server)]
+            candidates = [
+                server for server in selection.replicas_and_spares if self._can_send(selection, server)
+            ]
         if not candidates:
-            candidates = self._walk_wider(selection)
+            candidates = self._search_further_slots(selection)
         return candidates
 
-    def _walk_wider(self, selection: Selection) -> list[Server]:
-        """Walk to further servers of the key while no nearer one is available.
+    def _search_further_slots(self, selection: Selection) -> list[Server]:
+        """Return candidates from further slots of the key if no replica or spare is available.
 
-        They are gone, ejected, warming up or out of reach; never merely under strain, which a walk would
-        spread.
+        Servers are unavailable if they are gone, ejected, warming up or in an unreachable zone.  The search
+        stops at a server that is only overloaded, because sending its requests elsewhere would spread the
+        overload.
         """
-        now, nearby = selection.now, selection.nearby
-        out_of_reach = any(self.zone_outliers.is_ejected(server.zone, now) for server in nearby)
-        if not (self.load.enabled or out_of_reach):
+        now, searched = selection.now, selection.replicas_and_spares
+        any_zone_unreachable = any(self.zone_outliers.is_ejected(server.zone, now) for server in searched)
+        if not (self.load.enabled or any_zone_unreachable):
             return []
-        while len(nearby) < len(self.placement.slots):
+        while len(searched) < len(self.placement.slots):
             if any(
-                self._is_available(selection, server) or self._is_overloaded(server, now) for server in nearby
+                self._is_available(selection, server) or self._is_overloaded(server, now)
+                for server in searched
             ):
                 return []
-            nearby = self.placement.replicas(selection.key, 2 * len(nearby))
-            candidates = [server for server in nearby if self._can_send(selection, server)]
+            searched = self.placement.replicas(selection.key, 2 * len(searched))
+            candidates = [server for server in searched if self._can_send(selection, server)]
             if candidates:
                 return candidates
         return []
@@ -193,11 +214,11 @@
     def _least_loaded(
         self, selection: Selection, candidates: list[Server], total_in_flight: int
     ) -> Server | None:
-        """Return the first candidate that is not loaded beyond the others, else the least loaded one."""
+        """Return the first candidate that is not loaded above the bounds, else the least loaded one."""
         now = selection.now
-        bound = max(MIN_SKIP_BOUND, SKIP_FACTOR * total_in_flight / len(self.placement.slots))
+        skip_bound = max(MIN_SKIP_BOUND, SKIP_FACTOR * total_in_flight / len(self.placement.slots))
         for server in candidates:
-            if server.in_flight <= bound and not (self.load.enabled and self._is_loaded(server, now)):
+            if server.in_flight <= skip_bound and not (self.load.enabled and self._is_loaded(server, now)):
                 return server
         if self.load.enabled:
             return min(candidates, key=lambda server: self.load.load(server, now), default=None)
@@ -209,11 +230,11 @@
             self.limiter.admits(server, request.limit_fraction, now, request.required_share, selection.pacing)
             and not self.connections.is_rejecting(server, now)
             and self._is_available(selection, server)
-            and not self.queues_too_long(server, request.request_class, now)
+            and not self.queue_is_too_long(server, request.request_class, now)
         )
 
     def _is_available(self, selection: Selection, server: Server) -> bool:
-        """Return whether the server is ready, healthy and warm enough, and the request may go there."""
+        """Return whether the server is ready, healthy and warm enough, and may be sent the request."""
         request, now = selection.request, selection.now
         if server.state is not ServerState.READY or server in selection.excluded:
             return False
@@ -227,7 +248,7 @@
         return request.warm_up_draw < warm_fraction and self.policy.within_dedup_group(request, server)
 
     def _is_overloaded(self, server: Server, now: int) -> bool:
-        """Return whether the server is ejected for late answers, not for failed connections: it is there."""
+        """Return whether the server is ejected, but for late answers and not for failed connections."""
         return (
             server.state is ServerState.READY
             and not self.outliers.is_healthy(server.health)
@@ -235,18 +256,19 @@
             and not self.zone_outliers.is_ejected(server.zone, now)
         )
 
-    def queues_too_long(self, server: Server, request_class: RequestClass, now: int) -> bool:
-        """Return whether a quarter of the latency objective goes to queueing; by chance, more the longer.
+    def queue_is_too_long(self, server: Server, request_class: RequestClass, now: int) -> bool:
+        """Return whether queueing at the server is likely to take a quarter of the latency objective.
 
-        All processes learn of a load at one moment: in step they would move it on.
+        The result is random, and True more often the longer the queue.  All processes learn of a load at the
+        same time; if all of them then avoided the server, they would move its load to the next one.
         """
         if not self.load.enabled or len(request_class.attempt_times) < MIN_WAIT_SAMPLES:
             return False
-        quick_attempt = sorted(request_class.attempt_times)[len(request_class.attempt_times) // 4]
-        wait = self.load.load(server, now) * quick_attempt
-        return self.rng.random() * wait > request_class.latency_objective // 4
+        lower_quartile_time = sorted(request_class.attempt_times)[len(request_class.attempt_times) // 4]
+        queueing_time = self.load.load(server, now) * lower_quartile_time
+        return self.rng.random() * queueing_time > request_class.latency_objective // 4
 
     def _is_loaded(self, server: Server, now: int) -> bool:
-        """Return whether the server's load is beyond the bound for skipping it; by chance, as above."""
-        bound = max(RESTING_LOAD, SKIP_FACTOR * self.load.mean_load)
-        return self.rng.random() * self.load.load(server, now) > bound
+        """Return whether the load exceeds the bound for skipping; random, as in `queue_is_too_long`."""
+        skip_bound = max(RESTING_LOAD, SKIP_FACTOR * self.load.mean_load)
+        return self.rng.random() * self.load.load(server, now) > skip_bound
--- a/ivystack/model.py
+++ b/ivystack/model.py
@@ -1,6 +1,6 @@
-"""Records and enums that the balancing decisions share with their callers; nothing is decided here.
+"""Records and enums that the balancing decisions share with their callers.
 
-All times and spans are whole microseconds of the caller's clock, unless a name or docstring says otherwise.
+Times and durations are whole microseconds of the caller's clock, unless a name or docstring says otherwise.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from dataclasses import dataclass, field
 from math import inf
 
-LONG_AGO = -1_000_000_000  # microseconds: before any moment that a clock shows
-RESPONSE_TIMES_KEPT = 64  # samples of a request class
+LONG_AGO = -1_000_000_000  # microseconds; earlier than any clock reading
+RESPONSE_TIMES_KEPT = 64  # samples per request class
 
 
 class Idempotency(enum.Enum):
-    """Whether a request may be executed more than once, from always to never."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "keyed"  # servers drop a repeat with the same key, within a group and a window
+    KEYED = "keyed"  # the servers of a group drop a repeat of a key within a time window
     NOT_IDEMPOTENT = "not-idempotent"
 
 
 class DedupGroup(enum.Enum):
-    """Which servers know each other's keys and drop a repeat, from the widest to the narrowest."""
+    """The servers that share idempotency keys and so drop repeats; the widest group comes first."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +39,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt can end; `str()` gives the word used in log lines."""
+    """How an attempt can end; `str()` returns the value, as log lines show it."""
 
     SUCCEEDED = "succeeded"
     ERROR = "error"
@@ -50,7 +50,7 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not-sent"
     CACHE_MISS = "cache-miss"
-    INVALID_REQUEST = "invalid-request"  # the server can't use such a request; nor could another
+    INVALID_REQUEST = "invalid-request"  # no server can execute this request
 
     def __str__(self) -> str:
         return self.value
@@ -61,46 +61,46 @@
     """The recent failures of a server, or of one request class at a server."""
 
     consecutive_failures: int = 0
-    connection_failed: bool = False  # one of them was a broken or refused connection
-    next_probe_at: int = 0  # while ejected: no probe before this
-    probes: int = 0  # since it was ejected
-    skipped_requests: int = 0  # own requests that would have gone there since the last probe
+    connection_failed: bool = False  # one of the failures was a lost or refused connection
+    next_probe_at: int = 0  # an ejected server gets no probe before this time
+    probes: int = 0  # probes sent since the ejection
+    skipped_requests: int = 0  # requests withheld because of the ejection since the last probe
 
 
 @dataclass(eq=False, slots=True)
 class Server:
-    """A cache server (or the origin) as listed, and what this process has observed of it."""
+    """A cache server or origin server of the endpoint list, and what this process has observed of it."""
 
     name: str
-    kind: int = 0  # index of its machine kind in the settings
+    kind: int = 0  # index of the machine kind in the settings
     weight: float = 1.0
     zone: str = ""
     cell: int = 0
     state: ServerState = ServerState.READY
-    started_at: int = 0  # 0: long ago
-    is_placeholder: bool = False  # known by another process's slot order alone; its name is the hash there
-    was_draining: bool = False  # seen draining since it last was ready
+    started_at: int = 0  # 0: the server started long ago
+    is_placeholder: bool = False  # only known from another process's slot order; named by its hash
+    was_draining: bool = False  # listed as draining since it was last ready
     gone_at: int = 0
-    in_flight: int = 0  # own attempts
+    in_flight: int = 0  # attempts of this process
     last_sent_at: int = 0
     health: FailureState = field(default_factory=FailureState)
     class_failures: dict[RequestClass, FailureState] = field(default_factory=dict)
-    latest_success_sent_at: int = 0  # when the latest of the attempts that it answered in time was sent
+    latest_success_sent_at: int = 0  # send time of the latest attempt that was answered
     last_outcome_at: int = LONG_AGO
     consecutive_on_time: int = 0  # answers
-    last_was_slow: bool = False  # the last answer, for its latency objective
+    last_was_slow: bool = False  # the last answer was slow, relative to its latency objective
     limit_lowered_at: int = 0
-    connection_rejected_at: int = LONG_AGO  # when it last rejected a new connection of ours
-    concurrency_limit: float = 0.0  # own attempts; 0: not set yet
-    response_times: tuple[int, ...] = ()  # an origin's last
+    connection_rejected_at: int = LONG_AGO  # when it last rejected a new connection
+    concurrency_limit: float = 0.0  # attempts of this process in flight; 0: not set yet
+    response_times: tuple[int, ...] = ()  # of the last answers; kept for origin servers only
     load: float = 0.0  # requests in flight per core, as last reported
     load_reported_at: int = LONG_AGO
-    admitted_share: float = 1.0  # of the requests that would go there: those of highest priority
+    admitted_share: float = 1.0  # of its requests that are sent, highest priority first
 
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """The limits and weights that the settings give to one class of requests, and its recent samples."""
+    """A request class: its limits and weights from the settings, and recent time samples."""
 
     name: str
     idempotency: Idempotency = Idempotency.IDEMPOTENT
@@ -108,7 +108,7 @@
     priority_weight: float = 1.0
     dedup_group: DedupGroup = DedupGroup.ALL  # for keyed classes
     dedup_window: int = 0  # for keyed classes
-    late_priority_weight: float = 0.0  # of an answer after the latency objective
+    late_priority_weight: float = 0.0  # weight of an answer after the latency objective
     attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
     success_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
 
@@ -118,13 +118,13 @@
     """A tenant and its quota."""
 
     name: str
-    quota: float = 0.0  # requests a second over all processes; 0: none
-    recent_requests: int = 0  # among the last requests here
+    quota: float = 0.0  # requests per second over all processes; 0: no quota
+    recent_requests: int = 0  # this tenant's requests among the last ones at this process
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """A client's request, from its arrival to its one final answer."""
+    """A client's request, from its arrival to its final answer."""
 
     request_class: RequestClass
     arrived_at: int
@@ -133,13 +133,13 @@
     tenant: Tenant | None = None
     is_write: bool = False
     is_client_retry: bool = False
-    concluded: bool = False  # it has its final answer, or its client has gone
+    concluded: bool = False  # the final answer was given, or the client has disconnected
     is_ranked: bool = False  # `limit_fraction`, `required_share` and `warm_up_draw` are set
-    limit_fraction: float = 1.0  # of a server's concurrency limit that it may use, by its priority
-    required_share: float = 0.0  # the admitted share that a server must have to be sent this one
-    warm_up_draw: float = 0.0  # uniform in [0, 1): a server that is warmed up at least so far may take it
+    limit_fraction: float = 1.0  # the part of a server's concurrency limit open to this priority
+    required_share: float = 0.0  # least admitted share of a server that may be sent the request
+    warm_up_draw: float = 0.0  # uniform in [0, 1); only servers with a greater warm fraction qualify
     attempts: list[Attempt] = field(default_factory=list)
-    partly_sent: bool = False  # some of its bytes have been sent and are not kept: it can't be sent again
+    partly_sent: bool = False  # can't be sent again: bytes already sent were not kept
 
     def outstanding(self) -> list[Attempt]:
         """Return the attempts that have no outcome yet."""
@@ -155,17 +155,17 @@
     sent_at: int
     timeout_at: int
     outcome: Outcome | None = None  # None: in flight
-    send_by: float = inf  # its last byte must have been sent by then, else it must not be sent at all
-    zone: str = ""  # the server's when it was decided: the name may come back elsewhere
+    send_by: float = inf  # latest time for sending the last byte; never sent after that
+    zone: str = ""  # the server's at the decision; a server may return in another zone
     cell: int = 0
-    suspected: bool = False  # its lateness was already counted as a failure of the server
-    first_on_connection: bool = False  # where the caller knows of connections
+    suspected: bool = False  # already counted as a failure of the server because it is late
+    first_on_connection: bool = False  # set by callers that manage connections
     is_probe: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Decision: send the request's last attempt to `server`, which has until `timeout_at`."""
+    """Decision: send the request's last attempt to `server`, to be answered by `timeout_at`."""
 
     server: Server
     timeout_at: int
@@ -173,24 +173,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Decision: nothing to do now; the request is decided again later."""
+    """Decision: do nothing now; the balancer decides on the request again later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Decision: answer that the request had no effect, to be retried after `retry_after` (0: not told)."""
+    """Decision: answer that a retry is safe, after `retry_after` (0: answer without a delay)."""
 
     retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Decision: answer that the request failed and may have had its effect."""
+    """Decision: answer that the request failed and may have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Decision: the request has its final answer; nothing more is owed."""
+    """Decision: do nothing, as the request has its final answer."""
 
 
 Decision = Send | Wait | Reject | Fail | Done
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeDecision:
-    """What follows an attempt's outcome: a decision for its request, and the attempts to cancel."""
+    """The decision for a request after the outcome of an attempt, and the attempts to cancel."""
 
     decision: Decision
     cancel: list[Attempt]
@@ -206,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Action: send a datagram to the peer of that number."""
+    """Action: send the datagram to the process with the number `peer`."""
 
     peer: int
     datagram: bytes
@@ -221,14 +221,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wakeup:
-    """What is due now, in order, and in how many microseconds the next thing is due (None: nothing is)."""
+    """What is due now, in order, and the microseconds until something else is due (None: nothing is)."""
 
     delay: int | None
     due: list[Request | SendGossip | CloseIdleConnections]
 
 
 def usable_figures(report: dict | None, columns: frozenset[str]) -> dict[str, float]:
-    """Return the figures of a server's load report that the settings name, finite and not negative.
+    """Return the figures of a server's load report named in `columns` that are finite and not negative.
 
     >>> usable_figures({"active": 3, "waiting": -1, "cpu": None, "new": 5}, frozenset(["active", "waiting"]))
     {'active': 3}
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -121,10 +121,10 @@
     request.request_class.attempt_times.extend([S // 10] * 8)
     for load, least, most in ((0.5, 0, 0), (10.0, 60, 90)):
         server.load, server.load_reported_at = load, S
-        left = sum(balancer.selector.queues_too_long(server, request.request_class, S) for _ in range(100))
+        left = sum(balancer.selector.queue_is_too_long(server, request.request_class, S) for _ in range(100))
         assert least <= left <= most
     # Nothing known yet of how long such requests take.
-    assert not balancer.selector.queues_too_long(server, make_request().request_class, S)
+    assert not balancer.selector.queue_is_too_long(server, make_request().request_class, S)
 
 
 def test_a_full_replica_that_is_the_only_one_left_lets_the_walk_go_on():
