--- a/ivystack/balancing/__init__.py
+++ b/ivystack/balancing/__init__.py
@@ -1,5 +1,6 @@
-"""The balancing decisions: where a request goes, when, how often and whether at all; one module a rule.
+"""The balancing decisions: whether, when, how often and to which server a request is sent.
 
-Nothing here opens a socket or reads a clock: the callers pass the time in whole microseconds.  `balancer` is
-the entry point; docs/design.md says what comes from the paper and when each rule acts.
+Each rule has a module.  This package opens no sockets and reads no clocks: callers pass the time in whole
+microseconds.  The entry point is `balancer`.  docs/design.md describes what is taken from the paper and when
+each rule applies.
 """
--- a/ivystack/balancing/balancer.py
+++ b/ivystack/balancing/balancer.py
@@ -113,7 +113,7 @@
         """Return the server for the request's next attempt; None if no server can take it now."""
         return self.selector.select(request, now, self.origins, self.in_flight)
 
-    def client_gone(self, request: Request) -> list[Attempt]:
+    def client_disconnected(self, request: Request) -> list[Attempt]:
         """Return the attempts to cancel after the client has disconnected."""
         return request.outstanding()
 
@@ -134,10 +134,10 @@
         attempt.outcome = outcome
         server.in_flight -= 1
         self.in_flight -= 1
-        self.connections.note_ended(server, now)
+        self.connections.record_attempt_ended(server, now)
         gossiped = self.outcome_recorder.record(attempt, outcome, now, report, is_cache_hit)
         if self.gossip and gossiped is not None:
-            self.gossip.note(server, gossiped, now)
+            self.gossip.record(server, gossiped, now)
         return self._follow_up(attempt.request, outcome, now)
 
     def next_wakeup(self, now: int) -> Wakeup:
@@ -175,7 +175,7 @@
             self.outliers.record_failure(attempt.server.health, False, attempt.sent_at)
             if self.gossip and self.connections.is_large_fleet:
                 lower_admitted_share(attempt.server, SLOW_HIT_SHARE_FACTOR)
-                self.gossip.note(attempt.server, GossipedOutcome.SLOW_HIT, now)
+                self.gossip.record(attempt.server, GossipedOutcome.SLOW_HIT, now)
 
     def _rank(self, request: Request, now: int, deadline: int) -> bool:
         """Rank a new request, record its key and set its random draw; return False if it is to be given up.
@@ -202,7 +202,7 @@
     def _await_or_give_up(
         self, request: Request, now: int, deadline: int, outstanding: list[Attempt]
     ) -> Decision:
-        """Wait for the attempts in flight, unless all only fill a cache for a client that no longer waits."""
+        """Wait for the attempts in flight; give up if there are none, or late ones that only fill a cache."""
         if not outstanding:
             return self.retry_policy.give_up(request)
         only_cache_fills = all(
@@ -244,8 +244,8 @@
         server.in_flight += 1
         server.last_sent_at = now
         self.in_flight += 1
-        self.zone_outliers.note_probe_sent(server.zone, now)
-        self.connections.note_sent(server)
+        self.zone_outliers.record_probe_sent(server.zone, now)
+        self.connections.record_attempt_sent(server)
         self._schedule_after_send(attempt, deadline)
         return Send(server, timeout_at)
 
--- a/ivystack/balancing/components.py
+++ b/ivystack/balancing/components.py
@@ -1,4 +1,4 @@
-"""The rules that a balancer is made of, one object each."""
+"""The balancing rules of one balancer, each as an object."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(eq=False, slots=True)
 class Components:
-    """What the balancer, its server selection and its learning from outcomes share."""
+    """The rules and state shared by the balancer, the server selector and the outcome recorder."""
 
     placement: Placement
     slow_start: SlowStart
--- a/ivystack/balancing/concurrency_limit.py
+++ b/ivystack/balancing/concurrency_limit.py
@@ -1,61 +1,66 @@
-"""How many of this process's attempts a cache server may have in flight, and its share of the requests.
+"""Concurrency limits and admitted shares of cache servers.
 
-Both follow the outcomes (additive increase, multiplicative decrease), as servers don't stop late work: a
-process that goes on sending keeps their queues full, and all answers late.
+The concurrency limit bounds the attempts of this process in flight at a server; the admitted share bounds the
+part of the server's requests that is sent at all.  Both rise additively and fall multiplicatively with the
+outcomes of attempts.  Servers don't abort late work, so a process that continued to send would keep their
+queues full and all answers late.
 """
 
 from __future__ import annotations
 
 from ..model import Server
-from .server_load import RESTING_LOAD, load_is_recent
+from .server_load import NO_QUEUE_LOAD, load_is_recent
 
-INITIAL_LIMIT = 12.0  # attempts: a server without strain has a place for the lowest priority
-MIN_LIMIT, MAX_LIMIT = 0.05, 64.0  # attempts; at the least one in two seconds shows when the server recovers
-MIN_LIMIT_FRACTION = 0.1  # of a limit, for the lowest priority
-MIN_SHARE = 0.02  # of the requests still goes out, else a server could never show that it has recovered
-# Below a limit of one, attempts are this part of the latency objective over the limit apart.
+INITIAL_LIMIT = 12.0  # attempts; lets requests of the lowest priority use a server that is not overloaded
+MIN_LIMIT, MAX_LIMIT = 0.05, 64.0  # attempts; the minimum allows one attempt in two seconds
+MIN_LIMIT_FRACTION = 0.1  # fraction of a limit that the lowest priority may use
+MIN_SHARE = 0.02  # of the requests is always sent, so that the recovery of a server is detected
+# With a limit below one, attempts are sent at intervals of this part of the latency objective over the limit.
 PACING_FRACTION = 0.125
-DEFAULT_PACING_US = 1e5  # where the caller states no pacing of its request class
-SMALL_LIMIT_GROWTH = 0.1  # of the limit, an answer, times the answers on time in a row
-FAST_GROWTH = 4  # attempts a limit's worth of answers, while no share has fallen; else 1
-LATER_SUCCESS_DECREASE = 0.25  # attempts: a lost connection, or long work, no queue
-LIMIT_FACTOR = 0.25  # of the limit is left after an attempt that timed out
-SHARE_FACTOR = 0.35  # of a server's share is left after a time-out, where it is seldom heard from
-RECENT_SHARE_FACTOR = 0.8  # the same where it was heard from lately
-COMMON_SHARE_FACTOR = 0.8  # of the common share is left after a time-out
-SLOW_ANSWER_FACTOR = 0.92  # of both shares is left after slow answers
-SLOW_HIT_SHARE_FACTOR = 0.7  # of a server's share is left after a slow cache hit: it has queued
-SHARE_INCREASE = 0.15  # of a server's share, an answer
-COMMON_SHARE_INCREASE = 0.02  # of the common share, an answer; smaller, as all servers' answers raise it
-# Parts of the latency objective beyond which an answer is slow: of a cache that answers misses at once, of
-# one that fetches them itself, and of a hit there.
+DEFAULT_PACING_US = 1e5  # used if the caller passes no pacing for the request class
+SMALL_LIMIT_GROWTH = 0.1  # of the limit per answer, times the consecutive answers on time
+FAST_GROWTH = 4  # attempts per limit's worth of answers while both shares are 1; otherwise 1 attempt
+LATER_SUCCESS_DECREASE = 0.25  # attempts; a lost connection or long work was late, not a queue
+LIMIT_FACTOR = 0.25  # factor on the limit after an attempt that timed out
+SHARE_FACTOR = 0.35  # factor on a server's share after a timeout, if its outcomes are rare
+RECENT_SHARE_FACTOR = 0.8  # the same if the server has a recent outcome
+COMMON_SHARE_FACTOR = 0.8  # factor on the common share after a timeout
+SLOW_ANSWER_FACTOR = 0.92  # factor on both shares after slow answers
+SLOW_HIT_SHARE_FACTOR = 0.7  # factor on a server's share after a slow cache hit, which has queued
+SHARE_INCREASE = 0.15  # added to a server's share per answer
+COMMON_SHARE_INCREASE = 0.02  # added to the common share per answer; small, as all servers' answers add to it
+# Parts of the latency objective above which an answer is slow: at a cache-aside server, which answers misses
+# at once; at a read-through server, which fetches misses itself; and for a hit at a read-through server.
 SLOW_FRACTION_CACHE_ASIDE, SLOW_FRACTION_READ_THROUGH, SLOW_HIT_FRACTION = 0.5, 0.75, 0.4
-RECENT_OUTCOME_US = 500_000  # what the server itself showed this lately goes before what all servers show
+RECENT_OUTCOME_US = 500_000  # for this time, a server's last outcome counts more than other servers'
 
 
 def raise_admitted_share(server: Server) -> None:
-    """Let the server take a larger share of the requests that would go there."""
+    """Raise the share of the server's requests that is sent."""
     server.admitted_share = min(1.0, server.admitted_share + SHARE_INCREASE)
 
 
 def lower_admitted_share(server: Server, factor: float) -> None:
-    """Leave that factor of the server's share."""
+    """Multiply the server's admitted share by the factor."""
     server.admitted_share = max(MIN_SHARE, server.admitted_share * factor)
 
 
 def has_capacity(server: Server, limit: float, now: int, pacing: float) -> bool:
-    """Return whether another attempt fits the limit; below one, attempts are `pacing` / limit us apart."""
+    """Return whether the limit allows another attempt now.
+
+    With a limit below one, attempts are sent one at a time, at least `pacing` / `limit` microseconds apart.
+    """
     if limit < 1:
         return not server.in_flight and now >= server.last_sent_at + pacing / limit
     return server.in_flight < limit
 
 
 class ConcurrencyLimiter:
-    """The limits and shares of the cache servers."""
+    """Adjusts and applies the concurrency limits and admitted shares of the cache servers."""
 
     def __init__(self) -> None:
-        # Of the requests, at any server that was not heard from lately: a process with little traffic meets
-        # each server too seldom to go by its share alone.
+        # The admitted share of servers without a recent outcome.  A process with little traffic sends too
+        # few attempts to each server to rely on the server's own share.
         self.common_share = 1.0
 
     def admits(
@@ -68,14 +73,14 @@
     ) -> bool:
         """Return whether a request that may use this fraction of the limit can be sent to the server now.
 
-        :param required_share: the server's share must be at least so large.
+        :param required_share: the least admitted share with which the server may be sent the request.
         :param pacing: microseconds between attempts at a limit of one.
         """
         share = server.admitted_share
-        # A server with a low load is as good as one heard from: others' strain is not its own.
-        rests = server.load <= RESTING_LOAD and load_is_recent(server, now)
-        has_own_sign = now < server.last_outcome_at + RECENT_OUTCOME_US or rests
-        uses_own_share = has_own_sign and server.concurrency_limit >= 1
+        # A recently reported low load counts like a recent outcome: an overload elsewhere does not affect it.
+        is_lightly_loaded = server.load <= NO_QUEUE_LOAD and load_is_recent(server, now)
+        has_own_evidence = now < server.last_outcome_at + RECENT_OUTCOME_US or is_lightly_loaded
+        uses_own_share = has_own_evidence and server.concurrency_limit >= 1
         if not uses_own_share:
             share = min(share, self.common_share)
         if share < max(1 - limit_fraction, required_share):
@@ -83,33 +88,33 @@
         return has_capacity(server, limit_fraction * server.concurrency_limit, now, pacing)
 
     def record_slow_answer(self, server: Server) -> None:
-        """Lower both shares a little."""
+        """Lower the server's share and the common share a little."""
         lower_admitted_share(server, SLOW_ANSWER_FACTOR)
         self.lower_common_share(SLOW_ANSWER_FACTOR)
 
     def record_success(self, server: Server) -> None:
-        """Raise both shares, and the limit while the lowest priority finds no place below it."""
+        """Raise both shares; raise the limit if the attempts in flight exceed the lowest priority's part."""
         server.consecutive_on_time += 1
         raise_admitted_share(server)
         self.common_share = min(1.0, self.common_share + COMMON_SHARE_INCREASE)
         limit = server.concurrency_limit
         if limit < INITIAL_LIMIT or MIN_LIMIT_FRACTION * limit < server.in_flight + 1:
-            unstrained = min(server.admitted_share, self.common_share) == 1
+            shares_are_full = min(server.admitted_share, self.common_share) == 1
             growth = min(
                 SMALL_LIMIT_GROWTH * server.consecutive_on_time * limit,
-                (FAST_GROWTH if unstrained else 1) / limit,
+                (FAST_GROWTH if shares_are_full else 1) / limit,
             )
             server.concurrency_limit = min(MAX_LIMIT, limit + growth)
 
     def record_overload(
         self, server: Server, is_healthy: bool, has_recent_outcome: bool, sent_at: int, now: int
     ) -> None:
-        """Note an attempt that timed out, or was rejected by a full server that reports no load.
+        """Record an attempt that timed out, or that a full server without load reports rejected.
 
-        Attempts that were in flight when the limit last fell are one overload, and change nothing.
+        Attempts sent before the limit was last lowered belong to the same overload, and change nothing.
 
-        :param is_healthy: the server is not ejected; further failures in a row are its own, and no strain of
-        all.
+        :param is_healthy: the server is not ejected.  Failures of an ejected server don't lower the common
+            share, because they indicate no overload of all servers.
         """
         server.consecutive_on_time = 0
         if sent_at < server.limit_lowered_at:
@@ -121,10 +126,10 @@
         server.concurrency_limit = max(MIN_LIMIT, server.concurrency_limit * LIMIT_FACTOR)
 
     def record_late_after_success(self, server: Server) -> None:
-        """Lower the limit a little for an attempt that timed out while later ones were answered."""
+        """Lower the limit a little for an attempt that timed out although later ones were answered."""
         limit = server.concurrency_limit
         server.concurrency_limit = max(min(limit, 1.0), limit - LATER_SUCCESS_DECREASE)
 
     def lower_common_share(self, factor: float = COMMON_SHARE_FACTOR) -> None:
-        """Leave that factor of the common share."""
+        """Multiply the common share by the factor."""
         self.common_share = max(MIN_SHARE, self.common_share * factor)
--- a/ivystack/balancing/connection_budget.py
+++ b/ivystack/balancing/connection_budget.py
@@ -1,7 +1,8 @@
-"""Connection budget: many processes close idle connections early, so that all fit a server's table.
+"""Connection budget: in a large fleet, processes close idle connections early.
 
-A full table makes a server reject every process that has no connection yet.  The time for which idle
-connections are kept falls with each new connection that is rejected and grows with each that is accepted.
+Otherwise the connections of all processes would not fit a server's connection table, and a server with a full
+table rejects every process that has no connection yet.  The idle time after which connections are closed is
+shortened with each new connection that a server rejects, and extended with each that a server accepts.
 """
 
 from __future__ import annotations
@@ -10,36 +11,35 @@
 
 from ..model import CloseIdleConnections, Server
 
-LARGE_FLEET = 16  # processes; up to so many may keep connections for as long as the servers let them
-REJECTED_FACTOR, ACCEPTED_FACTOR = 0.8, 1.005  # of the idle time: settles at one rejected in forty
-REJECTION_PAUSE_US = (
-    500_000  # without a new connection to a server that rejected one: places are free again by then
-)
+LARGE_FLEET = 16  # processes; a fleet up to this size lets the servers close idle connections
+REJECTED_FACTOR, ACCEPTED_FACTOR = 0.8, 1.005  # of the idle time; an equilibrium at one rejected in forty
+# After a rejection, no new connection to the server is opened for this time, in which others are closed.
+REJECTION_PAUSE_US = 500_000
 MIN_IDLE_TIME_US = REJECTION_PAUSE_US // 8
 
 
 class ConnectionBudget:
-    """How long connections to servers may stay idle."""
+    """The time after which idle connections to servers are closed."""
 
     def __init__(self, max_idle_time: int, process_count: int) -> None:
-        """:param max_idle_time: microseconds for which the servers keep idle connections themselves."""
+        """:param max_idle_time: microseconds after which the servers themselves close idle connections."""
         self.max_idle_time = max_idle_time if process_count > LARGE_FLEET else 0
         self.initial_idle_time = self.max_idle_time * LARGE_FLEET // process_count
-        self.idle_time = self.initial_idle_time  # microseconds; 0: for the servers to close
+        self.idle_time = self.initial_idle_time  # microseconds; 0: only the servers close idle connections
         self.idle_since: OrderedDict[Server, int] = OrderedDict()  # oldest first
 
     @property
     def is_large_fleet(self) -> bool:
-        """Whether one process sees but a small part of each server, and closes idle connections."""
+        """Whether a process sends only a small part of each server's traffic, and closes idle connections."""
         return self.initial_idle_time > 0
 
     def record_rejected(self, server: Server, now: int) -> None:
-        """Note that the server has rejected a new connection."""
+        """Record that the server has rejected a new connection."""
         server.connection_rejected_at = now
         self.idle_time = max(MIN_IDLE_TIME_US, int(self.idle_time * REJECTED_FACTOR))
 
     def record_accepted(self) -> None:
-        """Note that a server has accepted a new connection."""
+        """Record that a server has accepted a new connection."""
         self.idle_time = min(self.max_idle_time, int(self.idle_time * ACCEPTED_FACTOR) + 1)
 
     def is_rejecting(self, server: Server, now: int) -> bool:
@@ -50,28 +50,28 @@
             and server not in self.idle_since
         )
 
-    def note_sent(self, server: Server) -> None:
-        """Note that an attempt goes to the server, so that its connections are not idle."""
+    def record_attempt_sent(self, server: Server) -> None:
+        """Record that an attempt is sent to the server, whose connections are then not idle."""
         self.idle_since.pop(server, None)
 
-    def note_ended(self, server: Server, now: int) -> None:
-        """Note that an attempt there has ended."""
+    def record_attempt_ended(self, server: Server, now: int) -> None:
+        """Record that an attempt at the server has ended."""
         if self.idle_time and not server.in_flight:
             self.idle_since[server] = now
 
     def due(self, now: int) -> list[CloseIdleConnections]:
         """Return one action for each server whose idle connections are to be closed now."""
-        found = []
+        actions = []
         while (next_at := self.next_at()) is not None and next_at <= now:
-            found.append(CloseIdleConnections(self.idle_since.popitem(last=False)[0]))
-        return found
+            actions.append(CloseIdleConnections(self.idle_since.popitem(last=False)[0]))
+        return actions
 
     def next_at(self) -> int | None:
         """Return when the next idle connections are to be closed."""
         return next(iter(self.idle_since.values())) + self.idle_time if self.idle_since else None
 
-    def take_limits(self, other: ConnectionBudget) -> None:
-        """Begin anew with another budget's limits, if they differ."""
+    def adopt_limits(self, other: ConnectionBudget) -> None:
+        """Take over the limits of another budget and start again, if they differ."""
         if self.initial_idle_time == other.initial_idle_time:
             return
         self.initial_idle_time, self.max_idle_time = other.initial_idle_time, other.max_idle_time
--- a/ivystack/balancing/gossip.py
+++ b/ivystack/balancing/gossip.py
@@ -1,7 +1,8 @@
-"""Gossip of outcomes: each process sends some peers how its last attempts at each server ended.
+"""Gossip of outcomes: each process sends its latest outcome at each server to some of its peers.
 
-So hundreds of processes don't learn one by one that a server is full or hangs.  A lost, late, repeated or
-wrong datagram does little: it moves a known server's share as one attempt of our own would.
+Without gossip, each of hundreds of processes would have to detect by itself that a server is full or hangs.
+A lost, late, repeated or wrong datagram has little effect: it changes a known server's admitted share as much
+as one attempt of this process does.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 from ..model import SendGossip, Server
 from .gossip_codec import GossipedOutcome, decode_outcomes, encode_outcomes, server_hash
 
-INTERVAL_US = (
-    250_000  # well below the time in which many processes overload a server that none has seen to be full
-)
-FAILURE_DELAY_US = 30_000  # outcomes come in bursts, and one datagram has all that failed in this time
-FANOUT = 12  # peers a round, drawn anew: each process hears of that many times the outcomes of its own
-MAX_OUTCOMES = 64  # in a datagram
+# Mean delay of a round, well below the time in which many processes overload a server that none of them has
+# found to be full.
+INTERVAL_US = 250_000
+FAILURE_DELAY_US = 30_000  # outcomes come in bursts; one datagram contains all failures of this time
+FANOUT = 12  # randomly drawn peers per round; a process receives this many times its own number of outcomes
+MAX_OUTCOMES = 64  # per datagram
 
 
 class OutcomeGossip:
-    """The recent outcomes that peers are to be sent, when and to whom."""
+    """Collects outcomes for peers, and decides when and to which peers they are sent."""
 
     def __init__(self, rng: Random, own_number: int, process_count: int) -> None:
         self.rng, self.peers = rng, [peer for peer in range(process_count) if peer != own_number]
@@ -28,16 +29,16 @@
         self.servers_by_hash: dict[bytes, Server] = {}
         self.next_at: int | None = None  # the next round
 
-    def note(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
-        """Note how an attempt ended, to be sent in the next round."""
+    def record(self, server: Server, outcome: GossipedOutcome, now: int) -> None:
+        """Record the outcome of an attempt, to be sent in the next round."""
         if not self.peers:
             return
         self.latest[server] = outcome
         if outcome is GossipedOutcome.FAILED:
-            at = now + FAILURE_DELAY_US
+            send_at = now + FAILURE_DELAY_US
         else:
-            at = now + (INTERVAL_US // 2 + self.rng.randrange(INTERVAL_US))
-        self.next_at = at if self.next_at is None else min(at, self.next_at)
+            send_at = now + (INTERVAL_US // 2 + self.rng.randrange(INTERVAL_US))
+        self.next_at = send_at if self.next_at is None else min(send_at, self.next_at)
 
     def due(self, now: int) -> list[SendGossip]:
         """Return the datagrams to be sent now."""
@@ -50,13 +51,13 @@
         return [SendGossip(peer, datagram) for peer in peers]
 
     def set_servers(self, servers: list[Server]) -> None:
-        """Recognize these servers, and no others, in datagrams."""
+        """Set the servers that are recognized in datagrams."""
         self.servers_by_hash = {server_hash(server): server for server in servers}
 
     def receive(self, datagram: bytes) -> list[tuple[Server, GossipedOutcome]]:
-        """Return the outcomes that a peer reports of known servers."""
+        """Return the outcomes at known servers that a peer's datagram contains."""
         return [
-            (self.servers_by_hash[one], outcome)
-            for one, outcome in decode_outcomes(datagram)
-            if one in self.servers_by_hash
+            (self.servers_by_hash[hash_], outcome)
+            for hash_, outcome in decode_outcomes(datagram)
+            if hash_ in self.servers_by_hash
         ]
--- a/ivystack/balancing/origin_limit.py
+++ b/ivystack/balancing/origin_limit.py
@@ -1,7 +1,8 @@
-"""The origin's concurrency limit, by queueing delay: an answer's time beyond the quickest of the last.
+"""Concurrency limit of the origin, from the queueing delay of its answers.
 
-All processes share the origin; a full queue there makes every fetch too late.  Its answers' times say how far
-away it is, and only their growth that it queues.
+The queueing delay is the response time minus the shortest of the last response times.  The shortest time
+depends on the distance to the origin, so only growth beyond it shows a queue.  All processes share the
+origin, and a full queue there makes every fetch too late.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
     raise_admitted_share,
 )
 
-RESPONSE_TIMES = 12  # last answers, by whose quickest the way there is known
+RESPONSE_TIMES = 12  # last answers, of which the quickest shows the response time without a queue
 MIN_ORIGIN_LIMIT = 2.0  # attempts
-DELAY_FACTOR = 0.7  # of what is in use is left after an answer that queued for too long
-OVERLOAD_FACTOR = 0.5  # of what is in use is left after a time-out or a refused connection
+DELAY_FACTOR = 0.7  # factor on the attempts in use after an answer that queued for too long
+OVERLOAD_FACTOR = 0.5  # factor on the attempts in use after a timeout or refused connection
 
 
 def shortest_response_time(server: Server) -> int:
-    """Return the quickest of the last answers, in microseconds; 0 where there is none."""
+    """Return the shortest of the last response times, in microseconds; 0 if there are none."""
     return min(server.response_times, default=0)
 
 
 class OriginLimiter:
-    """The limits and shares of the origin's servers."""
+    """Adjusts and applies the concurrency limits and admitted shares of the origin servers."""
 
     def admits(self, server: Server, limit_fraction: float, now: int, pacing: float) -> bool:
         """Return whether a request that may use this fraction of the limit can be sent to the origin now."""
@@ -40,7 +41,7 @@
     def record_success(
         self, server: Server, response_time: int, latency_objective: int, sent_at: int, now: int
     ) -> None:
-        """Raise a limit that is in use; lower it for an answer that queued for a whole latency objective."""
+        """Raise a limit that is in use; lower it if the answer queued for over a latency objective."""
         raise_admitted_share(server)
         server.response_times = (*server.response_times[1 - RESPONSE_TIMES :], response_time)
         queueing_delay = response_time - shortest_response_time(server)
@@ -54,7 +55,7 @@
             server.concurrency_limit = max(MIN_ORIGIN_LIMIT, in_use * DELAY_FACTOR)
 
     def record_overload(self, server: Server, has_recent_outcome: bool, sent_at: int, now: int) -> None:
-        """Halve what is in use for a timed out or refused attempt, unless sent before the last decrease."""
+        """Set the limit to half of what is in use, unless the attempt was sent before the last decrease."""
         server.consecutive_on_time = 0
         if sent_at < server.limit_lowered_at:
             return
--- a/ivystack/balancing/outcomes.py
+++ b/ivystack/balancing/outcomes.py
@@ -18,7 +18,7 @@
 from .origin_limit import shortest_response_time
 from .outlier_detection import later_attempt_succeeded
 from .parameters import NO_ORIGIN, BalancerParameters
-from .server_load import RESTING_LOAD, load_is_recent
+from .server_load import NO_QUEUE_LOAD, load_is_recent
 
 ANSWERED_OUTCOMES = (Outcome.SUCCEEDED, Outcome.CACHE_MISS)
 # Outcomes that count as evidence of whether the server's zone is reachable.
@@ -97,7 +97,7 @@
         response_time = now - attempt.sent_at
         if attempt.first_on_connection:
             self.connections.record_accepted()
-        self.outliers.note_return(server, now)
+        self.outliers.record_return(server, now)
         self.outliers.record_success(server.health)
         if request_class in server.class_failures:
             self.outliers.record_success(server.class_failures[request_class])
@@ -127,7 +127,7 @@
             is_cache_hit and not is_cache_aside and response_time > SLOW_HIT_FRACTION * objective
         )
         counts_as_slow_cache_hit = is_slow_cache_hit and not detects_queues
-        if response_time > objective and server.load > RESTING_LOAD and load_is_recent(server, now):
+        if response_time > objective and server.load > NO_QUEUE_LOAD and load_is_recent(server, now):
             self._record_overload(attempt, True, has_recent_outcome, now)
         elif self.is_origin(server):
             self.origin_limiter.record_success(server, response_time, objective, attempt.sent_at, now)
--- a/ivystack/balancing/outlier_detection.py
+++ b/ivystack/balancing/outlier_detection.py
@@ -1,6 +1,6 @@
 """Outlier detection: servers that fail several requests in a row are ejected, and probed with real requests.
 
-Only this process's own outcomes count.  The same rule is kept for each server and for each request class at a
+Only outcomes of this process count.  The rule applies to each server, and also to each request class at a
 server, since some servers fail one class and serve the others.
 """
 
@@ -8,23 +8,23 @@
 
 from ..model import Attempt, FailureState, RequestClass, Server
 
-EJECT_AFTER = 2  # failures in a row: one can be chance, and each further one costs a request its time
-PROBE_BACKOFF_US = 500_000  # before the first probe; doubled at each probe
+EJECT_AFTER = 2  # consecutive failures; one can be chance, and each further one delays a request
+PROBE_BACKOFF_US = 500_000  # pause before the first probe; doubled after each probe
 MAX_BACKOFF_DOUBLINGS = 3
-# Own requests that would have gone there before the first probe, doubled alike: a server that hundreds of
-# processes have ejected is not probed by all of them at once.
+# Requests that are withheld from the server before the first probe; doubled after each probe.  This keeps the
+# hundreds of processes that may have ejected a server from all probing it at once.
 SKIPPED_BEFORE_PROBE = 2
 
 
 class OutlierDetector:
-    """Tells servers that can be sent requests from ejected ones, which get a probe now and then."""
+    """Ejects failing servers, and determines when an ejected server is due for a probe."""
 
     def is_healthy(self, state: FailureState) -> bool:
-        """Return whether too few requests in a row have failed for an ejection."""
+        """Return whether the consecutive failures are too few for an ejection."""
         return state.consecutive_failures < EJECT_AFTER
 
     def ejection(self, server: Server, request_class: RequestClass) -> FailureState | None:
-        """Return the failures for which the server gets no requests of this class: its own or the class's."""
+        """Return the failures that eject the server or the class at the server; None if none do."""
         if server.health.consecutive_failures >= EJECT_AFTER:
             return server.health
         state = server.class_failures.get(request_class)
@@ -33,12 +33,12 @@
         return None
 
     def probe_is_due(self, state: FailureState, now: int) -> bool:
-        """Return whether an ejected server's pause is over, in time and in requests that it was not sent."""
+        """Return whether the pause is over, both in time and in requests skipped."""
         doublings = min(max(state.probes - 1, 0), MAX_BACKOFF_DOUBLINGS)
         return now >= state.next_probe_at and state.skipped_requests >= SKIPPED_BEFORE_PROBE << doublings
 
     def record_failure(self, state: FailureState, connection_failed: bool, now: int) -> None:
-        """Count a failure; from the last one that ejects on, it also starts a pause where none runs."""
+        """Count a failure; start a probe pause if the server is now ejected and no pause is running."""
         state.consecutive_failures += 1
         state.connection_failed = state.connection_failed or connection_failed
         if state.consecutive_failures >= EJECT_AFTER and now >= state.next_probe_at:
@@ -46,28 +46,28 @@
             state.skipped_requests = 0
 
     def record_success(self, state: FailureState) -> None:
-        """Forget the failures; an ejected server is ejected again by its next failure."""
+        """Reset the failures; a server that was ejected is ejected again by its next failure."""
         state.connection_failed = False
         if state.consecutive_failures >= EJECT_AFTER:
             state.consecutive_failures = EJECT_AFTER - 1
         else:
             state.consecutive_failures, state.probes, state.next_probe_at = 0, 0, 0
 
-    def note_return(self, server: Server, now: int) -> None:
-        """Take a server that answers after its connections failed in several probes for restarted just now.
+    def record_return(self, server: Server, now: int) -> None:
+        """Mark a server as just started if it answers after connections failed in several probes.
 
-        Its process was gone, so its cache is empty, though the endpoint list may not say so yet.
+        Its process had ended, so its cache is empty, even if the endpoint list does not show the restart yet.
         """
         if server.health.connection_failed and server.health.probes > 2:
             server.started_at = now
 
 
 def start_probe_pause(state: FailureState, now: int) -> None:
-    """Let no probe be sent for a pause that doubles with each probe."""
+    """Start a pause without probes, which doubles with each probe."""
     state.next_probe_at = now + (PROBE_BACKOFF_US << min(state.probes, MAX_BACKOFF_DOUBLINGS))
     state.probes += 1
 
 
 def later_attempt_succeeded(attempt: Attempt) -> bool:
-    """Return whether the server has answered an attempt sent later: it is not the server that is late."""
+    """Return whether the server has answered a later attempt, so that it is not late in general."""
     return attempt.sent_at < attempt.server.latest_success_sent_at
--- a/ivystack/balancing/parameters.py
+++ b/ivystack/balancing/parameters.py
@@ -1,23 +1,21 @@
-"""What the configuration says to the decisions as a whole; the single rules have their own parameters."""
+"""Balancing parameters from the configuration that apply to more than one rule."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-NO_ORIGIN = -1  # as a machine kind
-CLOCK_MARGIN_TICKS = 2  # an answer needs so long to get back to the client in time
+NO_ORIGIN = -1  # machine kind that no server has
+CLOCK_MARGIN_TICKS = 2  # clock ticks reserved for the answer's way back to the client
 
 
 @dataclass(eq=False, slots=True)
 class BalancerParameters:
-    """Parameters that may change while requests are under way."""
+    """Balancing parameters, which may change while requests are in flight."""
 
-    origin_kind: int = (
-        NO_ORIGIN  # index of the machine kind that misses and writes go to, where a kind has the origin
-    )
-    max_attempts: int = 1  # of a request
-    hedging_enabled: bool = False  # an attempt may be sent while another is in flight
-    retry_after: int = 0  # microseconds, sent with a rejection; 0: none is sent
+    origin_kind: int = NO_ORIGIN  # index of the origin's machine kind, which misses and writes are sent to
+    max_attempts: int = 1  # per request
+    hedging_enabled: bool = False  # whether an attempt may be sent while another is in flight
+    retry_after: int = 0  # microseconds, sent with a rejection; 0: rejections have no delay
     clock_granularity: int = 0  # microseconds
 
     @property
--- a/ivystack/balancing/poll_backoff.py
+++ b/ivystack/balancing/poll_backoff.py
@@ -1,36 +1,36 @@
-"""When the endpoint list's service is called, and called again after a call or a watch has failed."""
+"""Backoff between calls of the discovery service, after a call or a watch has failed."""
 
 from __future__ import annotations
 
 from random import Random
 
-MIN_PAUSE_US = 20_000  # a call that fails at once is not made in a loop
-MAX_DOUBLINGS = 8  # of the pause; bounds the power of two, `max_pause` bounds the pause itself
+MIN_PAUSE_US = 20_000  # keeps calls that fail at once from being repeated in a busy loop
+MAX_DOUBLINGS = 8  # bounds the power of two; `max_pause` bounds the pause itself
 
 
 class PollBackoff:
-    """Exponential backoff with jitter between calls of the endpoint list's service.
+    """Exponential backoff with jitter between calls of the discovery service.
 
-    It keeps a whole fleet's calls from coming at once to a service of fixed capacity.
+    Both keep the processes of a fleet from calling a service of fixed capacity all at once.
     """
 
     def __init__(self, rng: Random, base_pause: int, max_pause: int) -> None:
         """:param base_pause: microseconds; doubled at each failure up to `max_pause`, before jitter."""
         self.rng, self.base_pause, self.max_pause = rng, base_pause, max_pause
-        self.failures = 0  # in a row
-        self.next_at: int | None = None  # when to call next; None: a call or a watch is on
+        self.failures = 0  # consecutive failures
+        self.next_at: int | None = None  # time of the next call; None: a call or a watch is in progress
 
-    def take_due_call(self, now: int) -> bool:
-        """Return whether to call now; the call then counts as made."""
+    def claim_due_call(self, now: int) -> bool:
+        """Return whether a call is due now; if so, it counts as started."""
         if self.next_at is None or now < self.next_at:
             return False
         self.next_at = None
         return True
 
     def record_failure(self, now: int, latest: int | None = None) -> int:
-        """Note that a call failed or a watch broke; return when to call next.
+        """Record that a call or a watch failed; return when to call next.
 
-        :param latest: not to be later than this, where given; the jitter is as wide as that leaves.
+        :param latest: the latest time for the next call, if given; it also limits the jitter.
         """
         self.failures += 1
         pause = min(self.base_pause << min(self.failures, MAX_DOUBLINGS), self.max_pause)
--- a/ivystack/balancing/server_selection.py
+++ b/ivystack/balancing/server_selection.py
@@ -21,7 +21,7 @@
 from .parameters import BalancerParameters
 from .placement import REPLICAS
 from .retry_policy import RetryPolicy
-from .server_load import RESTING_LOAD
+from .server_load import NO_QUEUE_LOAD
 
 KEYLESS_BITS = 50  # size of the random key given to a request that has none
 MIN_SKIP_BOUND = 2  # with at most this many attempts in flight, a replica is never skipped as loaded
@@ -53,9 +53,9 @@
     """Selects a server by placement, health, capacity, load and slow start."""
 
     def __init__(
-        self, rng: Random, parameters: BalancerParameters, policy: RetryPolicy, components: Components
+        self, rng: Random, parameters: BalancerParameters, retry_policy: RetryPolicy, components: Components
     ) -> None:
-        self.rng, self.parameters, self.policy = rng, parameters, policy
+        self.rng, self.parameters, self.retry_policy = rng, parameters, retry_policy
         self.placement, self.hot_keys = components.placement, components.hot_keys
         self.outliers, self.zone_outliers = components.outliers, components.zone_outliers
         self.limiter, self.origin_limiter = components.limiter, components.origin_limiter
@@ -71,7 +71,7 @@
         :param origins: the origin servers that are ready.
         :param total_in_flight: this process's attempts in flight at all servers.
         """
-        if not self.policy.may_send_attempt(request, now):
+        if not self.retry_policy.may_send_attempt(request, now):
             return None
         pacing = PACING_FRACTION * request.request_class.latency_objective
         if self._goes_to_origin(request):
@@ -110,7 +110,7 @@
             server
             for server in origins
             if self.origin_limiter.admits(server, fraction, now, pacing)
-            and self.policy.within_dedup_group(request, server)
+            and self.retry_policy.within_dedup_group(request, server)
         ]
         if not request.is_write:
             step = FIRST_REPLICA_STEP_DOWN if candidates else FIRST_REPLICA_STEP_UP
@@ -245,7 +245,7 @@
         warm_fraction = self.slow_start.warm_fraction(server, now)
         if server is not selection.replicas[0] and warm_fraction != 1:
             warm_fraction *= self.slow_start.spill_over
-        return request.warm_up_draw < warm_fraction and self.policy.within_dedup_group(request, server)
+        return request.warm_up_draw < warm_fraction and self.retry_policy.within_dedup_group(request, server)
 
     def _is_overloaded(self, server: Server, now: int) -> bool:
         """Return whether the server is ejected, but for late answers and not for failed connections."""
@@ -270,5 +270,5 @@
 
     def _is_loaded(self, server: Server, now: int) -> bool:
         """Return whether the load exceeds the bound for skipping; random, as in `queue_is_too_long`."""
-        skip_bound = max(RESTING_LOAD, SKIP_FACTOR * self.load.mean_load)
+        skip_bound = max(NO_QUEUE_LOAD, SKIP_FACTOR * self.load.mean_load)
         return self.rng.random() * self.load.load(server, now) > skip_bound
--- a/ivystack/balancing/slot_order.py
+++ b/ivystack/balancing/slot_order.py
@@ -1,7 +1,7 @@
-"""Exchange of the slot order: a process that has just started takes it from peers that have kept it.
+"""Exchange of the slot order: a process that has just started requests the order from its peers.
 
-Else most processes that restart amid a release each derive an order of their own from the endpoint list, keys
-have several times their replicas, and copies are hardly ever met again.
+Otherwise most processes that restart during a release would each derive a different order from the endpoint
+list.  Each key would then be cached by several times as many servers, and few copies would be read again.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
     encode_slot_order,
 )
 
-REQUEST_INTERVAL_US = 500_000  # datagrams may be lost, and the peers asked may have started just now too
-SETTLING_US = 8_000_000  # endpoint lists agree by then; until then a process asks, and answers nobody
-FANOUT = 6  # peers asked at a time: one of them has run for longer, unless nearly all have just started
-MAX_REPLIES = 256  # datagrams that wait to be sent
+REQUEST_INTERVAL_US = 500_000  # datagrams may be lost, and requested peers may have just started too
+SETTLING_US = 8_000_000  # endpoint lists agree by then; a process sends requests until then, replies after
+FANOUT = 6  # peers per request; one of them has run for longer unless nearly all just started
+MAX_REPLIES = 256  # datagrams queued to be sent
 
 
 class SlotOrderExchange:
-    """Asks peers for their slot order at the start, and answers them afterwards."""
+    """Requests the slot order from peers after the start, and replies to their requests afterwards."""
 
     def __init__(self, rng: Random, own_number: int, process_count: int) -> None:
         self.rng, self.own_number = rng, own_number
         self.peers = [peer for peer in range(process_count) if peer != own_number]
-        self.settled_at: int | None = None  # None: not started
-        self.next_at: int | None = 0 if self.peers else None  # the next request; None: none any more
+        self.settled_at: int | None = None  # end of the settling time; None: the exchange has not started
+        self.next_at: int | None = 0 if self.peers else None  # time of the next request; None: no request
         self.replies: deque[tuple[int, bytes]] = deque(maxlen=MAX_REPLIES)
         self.partial_orders: dict[bytes, dict[int, bytes]] = {}
 
     def due(self, now: int) -> list[SendGossip]:
-        """Return the datagrams to be sent now: answers, then requests."""
+        """Return the datagrams to be sent now: replies, then requests."""
         datagrams, self.replies = [*self.replies], deque(maxlen=MAX_REPLIES)
         self.settled_at = self.settled_at or now + SETTLING_US
         if self.next_at is not None and now >= self.next_at:
             self.next_at, self.partial_orders = None, {}
             if now < self.settled_at:
                 self.next_at = now + REQUEST_INTERVAL_US
-                asked = self.rng.sample(self.peers, min(FANOUT, len(self.peers)))
-                datagrams += [(peer, encode_order_request(self.own_number)) for peer in asked]
+                recipients = self.rng.sample(self.peers, min(FANOUT, len(self.peers)))
+                datagrams += [(peer, encode_order_request(self.own_number)) for peer in recipients]
         return [SendGossip(peer, datagram) for peer, datagram in datagrams]
 
     def receive(self, datagram: bytes, slots: list[Server], now: int) -> list[bytes]:
-        """Answer a request; return an order's server hashes by slot once it is complete, else []."""
+        """Reply to a request; return a received order's server hashes by slot once complete, else []."""
         settling = self.settled_at is None or now < self.settled_at
-        asker = decode_order_request(datagram)
-        if asker is not None and not settling:
-            self.replies.extend((asker, part) for part in encode_slot_order(slots))
+        requester = decode_order_request(datagram)
+        if requester is not None and not settling:
+            self.replies.extend((requester, part) for part in encode_slot_order(slots))
         return decode_slot_order_part(datagram, self.partial_orders) if settling else []
 
-    def stop_asking(self, now: int) -> None:
-        """Take the order that is known now for settled."""
+    def stop_requests(self, now: int) -> None:
+        """Stop requesting the slot order, and treat the current one as settled."""
         self.settled_at, self.next_at = now, None
--- a/ivystack/balancing/slow_start.py
+++ b/ivystack/balancing/slow_start.py
@@ -1,32 +1,32 @@
-"""Slow start: a server that has just started, with an empty cache, takes a growing part of its requests.
+"""Slow start: a server that has just started has an empty cache, and gets a growing part of its requests.
 
-Each request draws one number in [0, 1); a warming server takes those whose draw is below its warm fraction.
-So all processes' requests together are that part of the server's usual load, however many processes there
-are.
+Each request draws a random number in [0, 1); a warming server gets the requests whose draw is below its warm
+fraction.  The requests of all processes together are thus that part of the server's usual load, whatever the
+number of processes.
 """
 
 from __future__ import annotations
 
 from ..model import Server
-from .server_load import RESTING_LOAD, load_is_recent
+from .server_load import NO_QUEUE_LOAD, load_is_recent
 
 
 class SlowStart:
-    """How far servers are warmed up."""
+    """Determines how far servers are warmed up."""
 
     def __init__(self, initial_fraction: float, duration: int, overload_factor: float) -> None:
-        """:param initial_fraction: of its capacity that a server bears right after its start.
+        """:param initial_fraction: the fraction of its capacity that a server has right after its start.
 
-        :param duration: microseconds from its start until it bears all.
-        :param overload_factor: times its capacity at which a warming server collapses.
+        :param duration: microseconds from the start of a server until it has its full capacity.
+        :param overload_factor: a warming server collapses at this multiple of its capacity.
         """
         self.initial_fraction, self.duration = initial_fraction, duration
-        # The part of a warming server's own fraction that it also takes of requests whose other replicas
-        # can't. A factor of two is left for chance and for clients that retry.
+        # Factor on the warm fraction for requests whose preferred replica can't take them.  It leaves a
+        # margin of a factor of two for random variation and for clients that retry.
         self.spill_over = min(1.0, max(0.0, (overload_factor - 2) / 2))
 
     def warm_fraction(self, server: Server, now: int) -> float:
-        """Return the part of its capacity that the server can be counted on for; 1 once it is warm."""
+        """Return the fraction of its capacity that a warming server has; 1 once it is warm."""
         if not server.started_at or not self.duration:
             return 1.0
         elapsed = max(0, now - server.started_at)
@@ -34,4 +34,4 @@
         if fraction >= 1:
             return 1.0
         load = server.load if load_is_recent(server, now) else 0.0
-        return fraction / max(RESTING_LOAD, load)  # less where all servers are loaded beyond capacity
+        return fraction / max(NO_QUEUE_LOAD, load)  # reduced while the load exceeds the capacity
--- a/ivystack/balancing/tenant_quotas.py
+++ b/ivystack/balancing/tenant_quotas.py
@@ -1,7 +1,7 @@
-"""Tenants' quotas: what part of a tenant's traffic its quota covers.
+"""Tenant quotas: the part of a tenant's traffic that its quota covers.
 
-A quota holds over all processes, and this one sees an unknown part of the traffic: the median tenant's rate
-here over its quota is taken for that part.
+A quota applies to all processes together, and this process sees an unknown part of the traffic.  The estimate
+of that part is the median over the tenants of the rate at this process divided by the quota.
 """
 
 from __future__ import annotations
@@ -10,35 +10,38 @@
 
 from ..model import Tenant
 
-RECENT_REQUESTS = 200  # about a second of a busy process
-PRIOR_REQUESTS = 8  # assumed on top, in proportion to the quotas: the first dozens show little
+RECENT_REQUESTS = 200  # about one second of traffic of a busy process
+PRIOR_REQUESTS = 8  # assumed in addition, in proportion to the quotas; the first dozens show little
 
 
 class TenantQuotas:
-    """The tenants, and whose the recent requests were."""
+    """Counts the tenants' recent requests, and estimates which part of them the quotas cover."""
 
     def __init__(self, tenants: list[Tenant], process_count: int) -> None:
         self.tenants, self.process_count = tenants, process_count
-        self.recent: deque[tuple[Tenant, int]] = deque()  # and when the request came, oldest first
+        self.recent: deque[tuple[Tenant, int]] = deque()  # tenant and arrival time, oldest first
 
     def record_request(self, tenant: Tenant, now: int) -> None:
-        """Note a request that came now."""
+        """Record a request that arrived now."""
         self.recent.append((tenant, now))
         tenant.recent_requests += 1
         if len(self.recent) > RECENT_REQUESTS:
             self.recent.popleft()[0].recent_requests -= 1
 
     def covered_fraction(self, tenant: Tenant, now: int) -> float:
-        """Return the part of the tenant's traffic that its quota covers.  A request has been noted."""
+        """Return the part of the tenant's traffic that its quota covers.
+
+        At least one request must have been recorded.
+        """
         if not tenant.quota:
             return 1.0
-        total_quota = sum(one.quota for one in self.tenants)
+        total_quota = sum(other.quota for other in self.tenants)
         rate = len(self.recent) * 1_000_000 / max(1, now - self.recent[0][1])
 
-        def rate_over_quota(one: Tenant) -> float:
-            requests_per_quota = one.recent_requests / one.quota + PRIOR_REQUESTS / total_quota
+        def rate_over_quota(other: Tenant) -> float:
+            requests_per_quota = other.recent_requests / other.quota + PRIOR_REQUESTS / total_quota
             return requests_per_quota / (len(self.recent) + PRIOR_REQUESTS) * rate
 
-        rates = sorted(rate_over_quota(one) for one in self.tenants if one.quota)
+        rates = sorted(rate_over_quota(other) for other in self.tenants if other.quota)
         median = rates[len(rates) // 2]
         return min(1.0, max(median, 1 / self.process_count) / rate_over_quota(tenant))
--- a/ivystack/configuration/reload.py
+++ b/ivystack/configuration/reload.py
@@ -41,7 +41,7 @@
     apply_tenants(running, new)
     balancer.shedder.excess_weight = new_balancer.shedder.excess_weight
     copy_fields(SLOW_START_FIELDS, new_balancer.slow_start, balancer.slow_start)
-    balancer.connections.take_limits(new_balancer.connections)
+    balancer.connections.adopt_limits(new_balancer.connections)
     apply_peers(balancer, new_balancer)
     apply_weights(balancer, new_balancer)
     return replaced
--- a/ivystack/early_signals.py
+++ b/ivystack/early_signals.py
@@ -1,7 +1,7 @@
-"""Notes a SIGHUP that comes before the program can act on it.
+"""Records a SIGHUP that arrives before the program is able to reload its configuration.
 
-To be imported first: until this module has run, a SIGHUP ends the process.  It imports nothing that takes
-time, and the running proxy replaces its handler.
+This module must be imported first, because a SIGHUP ends the process until the handler is installed.  For the
+same reason it imports no module that is slow to load.  The running proxy replaces the handler.
 """
 
 import signal
@@ -10,9 +10,9 @@
 received_hangups: list[int] = []  # signal numbers
 
 
-def note_hangup(number: int, frame: FrameType | None) -> None:
-    """Handle a SIGHUP: the proxy reloads its configuration once it runs."""
+def record_hangup(number: int, frame: FrameType | None) -> None:
+    """Record a SIGHUP; the proxy reloads its configuration once it runs."""
     received_hangups.append(number)
 
 
-signal.signal(signal.SIGHUP, note_hangup)
+signal.signal(signal.SIGHUP, record_hangup)
--- a/ivystack/model.py
+++ b/ivystack/model.py
@@ -11,7 +11,7 @@
 from math import inf
 
 LONG_AGO = -1_000_000_000  # microseconds; earlier than any clock reading
-RESPONSE_TIMES_KEPT = 64  # samples per request class
+MAX_RESPONSE_TIMES = 64  # samples per request class
 
 
 class Idempotency(enum.Enum):
@@ -109,8 +109,8 @@
     dedup_group: DedupGroup = DedupGroup.ALL  # for keyed classes
     dedup_window: int = 0  # for keyed classes
     late_priority_weight: float = 0.0  # weight of an answer after the latency objective
-    attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
-    success_times: deque[int] = field(default_factory=lambda: deque(maxlen=RESPONSE_TIMES_KEPT))
+    attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_RESPONSE_TIMES))
+    success_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_RESPONSE_TIMES))
 
 
 @dataclass(eq=False, slots=True)
--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -164,7 +164,7 @@
             self._close(active)
         for request in (active.request for active in abandoned if active.request.attempts):
             try:
-                attempts = self.balancer.client_gone(request)
+                attempts = self.balancer.client_disconnected(request)
             except Exception:
                 logger.exception("decisions failed: a client went away")
                 attempts = request.outstanding()
--- a/ivystack/simulator/instance.py
+++ b/ivystack/simulator/instance.py
@@ -153,7 +153,7 @@
             return
         request.concluded = True
         if request.attempts:
-            self._cancel(request, call_balancer(self.balancer.client_gone, request))
+            self._cancel(request, call_balancer(self.balancer.client_disconnected, request))
         self._close(request)
 
     def endpoints_changed(self, now: int, entries: list[list[Any]], list_kind: str) -> None:
@@ -195,7 +195,7 @@
         backoff = self.poll_backoff
         if backoff is None:
             return delay
-        if backoff.take_due_call(now):
+        if backoff.claim_due_call(now):
             self.poll_in_progress = True
             self.actions.append([POLL_ENDPOINTS, self.name, True])
         if backoff.next_at is None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -58,7 +58,7 @@
     assert server.admitted_share == 1
     time_out_at_one_server(other, 2 * S)
     for share, at in ((0.8, 2 * S), (0.8 * SHARE_FACTOR, 4 * S)):  # heard from lately, and not
-        other.gossip.note(next(iter(other.servers.values())), GossipedOutcome.FAILED, at)
+        other.gossip.record(next(iter(other.servers.values())), GossipedOutcome.FAILED, at)
         (datagram,) = [
             r.datagram for r in other.next_wakeup(at + FAILURE_DELAY_US).due if isinstance(r, SendGossip)
         ]
@@ -70,7 +70,7 @@
     one, other = make_fleet(40, 1)[:2]
     server = one.placement.slots[0]
     server.last_outcome_at = 2 * S
-    other.gossip.note(next(iter(other.servers.values())), GossipedOutcome.FAILED, 2 * S)
+    other.gossip.record(next(iter(other.servers.values())), GossipedOutcome.FAILED, 2 * S)
     one.receive_gossip(
         next(
             r.datagram for r in other.next_wakeup(2 * S + FAILURE_DELAY_US).due if isinstance(r, SendGossip)
@@ -97,9 +97,9 @@
 def test_failures_of_a_burst_share_a_datagram():
     one = make_fleet(2)[0]
     for server in one.servers.values():
-        one.gossip.note(server, GossipedOutcome.FAILED, 0)
+        one.gossip.record(server, GossipedOutcome.FAILED, 0)
         # A good one does not put it off.
-        one.gossip.note(server, GossipedOutcome.ON_TIME, FAILURE_DELAY_US // 2)
+        one.gossip.record(server, GossipedOutcome.ON_TIME, FAILURE_DELAY_US // 2)
     sent = [r.datagram for r in one.next_wakeup(FAILURE_DELAY_US).due if isinstance(r, SendGossip)]
     assert len(sent) == 1 and len(sent[0]) == OUTCOME_BYTES * len(one.servers)
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -16,7 +16,7 @@
     assert balancer.select_server(make_request(), S) is not server
     server.health.skipped_requests = 4
     assert balancer.select_server(make_request(), S) is server
-    balancer.outliers.note_return(server, S)
+    balancer.outliers.record_return(server, S)
     balancer.outliers.record_success(server.health)
     assert balancer.outliers.is_healthy(server.health)
 
@@ -58,6 +58,6 @@
     for at in (S, S + 1):
         balancer.outliers.record_failure(server.health, True, at)
     balancer.outliers.record_failure(server.health, False, 2 * S)  # its first probe goes out, and is answered
-    balancer.outliers.note_return(server, 2 * S)
+    balancer.outliers.record_return(server, 2 * S)
     balancer.outliers.record_success(server.health)
     assert server.started_at == 1
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -16,10 +16,10 @@
 
 def test_a_call_is_due_once_and_not_while_one_is_on():
     backoff = PollBackoff(Random(1), S, 4 * S)
-    assert not backoff.take_due_call(99 * S)
+    assert not backoff.claim_due_call(99 * S)
     at = backoff.record_failure(0)
-    assert not backoff.take_due_call(at - 1)
-    assert backoff.take_due_call(at) and not backoff.take_due_call(99 * S)
+    assert not backoff.claim_due_call(at - 1)
+    assert backoff.claim_due_call(at) and not backoff.claim_due_call(99 * S)
 
 
 def test_a_call_is_no_later_than_asked_for_and_never_at_once():
--- a/tests/test_server_load.py
+++ b/tests/test_server_load.py
@@ -5,7 +5,7 @@
 
 from helpers import S, make_balancer, make_servers, make_weighted_servers
 
-from ivystack.balancing.server_load import LoadEstimator, RESTING_LOAD
+from ivystack.balancing.server_load import LoadEstimator, NO_QUEUE_LOAD
 
 
 def placed_names(balancer, keys=400):
@@ -61,6 +61,6 @@
     live.record_report(server, {"active": 6, "waiting": 1}, S)
     assert (server.load, server.load_reported_at) == (3.0, S)
     live.record_report(server, {"waiting": 4}, 2 * S)
-    assert (server.load, server.load_reported_at) == (RESTING_LOAD + 2.0, 2 * S)
+    assert (server.load, server.load_reported_at) == (NO_QUEUE_LOAD + 2.0, 2 * S)
     live.record_report(server, {"waiting": 0, "cpu": 0.1}, 3 * S)  # tells nothing of what it holds
     assert server.load_reported_at == 2 * S
--- a/tests/test_thousand.py
+++ b/tests/test_thousand.py
@@ -85,7 +85,7 @@
     made = proxy(3, run=run)
     assert len(made.gossip.allowed_senders) == MANY and len(made.balancer.gossip.peers) == MANY - 1
     for node in made.balancer.servers.values():
-        made.balancer.gossip.note(node, GossipedOutcome.FAILED, 0)
+        made.balancer.gossip.record(node, GossipedOutcome.FAILED, 0)
     said = made.balancer.gossip.due(1 << 60)
     assert len({one.peer for one in said}) == gossip.FANOUT
 
--- a/tests/test_zone_outliers.py
+++ b/tests/test_zone_outliers.py
@@ -63,7 +63,7 @@
             server.in_flight += 1
             balancer.record_outcome(request.attempts[0], outcome, S // 4)
         balancer.zone_outliers.record("a", True)
-        balancer.zone_outliers.note_probe_sent("b", S)
+        balancer.zone_outliers.record_probe_sent("b", S)
         assert balancer.zone_outliers.is_ejected("b", S) == (outcome != Outcome.OVERLOADED)
 
 
