--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -165,7 +165,7 @@
             self._close(active)
         for request in (active.request for active in abandoned if active.request.attempts):
             try:
-                attempts = self.balancer.client_gone(request)
+                attempts = self.balancer.client_disconnected(request)
             except Exception:
                 logger.exception(
                     "balancer.client_gone raised an exception; cancelling the request's attempts"
