--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""Idle connections in a large fleet."""
+"""Tests of how idle connections are closed in a large fleet."""
 
 from helpers import S, make_balancer, make_request, make_servers
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Descriptors that idle clients fill while discovery is down, with the program's real limit."""
+"""Idle clients use up the file descriptors while discovery is down, under a real descriptor limit."""
 
 import json
 import os
@@ -15,43 +15,44 @@
 
 
 @pytest.mark.parametrize("sockets", [128, 1024])
-@pytest.mark.parametrize("said", ["silent", "answered"])
-def test_news_and_a_new_client_find_a_descriptor_when_discovery_is_back(tmp_path, sockets, said):
-    node, port, listed_at = Node("n0"), free_port(), free_port()
+@pytest.mark.parametrize("clients_state", ["silent", "answered"])
+def test_the_list_and_a_new_client_get_descriptors_when_discovery_is_back(tmp_path, sockets, clients_state):
+    node, port, discovery_port = Node("n0"), free_port(), free_port()
     path = tmp_path / "config.json"
-    method = {"name": "read", "semantics": "pure", "latency_budget": 10**10, "give_up": 10**10}
+    request_class = {"name": "read", "semantics": "pure", "latency_budget": 10**10, "give_up": 10**10}
     path.write_text(json.dumps({
-        "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{listed_at}", "limits": {"sockets": sockets},
-        "settings": {"methods": [method], "limits": {"connect_timeout": 10**9, "conn_idle": 10**10}},
+        "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery_port}",
+        "limits": {"sockets": sockets},
+        "settings": {"methods": [request_class], "limits": {"connect_timeout": 10**9, "conn_idle": 10**10}},
     }))  # fmt: skip
-    log = (tmp_path / "log").open("wb")  # no pipe: nobody reads it meanwhile
+    log = (tmp_path / "log").open("wb")  # no pipe, because nothing reads it during the test
     process = subprocess.Popen(
         [sys.executable, "-B", "-m", "ivystack"], env=os.environ | {"LB_CONFIG": str(path)},
         stderr=log, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets,) * 2),
     )  # fmt: skip
     try:
-        first = Wire(connected(port))  # it serves, but knows no node
-        crowd = [first]
-        for _ in range(2 * sockets):  # all that come are accepted, the oldest make way
-            crowd.append(Wire(socket.create_connection(("127.0.0.1", port), timeout=10)))
-            if said == "answered":
-                crowd[-1].send(encode_command(b"PING"))
+        first = Wire(connected(port))  # the proxy serves clients, but knows no server
+        clients = [first]
+        for _ in range(2 * sockets):  # all new clients are accepted, and the oldest are closed
+            clients.append(Wire(socket.create_connection(("127.0.0.1", port), timeout=10)))
+            if clients_state == "answered":
+                clients[-1].send(encode_command(b"PING"))
         agent = Agent.__new__(Agent)
-        agent.door = socket.create_server(("127.0.0.1", listed_at))
+        agent.door = socket.create_server(("127.0.0.1", discovery_port))
         agent.door.settimeout(10)
-        watch, since = agent.call()  # the call for the list finds a descriptor
+        watch, since = agent.call()  # the call for the list gets a descriptor
         agent.line(watch, 1, node.entry(), whole=True)
-        new = Wire(socket.create_connection(("127.0.0.1", port), timeout=10))
-        new.send(gets(1, b"x", b"c=read,d=9000"))
-        to_node = node.accept()  # and so do a new client and its connection to a node
-        assert to_node.take()[0] == b"OBJ.GET"
-        to_node.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-        assert since == 0 and new.take() == b"v" and process.poll() is None
+        new_client = Wire(socket.create_connection(("127.0.0.1", port), timeout=10))
+        new_client.send(gets(1, b"x", b"c=read,d=9000"))
+        server_connection = node.accept()  # and so do a new client and its connection to a server
+        assert server_connection.take()[0] == b"OBJ.GET"
+        server_connection.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+        assert since == 0 and new_client.take() == b"v" and process.poll() is None
         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
     finally:
         process.kill()
         process.wait()
-        for one in crowd:
-            one.end()
+        for client in clients:
+            client.end()
     text = (tmp_path / "log").read_bytes()
     assert b"Too many open files" not in text and b"twisted:" not in text
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,9 +1,8 @@
-"""Recorded days of the simulator's line protocol: the same input lines must get the same output to the byte.
+"""Golden tests of the simulator's line protocol: recorded input lines must get byte-identical output.
 
-The days under tests/data/decisions/ were recorded once, by `play_day`: a seeded toy model of proxies' clients
-and servers that reacts to decisions through the protocol alone.
-`PYTHONPATH=. python tests/test_golden_decisions.py` records them anew;
-that is right only when decisions are changed on purpose.
+The days under tests/data/decisions/ were recorded by `play_day`, a seeded model of clients and servers that
+reacts to the decisions only through the protocol.  Record them anew only after decisions were changed on
+purpose: `PYTHONPATH=. python tests/test_golden_decisions.py`.
 """
 
 from __future__ import annotations
@@ -22,248 +21,287 @@
 MS, SECOND = 1_000_000, 1_000_000_000  # nanoseconds
 
 
-# --- Adapters: the only uses of the project's own names ---
+# --- Adapters: the only functions that use names of the project ---
 
 
 def new_engine():
     return SimulatorAdapter()
 
 
-def give(engine, line: bytes) -> bytes | None:
-    """Hands one input line over; what is answered, if anything is."""
+def handle_line(engine, line: bytes) -> bytes | None:
+    """Pass an input line to the engine; return its output, or None."""
     return engine.handle_line(line)
 
 
-# --- The toy model ---
+# --- The model ---
 
 
 class Server:
-    """One cache server or the origin: a few cores, a queue, a set of keys, and faults with times."""
+    """A cache server or origin server with a few cores, a queue, cached keys and a current fault."""
 
-    def __init__(self, name, kind, zone, cell, cores, came_up):
+    def __init__(self, name, kind, zone, cell, cores, started_at):
         self.name, self.kind, self.zone, self.cell, self.cores = name, kind, zone, cell, cores
-        self.state, self.came_up = "active", came_up
-        self.free, self.keys, self.held, self.fault = [0] * cores, set(), 0, None
+        self.state, self.started_at = "active", started_at
+        self.core_free_at, self.keys, self.in_service, self.fault = [0] * cores, set(), 0, None
 
 
 class Day:
-    """The clock, the clients, the servers and the transcript."""
+    """The state of a day: clock, clients, servers and transcript."""
 
-    def __init__(self, seed, p):
-        self.rng, self.p, self.engine = Random(seed), p, new_engine()
+    def __init__(self, seed, parameters):
+        self.rng, self.parameters, self.engine = Random(seed), parameters, new_engine()
         self.lines: list[bytes] = []
-        self.heap, self.count, self.now, self.batch = [], 0, 0, []
-        self.sheets, self.ref = 0, 0
-        self.up: dict[str, int] = {}  # proxies that run, with the count of their starts
-        self.open: dict[tuple, dict] = {}  # requests by proxy, start and number
+        self.heap, self.event_count, self.now, self.batch = [], 0, 0, []
+        self.list_count, self.request_number = 0, 0
+        self.running: dict[str, int] = {}  # running proxies, with the number of the current start
+        self.requests: dict[tuple, dict] = {}  # by proxy, start and request number
         self.servers: dict[str, Server] = {}
-        for place in range(p["servers"]):
-            zone, cores = f"z{place % p['zones']}", p["cores"][place % len(p["cores"])]
-            kind = "big" if cores > min(p["cores"]) else "std"
-            self.servers[f"n{place}"] = Server(f"n{place}", kind, zone, place % 2, cores, None)
-        for place in range(p["origins"]):
-            self.servers[f"o{place}"] = Server(f"o{place}", "origin", "z0", 0, p["origin_cores"], None)
-
-    def at(self, when, act, *values):
-        when = -(-max(when, self.now + 1) // 100_000) * 100_000  # a grid, so that batches hold several
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, act, values))
-
-    def say(self, *message):
+        for index in range(parameters["servers"]):
+            zone, cores = (
+                f"z{index % parameters['zones']}",
+                parameters["cores"][index % len(parameters["cores"])],
+            )
+            kind = "big" if cores > min(parameters["cores"]) else "std"
+            self.servers[f"n{index}"] = Server(f"n{index}", kind, zone, index % 2, cores, None)
+        for index in range(parameters["origins"]):
+            self.servers[f"o{index}"] = Server(
+                f"o{index}", "origin", "z0", 0, parameters["origin_cores"], None
+            )
+
+    def schedule(self, time, action, *values):
+        # Times are rounded up to a grid, so that several events share a batch.
+        time = -(-max(time, self.now + 1) // 100_000) * 100_000
+        self.event_count += 1
+        heapq.heappush(self.heap, (time, self.event_count, action, values))
+
+    def add_event(self, *message):
         self.batch.append(message)
 
     def run(self):
         while self.heap:
             self.now, self.batch = self.heap[0][0], []
             while self.heap and self.heap[0][0] == self.now:
-                _, _, act, values = heapq.heappop(self.heap)
-                act(*values)
+                _, _, action, values = heapq.heappop(self.heap)
+                action(*values)
             if self.batch:
-                self.turn()
+                self.run_turn()
         return self.lines
 
-    def turn(self):
+    def run_turn(self):
         reply = None
         for message in [("TURN", self.now), *self.batch, ("END",)]:
             line = json.dumps(message, separators=(",", ":")).encode()
             self.lines.append(b">" + line)
-            reply = give(self.engine, line)
+            reply = handle_line(self.engine, line)
         for line in reply.splitlines():
             self.lines.append(b"<" + line)
             name, *values = json.loads(line)
             if name != "FINISHED":
                 getattr(self, "on_" + name.lower())(*values)
 
-    # What is decided
+    # Handlers of the engine's output
 
-    def on_transmit(self, proxy, ref, until, node):
-        one = self.open[proxy, self.up[proxy], ref]
-        number = len(one["attempts"])
-        one["attempts"].append(node)
-        ending, when, hit = self.served(self.servers.get(node), one, until)
-        if when >= until:
-            ending, when, hit = "overdue", until, None
-        self.at(when, self.ended, proxy, self.up[proxy], ref, number, ending, hit)
+    def on_transmit(self, proxy, request_number, timeout_at, node):
+        request = self.requests[proxy, self.running[proxy], request_number]
+        number = len(request["attempts"])
+        request["attempts"].append(node)
+        ending, time, hit = self.attempt_result(self.servers.get(node), request, timeout_at)
+        if time >= timeout_at:
+            ending, time, hit = "overdue", timeout_at, None
+        self.schedule(time, self.end_attempt, proxy, self.running[proxy], request_number, number, ending, hit)
 
-    def on_cancel(self, proxy, ref, number):
+    def on_cancel(self, proxy, request_number, number):
         delay = self.rng.randrange(2 * MS)
-        self.at(self.now + delay, self.ended, proxy, self.up[proxy], ref, number, "recalled", None)
-
-    def on_deny(self, proxy, ref, *_):
-        self.open[proxy, self.up[proxy], ref]["closed"] = True
+        self.schedule(
+            self.now + delay,
+            self.end_attempt,
+            proxy,
+            self.running[proxy],
+            request_number,
+            number,
+            "recalled",
+            None,
+        )
+
+    def on_deny(self, proxy, request_number, *_):
+        self.requests[proxy, self.running[proxy], request_number]["closed"] = True
 
     on_lose = on_deny
 
-    def on_set_timer(self, proxy, rest, at):
-        self.at(self.now + rest, self.timer, proxy, self.up[proxy], at)
+    def on_set_timer(self, proxy, delay, at):
+        self.schedule(self.now + delay, self.timer, proxy, self.running[proxy], at)
 
-    def on_announce(self, proxy, peer, words):
-        to, luck = f"proxy_{peer}", self.rng.random()
-        if to not in self.up or luck < 0.05:
+    def on_announce(self, proxy, peer, datagram):
+        recipient, draw = f"proxy_{peer}", self.rng.random()
+        if recipient not in self.running or draw < 0.05:
             return
-        self.at(self.now + self.rng.randrange(MS, 5 * MS), self.inbox, to, proxy, words)
-        if luck > 0.97:  # repeated
-            self.at(self.now + self.rng.randrange(MS, 50 * MS), self.inbox, to, proxy, words)
+        self.schedule(self.now + self.rng.randrange(MS, 5 * MS), self.inbox, recipient, proxy, datagram)
+        if draw > 0.97:  # repeated
+            self.schedule(self.now + self.rng.randrange(MS, 50 * MS), self.inbox, recipient, proxy, datagram)
 
     def on_release(self, proxy, node):
         pass
 
     def on_watch(self, proxy, _):
-        failed = self.rng.random() < self.p["calls_fail"]
+        failed = self.rng.random() < self.parameters["calls_fail"]
         delay = self.rng.randrange(5 * MS, 50 * MS)
-        self.at(self.now + delay, self.members, proxy, self.up[proxy], "X" if failed else "C")
+        self.schedule(self.now + delay, self.deliver_list, proxy, self.running[proxy], "X" if failed else "C")
 
-    # What comes in
+    # Events for the engine
 
     def timer(self, proxy, start, at):
-        if self.up.get(proxy) == start:
-            self.say("TIMER", proxy, at)
+        if self.running.get(proxy) == start:
+            self.add_event("TIMER", proxy, at)
 
-    def inbox(self, proxy, sender, words):
-        if proxy in self.up:
-            self.say("INBOX", proxy, sender, words)
+    def inbox(self, proxy, sender, datagram):
+        if proxy in self.running:
+            self.add_event("INBOX", proxy, sender, datagram)
 
-    def ended(self, proxy, start, ref, number, ending, hit):
-        one = self.open.get((proxy, start, ref))
-        if not one or number in one["ended"] or self.up.get(proxy) != start:
+    def end_attempt(self, proxy, start, request_number, number, ending, hit):
+        request = self.requests.get((proxy, start, request_number))
+        if not request or number in request["ended"] or self.running.get(proxy) != start:
             return
-        one["ended"].add(number)
-        server = self.servers.get(one["attempts"][number])
-        told = None
-        if self.p["reports"] and server and ending in ("completed", "saturated", "errored"):
-            told = {"active": server.held, "waiting": max(0, server.held - server.cores), "cpu": 0.5}
+        request["ended"].add(number)
+        server = self.servers.get(request["attempts"][number])
+        report = None
+        if self.parameters["reports"] and server and ending in ("completed", "saturated", "errored"):
+            report = {
+                "active": server.in_service,
+                "waiting": max(0, server.in_service - server.cores),
+                "cpu": 0.5,
+            }
             if self.rng.random() < 0.3:
-                del told["active"]
-        last = ending == "completed"
-        one["closed"] = one["closed"] or last
-        delay = self.now - one["asked"]
-        node, info = one["attempts"][number], None if hit is None else int(hit)
-        self.say("FINISHED", proxy, ref, number, node, ending, delay, last, info, told)
-
-    def ask(self, proxy):
-        if proxy not in self.up:
+                del report["active"]
+        is_final = ending == "completed"
+        request["closed"] = request["closed"] or is_final
+        delay = self.now - request["arrived_at"]
+        node, info = request["attempts"][number], None if hit is None else int(hit)
+        self.add_event("FINISHED", proxy, request_number, number, node, ending, delay, is_final, info, report)
+
+    def send_request(self, proxy):
+        if proxy not in self.running:
             return
-        rng, p = self.rng, self.p
-        self.ref += 1
-        method = rng.choice(p["classes"])
-        key = rng.randrange(3) if rng.random() < p["hot"] else int(rng.paretovariate(0.5)) % 400 + 10
+        rng, parameters = self.rng, self.parameters
+        self.request_number += 1
+        request_class = rng.choice(parameters["classes"])
+        key = rng.randrange(3) if rng.random() < parameters["hot"] else int(rng.paretovariate(0.5)) % 400 + 10
         key = None if rng.random() < 0.03 else key
         tenant = rng.choice([None, "t0", "t0", "t0", "t1", "t2", "t3", "stranger"])
-        give_up = self.now + method["give_up"]
-        write = rng.random() < p["writes"]
-        one = dict(method=method, key=key, write=write, asked=self.now)
-        one |= dict(attempts=[], ended=set(), closed=False)
-        self.open[proxy, self.up[proxy], self.ref] = one
-        self.say("ASK", proxy, self.ref, method["name"], tenant, key, give_up, None, 100, False, write)
-        leaves = rng.randrange(60 * MS) if rng.random() < 0.03 else method["give_up"]
-        self.at(self.now + leaves, self.client_gone, proxy, self.up[proxy], self.ref)
-
-    def client_gone(self, proxy, start, ref):
-        one = self.open[proxy, start, ref]
-        if self.up.get(proxy) == start and not one["closed"]:
-            one["closed"] = True
-            self.say("CANCELLED_BY_CLIENT", proxy, ref)
-
-    def served(self, server, one, until):
-        """How and when an attempt that goes out now ends, and whether it was a hit."""
+        give_up = self.now + request_class["give_up"]
+        write = rng.random() < parameters["writes"]
+        request = dict(request_class=request_class, key=key, write=write, arrived_at=self.now)
+        request |= dict(attempts=[], ended=set(), closed=False)
+        self.requests[proxy, self.running[proxy], self.request_number] = request
+        self.add_event(
+            "ASK",
+            proxy,
+            self.request_number,
+            request_class["name"],
+            tenant,
+            key,
+            give_up,
+            None,
+            100,
+            False,
+            write,
+        )
+        disconnect_after = rng.randrange(60 * MS) if rng.random() < 0.03 else request_class["give_up"]
+        self.schedule(
+            self.now + disconnect_after,
+            self.disconnect_client,
+            proxy,
+            self.running[proxy],
+            self.request_number,
+        )
+
+    def disconnect_client(self, proxy, start, request_number):
+        request = self.requests[proxy, start, request_number]
+        if self.running.get(proxy) == start and not request["closed"]:
+            request["closed"] = True
+            self.add_event("CANCELLED_BY_CLIENT", proxy, request_number)
+
+    def attempt_result(self, server, request, timeout_at):
+        """Return how and when an attempt sent now ends, and whether it was a cache hit."""
         rng, now = self.rng, self.now
         if server is None or server.fault == "gone":
             return "refused_conn", now + rng.randrange(MS, 3 * MS), None
-        way = rng.randrange(MS // 2, 2 * MS) + (server.zone != "z0") * self.p["far"]
+        network_delay = rng.randrange(MS // 2, 2 * MS) + (server.zone != "z0") * self.parameters["far"]
         if server.fault == "hung":
-            return "overdue", until, None
+            return "overdue", timeout_at, None
         if server.fault == "cut" and rng.random() < 0.5:
-            return "severed", now + 2 * way, None
-        if server.fault == "errors" and one["method"] is self.p["classes"][0]:
-            return "errored", now + 2 * way, None
+            return "severed", now + 2 * network_delay, None
+        if server.fault == "errors" and request["request_class"] is self.parameters["classes"][0]:
+            return "errored", now + 2 * network_delay, None
         if server.fault == "slow errors":
-            return "errored", now + one["method"]["latency_budget"] * 2 // 3, None
-        luck = rng.random()
-        if luck < 0.004:
-            return "severed", now + 2 * way, None
-        if one["write"] and luck < 0.08:
-            return "superseded", now + 2 * way, None
-        if luck < 0.012:
-            return "errored", now + 2 * way, None
-        start = max(now + way, min(server.free))
-        if start - now > 30 * MS * (4 if server.kind == "origin" else 1) or luck > 0.995:
-            return "saturated", now + 2 * way, None
-        hit = one["key"] in server.keys and not one["write"]
+            return "errored", now + request["request_class"]["latency_budget"] * 2 // 3, None
+        draw = rng.random()
+        if draw < 0.004:
+            return "severed", now + 2 * network_delay, None
+        if request["write"] and draw < 0.08:
+            return "superseded", now + 2 * network_delay, None
+        if draw < 0.012:
+            return "errored", now + 2 * network_delay, None
+        start = max(now + network_delay, min(server.core_free_at))
+        if start - now > 30 * MS * (4 if server.kind == "origin" else 1) or draw > 0.995:
+            return "saturated", now + 2 * network_delay, None
+        hit = request["key"] in server.keys and not request["write"]
         if server.kind == "origin":
-            took = rng.randrange(30 * MS, 60 * MS)
-        elif hit or one["write"]:
-            took = rng.randrange(MS, 4 * MS)
-        elif self.p["origins"]:  # aside: a miss is told at once, and filled later
-            self.at(now + 150 * MS, server.keys.add, one["key"])
-            return "lookup_miss", start + MS + way, None
+            service_time = rng.randrange(30 * MS, 60 * MS)
+        elif hit or request["write"]:
+            service_time = rng.randrange(MS, 4 * MS)
+        elif self.parameters["origins"]:  # cache-aside: a miss is answered at once, and filled later
+            self.schedule(now + 150 * MS, server.keys.add, request["key"])
+            return "lookup_miss", start + MS + network_delay, None
         else:
-            took = rng.randrange(20 * MS, 60 * MS)
+            service_time = rng.randrange(20 * MS, 60 * MS)
         if server.fault == "slow":
-            took *= 8
-        server.free[server.free.index(min(server.free))] = start + took
-        server.keys.add(one["key"])
-        server.held += 1
-        self.at(start + took, self.let_go, server)
-        return "completed", start + took + way, hit
+            service_time *= 8
+        server.core_free_at[server.core_free_at.index(min(server.core_free_at))] = start + service_time
+        server.keys.add(request["key"])
+        server.in_service += 1
+        self.schedule(start + service_time, self.end_service, server)
+        return "completed", start + service_time + network_delay, hit
 
     @staticmethod
-    def let_go(server):
-        server.held = max(0, server.held - 1)
+    def end_service(server):
+        server.in_service = max(0, server.in_service - 1)
 
-    # Servers and lists
+    # Servers and endpoint lists
 
     def entry(self, server):
-        weight = {"none": None, "nominal": server.cores, "live": server.cores}[self.p["weights"]]
-        if self.p["weights"] == "live":
-            weight = round(server.cores / (1 + server.held / server.cores), 3)
+        weight = {"none": None, "nominal": server.cores, "live": server.cores}[self.parameters["weights"]]
+        if self.parameters["weights"] == "live":
+            weight = round(server.cores / (1 + server.in_service / server.cores), 3)
         weight = 0 if self.rng.random() < 0.01 else weight
-        return [server.kind, server.name, weight, server.cell, server.state, server.zone, server.came_up]
+        return [server.kind, server.name, weight, server.cell, server.state, server.zone, server.started_at]
 
-    def members(self, proxy, start, how, names=()):
-        if self.up.get(proxy) != start:
+    def deliver_list(self, proxy, start, list_kind, names=()):
+        if self.running.get(proxy) != start:
             return
-        if how == "X":
-            return self.say("MEMBERS", proxy, 0, "X", self.count)
-        listed = [s for s in self.servers.values() if (how != "D" and s.state != "left") or s.name in names]
-        self.say("REGISTER", self.sheets, [self.entry(server) for server in listed])
-        self.say("MEMBERS", proxy, self.sheets, how, self.count)
-        self.sheets += 1
-
-    def tell(self, *names):
-        for proxy, start in self.up.items():
+        if list_kind == "X":
+            return self.add_event("MEMBERS", proxy, 0, "X", self.event_count)
+        listed = [
+            s for s in self.servers.values() if (list_kind != "D" and s.state != "left") or s.name in names
+        ]
+        self.add_event("REGISTER", self.list_count, [self.entry(server) for server in listed])
+        self.add_event("MEMBERS", proxy, self.list_count, list_kind, self.event_count)
+        self.list_count += 1
+
+    def announce(self, *names):
+        for proxy, start in self.running.items():
             delay = self.rng.randrange(50 * MS, 500 * MS)
-            self.at(self.now + delay, self.members, proxy, start, "D" if names else "F", names)
+            self.schedule(self.now + delay, self.deliver_list, proxy, start, "D" if names else "F", names)
 
-    def change(self, name, state=None, fault=..., cold=False, told=True):
+    def change(self, name, state=None, fault=..., cold=False, notify=True):
         server = self.servers.get(name)
         if server is None:
-            server = self.servers[name] = Server(name, "std", "z0", 0, self.p["cores"][0], self.now)
+            server = self.servers[name] = Server(name, "std", "z0", 0, self.parameters["cores"][0], self.now)
         if cold:
-            server.came_up, server.keys = self.now, set()
+            server.started_at, server.keys = self.now, set()
         server.state = state or server.state
         server.fault = server.fault if fault is ... else fault
-        if told:
-            self.tell(name)
+        if notify:
+            self.announce(name)
 
     def zone_fault(self, zone, fault):
         for server in self.servers.values():
@@ -271,46 +309,48 @@
                 server.fault = fault
 
     def start(self, proxy, number):
-        self.up[proxy] = self.up.get(proxy, 0) + 1 + 1000 * (self.now > 0)
-        sheet = {**self.p["settings"], "slot_no": number}
-        self.say("UP", proxy, 100 + number, sheet)
-        if sheet.get("discovery") != "ask":
-            self.members(proxy, self.up[proxy], "F")
+        self.running[proxy] = self.running.get(proxy, 0) + 1 + 1000 * (self.now > 0)
+        settings = {**self.parameters["settings"], "slot_no": number}
+        self.add_event("UP", proxy, 100 + number, settings)
+        if settings.get("discovery") != "ask":
+            self.deliver_list(proxy, self.running[proxy], "F")
 
     def stop(self, proxy):
-        self.up.pop(proxy)
-        self.say("KILLED", proxy)
+        self.running.pop(proxy)
+        self.add_event("KILLED", proxy)
 
     def break_watch(self, proxy):
-        if proxy in self.up:
-            self.members(proxy, self.up[proxy], "X")
+        if proxy in self.running:
+            self.deliver_list(proxy, self.running[proxy], "X")
 
 
-def play_day(seed: int, p: dict) -> list[bytes]:
-    """The transcript of one day: input lines after `>`, output lines after `<`."""
-    day = Day(seed, p)
-    for number in range(p["proxies"]):
-        day.at(MS + number * 300_000, day.start, f"proxy_{number}", number)
-    length = p["seconds"] * SECOND
-    for _ in range(p["requests"]):
+def play_day(seed: int, parameters: dict) -> list[bytes]:
+    """Return the transcript of a day: input lines start with `>`, output lines with `<`."""
+    day = Day(seed, parameters)
+    for number in range(parameters["proxies"]):
+        day.schedule(MS + number * 300_000, day.start, f"proxy_{number}", number)
+    length = parameters["seconds"] * SECOND
+    for _ in range(parameters["requests"]):
         begin = day.rng.randrange(200 * MS, length)
-        if day.rng.random() < p["bursts"]:  # some come at two rushes
+        if day.rng.random() < parameters["bursts"]:  # these requests arrive in one of two bursts
             begin = day.rng.choice((length // 3, length * 3 // 4)) + day.rng.randrange(SECOND // 2)
-        day.at(begin, day.ask, f"proxy_{day.rng.randrange(p['proxies'])}")
+        day.schedule(begin, day.send_request, f"proxy_{day.rng.randrange(parameters['proxies'])}")
     for share in range(1, 10):
-        day.at(length * share // 10, day.tell)
-    for second, act, *values in p["script"]:
-        named = dict(values.pop()) if values and isinstance(values[-1], dict) else {}
-        day.at(int(second * SECOND), lambda act=act, v=values, n=named: getattr(day, act)(*v, **n))
+        day.schedule(length * share // 10, day.announce)
+    for second, action, *values in parameters["script"]:
+        keywords = dict(values.pop()) if values and isinstance(values[-1], dict) else {}
+        day.schedule(
+            int(second * SECOND), lambda action=action, v=values, n=keywords: getattr(day, action)(*v, **n)
+        )
     return day.run()
 
 
-# --- The days ---
+# --- Parameters of the days ---
 
 
 def token(name, group, **more):
-    one = dict(semantics="token", latency_budget=150 * MS, give_up=300 * MS, criticality=2.0)
-    return {"name": name, "group": group, "window": 400 * MS, **one, **more}
+    request_class = dict(semantics="token", latency_budget=150 * MS, give_up=300 * MS, criticality=2.0)
+    return {"name": name, "group": group, "window": 400 * MS, **request_class, **more}
 
 
 PURE = {
@@ -336,23 +376,23 @@
     reports=False, calls_fail=0,
 )  # fmt: skip
 FAULTS = [
-    (1.0, "change", "n0", {"fault": "errors", "told": False}),
-    (2.5, "change", "n0", {"fault": None, "told": False}),
-    (2.6, "change", "n1", {"fault": "hung", "told": False}),
-    (4.0, "change", "n1", {"fault": None, "told": False}),
-    (4.2, "change", "n2", {"fault": "gone", "told": False}),
-    (6.5, "change", "n2", {"fault": None, "cold": True, "told": False}),
+    (1.0, "change", "n0", {"fault": "errors", "notify": False}),
+    (2.5, "change", "n0", {"fault": None, "notify": False}),
+    (2.6, "change", "n1", {"fault": "hung", "notify": False}),
+    (4.0, "change", "n1", {"fault": None, "notify": False}),
+    (4.2, "change", "n2", {"fault": "gone", "notify": False}),
+    (6.5, "change", "n2", {"fault": None, "cold": True, "notify": False}),
     (5.0, "change", "n9", {"state": "active", "cold": True}),
     (6.0, "change", "n3", {"state": "leaving"}),
     (6.6, "change", "n3", {"state": "left", "fault": "gone"}),
-    (7.0, "change", "n4", {"fault": "cut", "told": False}),
+    (7.0, "change", "n4", {"fault": "cut", "notify": False}),
     (7.6, "change", "n4", {"state": "left", "fault": "gone"}),
     (8.0, "change", "n3", {"state": "active", "fault": None, "cold": True}),
     (9.3, "change", "n4", {"state": "active", "fault": None, "cold": True}),
-    (9.5, "change", "n0", {"fault": "slow errors", "told": False}),
-    (10.2, "change", "n0", {"fault": None, "told": False}),
-    (10.3, "change", "n1", {"fault": "slow", "told": False}),
-    (11.5, "change", "n1", {"fault": None, "told": False}),
+    (9.5, "change", "n0", {"fault": "slow errors", "notify": False}),
+    (10.2, "change", "n0", {"fault": None, "notify": False}),
+    (10.3, "change", "n1", {"fault": "slow", "notify": False}),
+    (11.5, "change", "n1", {"fault": None, "notify": False}),
 ]
 LONG = [
     (8.5, "zone_fault", "z1", "hung"), (10.0, "zone_fault", "z1", None),
@@ -371,11 +411,11 @@
 }
 WATCHES = [(t, "break_watch", f"proxy_{t % 3}") for t in (2, 3, 7, 9)]
 ORIGIN = [
-    (3.0, "change", "o0", {"fault": "slow", "told": False}),
+    (3.0, "change", "o0", {"fault": "slow", "notify": False}),
     (4.5, "change", "o0", {"fault": None}),
-    (5.0, "change", "o1", {"fault": "hung", "told": False}),
+    (5.0, "change", "o1", {"fault": "hung", "notify": False}),
     (6.0, "change", "o1", {"fault": None}),
-    (8.2, "change", "o0", {"fault": "gone", "told": False}),
+    (8.2, "change", "o0", {"fault": "gone", "notify": False}),
     (8.8, "change", "o0", {"fault": None}),
 ]
 
@@ -416,8 +456,8 @@
 
 def record():
     DATA.mkdir(parents=True, exist_ok=True)
-    for name, (seed, p) in DAYS.items():
-        lines = play_day(seed, p)
+    for name, (seed, parameters) in DAYS.items():
+        lines = play_day(seed, parameters)
         assert not any(line.startswith(b'<["GIVE_IN"') for line in lines), name
         (DATA / f"{name}.gz").write_bytes(gzip.compress(b"\n".join(lines) + b"\n", 9, mtime=0))
 
@@ -432,19 +472,23 @@
 @pytest.mark.parametrize("name", DAYS)
 def test_a_recorded_day_is_decided_as_it_was(name):
     engine, answers = new_engine(), iter(())
-    for place, line in enumerate(recorded(name), 1):
+    for line_number, line in enumerate(recorded(name), 1):
         if line[:1] == b">":
-            left = next(answers, None)
-            assert left is None, f"{name}, before line {place}: one more than recorded: {left}"
-            answers = iter((give(engine, line[1:]) or b"").splitlines(keepends=True))
+            extra = next(answers, None)
+            assert extra is None, (
+                f"{name}, before line {line_number}: one more output line than recorded: {extra}"
+            )
+            answers = iter((handle_line(engine, line[1:]) or b"").splitlines(keepends=True))
         else:
-            got = next(answers, None)
-            assert got == line[1:] + b"\n", f"{name}, line {place}: recorded {line[1:]}, got {got}"
+            answer = next(answers, None)
+            assert answer == line[1:] + b"\n", (
+                f"{name}, line {line_number}: recorded {line[1:]}, got {answer}"
+            )
     assert next(answers, None) is None
 
 
 def test_the_days_hold_all_kinds_of_events_and_endings():
-    """Guards the recordings against being hollow."""
+    """Check that the recordings contain every kind of event, ending and answer."""
     events, endings, answers = set(), set(), set()
     for name in DAYS:
         for line in recorded(name):
@@ -452,12 +496,12 @@
             (events if line[:1] == b">" else answers).add(message[0])
             if line[:11] == b'>["FINISHED':
                 endings.add(message[5])
-    wanted = "completed errored saturated overdue refused_conn severed recalled superseded lookup_miss"
-    assert endings == {*wanted.split()}
-    wanted = "TURN END REGISTER UP MEMBERS ASK FINISHED CANCELLED_BY_CLIENT INBOX TIMER KILLED"
-    assert events == {*wanted.split()}
-    wanted = "TRANSMIT DENY LOSE CANCEL SET_TIMER ANNOUNCE RELEASE WATCH FINISHED"
-    assert answers == {*wanted.split()}
+    expected = "completed errored saturated overdue refused_conn severed recalled superseded lookup_miss"
+    assert endings == {*expected.split()}
+    expected = "TURN END REGISTER UP MEMBERS ASK FINISHED CANCELLED_BY_CLIENT INBOX TIMER KILLED"
+    assert events == {*expected.split()}
+    expected = "TRANSMIT DENY LOSE CANCEL SET_TIMER ANNOUNCE RELEASE WATCH FINISHED"
+    assert answers == {*expected.split()}
 
 
 if __name__ == "__main__":
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of datagrams between processes; tests/test_golden_state.py has recorded ones."""
+"""Tests of the encoding of gossip datagrams; tests/test_golden_state.py has recorded datagrams."""
 
 from helpers import make_servers
 
@@ -16,7 +16,7 @@
 from ivystack.model import Server
 
 
-def test_outcomes_are_read_as_they_were_written_and_a_torn_one_is_left_out():
+def test_outcomes_are_decoded_as_encoded_and_an_incomplete_one_is_ignored():
     servers = make_servers(3)
     outcomes = [*zip(servers, GossipedOutcome, strict=True)]
     datagram = encode_outcomes(outcomes)
@@ -28,18 +28,18 @@
     assert decode_outcomes(b"abc\xff") == [(b"abc", GossipedOutcome.FAILED)]
 
 
-def test_an_order_request_is_told_from_outcomes_and_orders():
+def test_an_order_request_is_distinguished_from_outcomes_and_orders():
     assert decode_order_request(encode_order_request(513)) == 513
     for datagram in (b"", b"?", b"?abc", *encode_slot_order(make_servers(3))):
         assert decode_order_request(datagram) is None
 
 
-def test_a_placeholder_is_known_by_the_hash_that_is_its_name():
+def test_the_hash_of_a_placeholder_is_its_name():
     server = Server("n00")
     assert server_hash(Server(server_hash(server).hex(), is_placeholder=True)) == server_hash(server)
 
 
-def test_so_many_unfinished_orders_are_put_together_at_once():
+def test_the_number_of_partial_orders_is_bounded():
     partial_orders = {bytes([number]): {} for number in range(MAX_PARTIAL_ORDERS)}
     (part,) = encode_slot_order(make_servers(3))
     assert decode_slot_order_part(part, partial_orders) == []
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -1,4 +1,4 @@
-"""Hot keys get more replicas."""
+"""Tests of the replicas of hot keys."""
 
 from collections import Counter
 
@@ -19,8 +19,8 @@
     assert len({balancer.select_server(make_request(), 0) for _ in range(600)}) == 20
 
 
-def test_a_hot_key_asks_its_replicas_by_size():
-    # Guards a small cache, above all a warming one, against the part of a hot key that a large one bears.
+def test_requests_for_a_hot_key_are_spread_by_server_size():
+    # Guards small servers, above all warming ones, against a large server's part of a hot key's traffic.
     balancer = make_balancer(
         [*make_weighted_servers(*[4.0] * 8), *[Server(f"s{i}", 1, 1.0) for i in range(4)]], live_weights=True
     )
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -1,4 +1,4 @@
-"""The origin's limit, by queueing delay."""
+"""Tests of the origin's concurrency limit, which follows the queueing delay."""
 
 from helpers import S, make_balancer, make_balancer_with_origin, make_request, make_servers, route_after_miss
 
@@ -6,7 +6,7 @@
 from ivystack.model import Outcome, Send, Server, Wait
 
 
-def test_the_origin_has_a_limit_and_gets_all_the_time_left():
+def test_the_origin_has_a_limit_and_its_attempts_get_all_the_time_left():
     balancer = make_balancer(
         [*make_servers(3), Server("origin", kind=4)], origin_kind=4, hedging_enabled=False
     )
@@ -17,46 +17,47 @@
 
 
 def test_a_timeout_halves_what_is_in_use_of_the_origins_limit():
-    # A smaller step would take many seconds to fall to what the origin answers in time.
+    # With smaller steps, the limit would take many seconds to fall to what the origin can answer in time.
     balancer = make_balancer(
         [*make_servers(3), Server("origin", kind=4)], origin_kind=4, hedging_enabled=False
     )
-    writes = [make_request(is_write=True, arrived_at=place) for place in range(20)]
+    writes = [make_request(is_write=True, arrived_at=number) for number in range(20)]
     for write in writes:
         origin = balancer.route(write, write.arrived_at).server
     balancer.record_outcome(writes[0].attempts[0], Outcome.TIMED_OUT, S)
     assert origin.concurrency_limit == 10
     balancer.record_outcome(writes[1].attempts[0], Outcome.TIMED_OUT, S + 1)
-    assert origin.concurrency_limit == 10  # one overload
+    assert origin.concurrency_limit == 10  # both timeouts belong to one overload
     balancer.record_outcome(writes[19].attempts[0], Outcome.SUCCEEDED, S + 2)
     balancer.record_outcome(writes[18].attempts[0], Outcome.TIMED_OUT, S + 2)
-    assert origin.concurrency_limit > 9  # one that others passed is chance
+    assert origin.concurrency_limit > 9  # a timeout while later attempts are answered is chance
 
 
 def test_the_origins_limit_follows_the_queueing_delay_and_not_the_distance():
     balancer, origin = make_balancer_with_origin()
-    for place in range(12):  # a long way, and nothing else
-        request, answer = route_after_miss(balancer, place * S, key=place)
-        balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, place * S + S // 2)
+    for number in range(12):  # a long distance, without a queue
+        request, _ = route_after_miss(balancer, number * S, key=number)
+        balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, number * S + S // 2)
     assert origin.concurrency_limit == MAX_LIMIT
     request, _ = route_after_miss(balancer, 20 * S)
-    balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, 22 * S)  # a budget and a half on top
+    # The queueing delay is one and a half latency objectives.
+    balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, 22 * S)
     assert origin.concurrency_limit <= 2
-    for place in range(12):
-        request, _ = route_after_miss(balancer, (30 + place) * S, key=place)
-        balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, (30 + place) * S + S // 2)
+    for number in range(12):
+        request, _ = route_after_miss(balancer, (30 + number) * S, key=number)
+        balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, (30 + number) * S + S // 2)
     assert origin.concurrency_limit >= 4
 
 
-def test_timeouts_shorter_than_the_way_to_the_origin_do_not_count():
+def test_timeouts_shorter_than_the_round_trip_to_the_origin_do_not_count():
     balancer, origin = make_balancer_with_origin()
     request, _ = route_after_miss(balancer, 0)
     balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, S * 9 // 10)
     write = make_request(is_write=True, arrived_at=S)
     balancer.route(write, S)
-    before = origin.concurrency_limit
+    limit_before = origin.concurrency_limit
     balancer.record_outcome(write.attempts[0], Outcome.TIMED_OUT, S + S * 9 // 10)
-    assert (origin.concurrency_limit, origin.admitted_share) == (before, 1)
+    assert (origin.concurrency_limit, origin.admitted_share) == (limit_before, 1)
 
 
 def test_timeouts_of_cache_servers_do_not_close_the_origin():
@@ -67,12 +68,12 @@
     assert isinstance(route_after_miss(balancer, 100)[1], Send)
 
 
-def test_an_origin_that_refuses_connections_is_asked_less():
-    # Guards the origin whose table is full of all processes' requests: each was tried there again at once.
+def test_an_origin_that_refuses_connections_is_sent_fewer_requests():
+    # Guards an origin whose connection table is full: each refused request was sent there again at once.
     balancer = make_balancer([*make_servers(4), Server("o", kind=1)], origin_kind=1)
     origin = balancer.origins[0]
     request = make_request(is_write=True)
     balancer.route(request, 0)
-    before = origin.concurrency_limit
+    limit_before = origin.concurrency_limit
     balancer.record_outcome(request.attempts[0], Outcome.CONNECTION_REFUSED, 10)
-    assert origin.concurrency_limit < before and origin.admitted_share < 1
+    assert origin.concurrency_limit < limit_before and origin.admitted_share < 1
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's outcome teaches."""
+"""Tests of what is recorded from the outcome of an attempt."""
 
 from helpers import S, make_balancer, make_request, make_servers, make_weighted_servers
 
@@ -19,34 +19,34 @@
     balancer = make_balancer(make_servers(2))
     request = make_request()
     server = balancer.route(request, S * 8 // 10).server
-    before = server.concurrency_limit
+    limit_before = server.concurrency_limit
     balancer.record_outcome(request.attempts[0], Outcome.TIMED_OUT, S)
-    assert server.concurrency_limit == before and server.health.consecutive_failures == 0
+    assert server.concurrency_limit == limit_before and server.health.consecutive_failures == 0
 
 
 def test_a_timeout_while_later_attempts_succeed_is_no_overload_and_no_failure():
-    # Prevents shedding at unstrained servers for lost connections and long work.
+    # Prevents load shedding at servers that are not overloaded, after lost connections and long-running work.
     balancer = make_balancer(make_servers(1))
     server = balancer.servers["n00"]
-    late, quick, behind = make_request(), make_request(arrived_at=10), make_request(arrived_at=20)
-    for one in (late, quick, behind):
-        balancer.route(one, one.arrived_at)
+    late, quick, third = make_request(), make_request(arrived_at=10), make_request(arrived_at=20)
+    for request in (late, quick, third):
+        balancer.route(request, request.arrived_at)
     balancer.record_outcome(quick.attempts[0], Outcome.SUCCEEDED, 30)
-    before = server.concurrency_limit
+    limit_before = server.concurrency_limit
     balancer.suspect_late_attempts(late, 30)
     balancer.record_outcome(late.attempts[0], Outcome.TIMED_OUT, S)
-    assert before - 1 < server.concurrency_limit < before and (
+    assert limit_before - 1 < server.concurrency_limit < limit_before and (
         server.health.consecutive_failures,
         server.admitted_share,
         balancer.limiter.common_share,
     ) == (0, 1, 1)
-    # A lone one at a server heard from just now: the same.
-    balancer.record_outcome(behind.attempts[0], Outcome.TIMED_OUT, S + 20)
-    assert before - 1 < server.concurrency_limit and server.health.consecutive_failures == 1
+    # The same holds for a single timeout at a server with a recent outcome.
+    balancer.record_outcome(third.attempts[0], Outcome.TIMED_OUT, S + 20)
+    assert limit_before - 1 < server.concurrency_limit and server.health.consecutive_failures == 1
     further = make_request(arrived_at=S)
     balancer.route(further, S)
     balancer.record_outcome(further.attempts[0], Outcome.TIMED_OUT, 2 * S)
-    assert server.concurrency_limit < before * 0.6 and server.health.consecutive_failures == 2
+    assert server.concurrency_limit < limit_before * 0.6 and server.health.consecutive_failures == 2
 
 
 def test_a_slow_error_lowers_the_common_share_and_a_quick_one_is_a_failure():
@@ -59,42 +59,45 @@
         and balancer.limiter.common_share == 1
     )
     balancer.route(slow, 0)
-    before = slow.attempts[0].server.health.consecutive_failures
+    failures_before = slow.attempts[0].server.health.consecutive_failures
     balancer.record_outcome(slow.attempts[0], Outcome.ERROR, S * 6 // 10)
-    assert slow.attempts[0].server.health.consecutive_failures == before and balancer.limiter.common_share < 1
+    assert (
+        slow.attempts[0].server.health.consecutive_failures == failures_before
+        and balancer.limiter.common_share < 1
+    )
 
 
-def test_a_single_slow_answer_lowers_shares_only_where_misses_are_told_at_once():
-    for origin, less in ((4, True), (-1, False)):
+def test_a_single_slow_answer_lowers_shares_only_at_cache_aside_servers():
+    for origin_kind, is_lowered in ((4, True), (-1, False)):
         balancer = make_balancer(
-            [*make_servers(3), Server("origin", kind=4)], origin_kind=origin, hedging_enabled=False
+            [*make_servers(3), Server("origin", kind=4)], origin_kind=origin_kind, hedging_enabled=False
         )
         request = make_request()
         server = balancer.route(request, 0).server
         balancer.record_outcome(request.attempts[0], Outcome.SUCCEEDED, S * 6 // 10)
-        assert (server.admitted_share < 1 and balancer.limiter.common_share < 1) == less
+        assert (server.admitted_share < 1 and balancer.limiter.common_share < 1) == is_lowered
 
 
 def test_slow_answers_in_time_lower_a_servers_share_before_any_timeout():
     balancer, shares = make_balancer(make_servers(1), process_count=40), []
-    for spent in (S * 8 // 10, S * 7 // 10, S * 8 // 10, S * 8 // 10, S * 8 // 10):
-        at = 3 * S * len(shares)  # met seldom
+    for response_time in (S * 8 // 10, S * 7 // 10, S * 8 // 10, S * 8 // 10, S * 8 // 10):
+        at = 3 * S * len(shares)  # outcomes at the server are rare
         request = make_request(arrived_at=at)
         balancer.route(request, at)
-        balancer.record_outcome(request.attempts[0], Outcome.SUCCEEDED, at + spent)
+        balancer.record_outcome(request.attempts[0], Outcome.SUCCEEDED, at + response_time)
         shares.append(balancer.placement.slots[0].admitted_share)
-    assert shares[:3] == [1, 1, 1]  # one may be a miss
+    assert shares[:3] == [1, 1, 1]  # a single slow answer may be a cache miss
     assert 1 > shares[3] > shares[4]
 
 
 def test_a_rejection_where_loads_are_reported_shows_nothing_of_other_servers():
-    # Prevents closing a fleet whose waiting rooms are short, where each is full now and then.
+    # Prevents shedding at a whole fleet of servers with short queues, each of which is full now and then.
     for live in (True, False):
         balancer = make_balancer(make_weighted_servers(*[4.0] * 4), live_weights=live)
         request = make_request()
         first = balancer.route(request, 0).server
         balancer.record_outcome(request.attempts[0], Outcome.OVERLOADED, 10)
-        # Where no loads are told it is what tells of an overload: 40 processes fed one else.
+        # Without reported loads, rejections indicate an overload, which 40 processes would otherwise feed.
         assert (balancer.limiter.common_share == 1) is (first.concurrency_limit == INITIAL_LIMIT) is live
         assert first.admitted_share == (RECENT_SHARE_FACTOR if live else SHARE_FACTOR)
         balancer.next_wakeup(10)
@@ -103,7 +106,8 @@
 
 
 def test_a_late_answer_of_a_server_listed_as_loaded_is_an_overload():
-    # Prevents learning of an overload only at the deadline, where late answers still earn; long work is none.
+    # Otherwise an overload would be detected only at the deadline in classes whose late answers have weight.
+    # A late answer of a server that is not loaded took long to compute, and is no overload.
     assert (
         answer_late(make_balancer(make_weighted_servers(*[4.0] * 4), live_weights=True), 9.0).admitted_share
         == SHARE_FACTOR
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Servers that fail in a row are ejected, and probed."""
+"""Tests of the ejection and probing of servers with consecutive failures."""
 
 from helpers import S, make_balancer, make_request, make_servers
 
@@ -6,13 +6,13 @@
 from ivystack.model import Idempotency, Outcome, Request, RequestClass, Send, Server
 
 
-def test_failures_in_a_row_eject_a_server_and_an_answer_brings_it_back():
+def test_consecutive_failures_eject_a_server_and_an_answer_readmits_it():
     balancer = make_balancer(make_servers(6))
     server = balancer.placement.replicas_and_spares(7, 2)[0]
     for _ in range(3):
         balancer.outliers.record_failure(server.health, False, 0)
     assert all(balancer.select_server(make_request(), 10) is not server for _ in range(20))
-    # It was looked at long before this request came: none passed by.
+    # The pause is over, but no request counts as skipped: that happens on arrival, and all arrived earlier.
     assert balancer.select_server(make_request(), S) is not server
     server.health.skipped_requests = 4
     assert balancer.select_server(make_request(), S) is server
@@ -35,21 +35,21 @@
 def test_a_server_that_fails_one_class_serves_the_others_and_is_probed_with_it():
     balancer = make_balancer(make_servers(1))
     server = balancer.servers["n00"]
-    bad, good = (
+    failing_class, served_class = (
         RequestClass("bad", Idempotency.KEYED, S, dedup_window=9 * S),
         RequestClass("good", Idempotency.IDEMPOTENT, S),
     )
     for _ in range(EJECT_AFTER):
-        request = Request(bad, 0, S, 7)
+        request = Request(failing_class, 0, S, 7)
         assert isinstance(balancer.route(request, 0), Send)
         balancer.record_outcome(request.attempts[0], Outcome.ERROR, 10)
     assert (
-        balancer.select_server(Request(bad, 10, S, 7), 10) is None
-        and balancer.select_server(Request(good, 10, S, 7), 10) is server
+        balancer.select_server(Request(failing_class, 10, S, 7), 10) is None
+        and balancer.select_server(Request(served_class, 10, S, 7), 10) is server
     )
     later = PROBE_BACKOFF_US + 20
-    picked = [balancer.select_server(Request(bad, later, later + S, 7), later) for _ in range(3)]
-    assert picked[-1] is server
+    picks = [balancer.select_server(Request(failing_class, later, later + S, 7), later) for _ in range(3)]
+    assert picks[-1] is server
 
 
 def test_a_server_that_refused_by_chance_does_not_start_slowly():
@@ -57,7 +57,7 @@
     server = balancer.servers["a"]
     for at in (S, S + 1):
         balancer.outliers.record_failure(server.health, True, at)
-    balancer.outliers.record_failure(server.health, False, 2 * S)  # its first probe goes out, and is answered
+    balancer.outliers.record_failure(server.health, False, 2 * S)  # the first probe, answered below
     balancer.outliers.record_return(server, 2 * S)
     balancer.outliers.record_success(server.health)
     assert server.started_at == 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which servers hold a key: the paper's walk, weights, and how slots follow the endpoint list."""
+"""Placement of keys: the paper's algorithm, weights, and updates of the slots by the endpoint list."""
 
 from collections import Counter
 
@@ -14,20 +14,21 @@
 from ivystack.model import Server, ServerState, Wait
 
 
-PRINTED = [0, 2, 3, 2, 1, 3, 3, 3, 1, 3, 9, 12, 1]  # the paper's expansion of 12345678910, from x_1 on
+# The factorial digits of 12345678910 as the paper lists them, from x_1 on.
+EXPANSION_IN_PAPER = [0, 2, 3, 2, 1, 3, 3, 3, 1, 3, 9, 12, 1]
 
 
-def plain_replica_slots(found, k):
-    """The paper's figure 3, slot after slot."""
-    place = list(range(k))
-    for slot in range(k, len(found)):
-        if found[slot] < k:
-            place[found[slot]] = slot
-    return place
+def reference_replica_slots(digits, k):
+    """Return the replicas' slots by the algorithm of the paper's figure 3, one slot after another."""
+    replicas = list(range(k))
+    for slot in range(k, len(digits)):
+        if digits[slot] < k:
+            replicas[digits[slot]] = slot
+    return replicas
 
 
 def test_factorial_digits_of_the_papers_example():
-    assert factorial_digits(12345678910, 14) == [0, *PRINTED]
+    assert factorial_digits(12345678910, 14) == [0, *EXPANSION_IN_PAPER]
 
 
 def test_short_expansions_end_in_zeros_which_are_digits():
@@ -35,11 +36,11 @@
 
 
 def test_worked_example_of_the_paper():
-    # It reads the printed list from index 0, so bin l takes x_(l+1); the walk is the same.
-    found = {count: replica_slots(PRINTED[:count], 3)[:3] for count in range(3, 12)}
-    assert found[3] == [0, 1, 2] and found[4] == [0, 1, 3]
-    assert all(found[count] == [0, 4, 3] for count in range(5, 9))
-    assert all(found[count] == [0, 8, 3] for count in range(9, 12))
+    # The paper reads its list from index 0, so bin l takes x_(l+1); the algorithm is the same.
+    slots_of_count = {count: replica_slots(EXPANSION_IN_PAPER[:count], 3)[:3] for count in range(3, 12)}
+    assert slots_of_count[3] == [0, 1, 2] and slots_of_count[4] == [0, 1, 3]
+    assert all(slots_of_count[count] == [0, 4, 3] for count in range(5, 9))
+    assert all(slots_of_count[count] == [0, 8, 3] for count in range(9, 12))
 
 
 def test_keys_are_spread_evenly_and_no_two_replicas_share_a_slot():
@@ -65,7 +66,7 @@
     assert 1.7 < shares["n8"] / shares["n4"] < 2.3
 
 
-def test_a_weight_due_more_than_every_key_takes_every_key_once():
+def test_a_server_whose_weight_exceeds_all_keys_holds_every_key_once():
     placement = Placement(True)
     placement.update([Server("a"), Server("b"), Server("c", weight=50.0)], 0)
     assert all("c" in [server.name for server in placement.replicas(key, 2)] for key in range(200))
@@ -85,7 +86,7 @@
     assert server.name == "n01" and balancer.slow_start.warm_fraction(server, 6 * S) < 0.2
 
 
-def test_slots_after_our_own_restart_follow_start_times():
+def test_slots_after_a_restart_of_the_process_follow_start_times():
     balancer = make_balancer(
         [Server("a", started_at=9), Server("b", started_at=0), Server("c", started_at=5)]
     )
@@ -98,16 +99,16 @@
     assert all("c" not in [server.name for server in placement.replicas(key, 2)] for key in range(100))
 
 
-def test_replicas_are_those_of_the_papers_plain_walk_at_any_size():
+def test_replicas_are_those_of_the_papers_algorithm_at_any_size():
     for count in (2, 3, 13, 33, 80, 500):
         placement = Placement(False)
         placement.update(make_servers(count), 0)
         for key in range(50):
-            names = [placement.slots[slot] for slot in plain_replica_slots(key_digits(key, count), 2)]
-            assert placement.replicas(key, 2) == names
+            servers = [placement.slots[slot] for slot in reference_replica_slots(key_digits(key, count), 2)]
+            assert placement.replicas(key, 2) == servers
 
 
-def test_only_so_many_keys_locations_are_kept_and_the_oldest_go_first():
+def test_the_location_cache_is_bounded_and_evicts_the_oldest_first():
     placement = Placement(False)
     placement.update(make_servers(5), 0)
     first = placement.replicas(0, 2)
@@ -117,7 +118,7 @@
     assert placement.replicas(0, 2) == first
 
 
-def test_spares_follow_the_replicas_of_a_key_with_few():
+def test_a_key_with_few_replicas_has_a_spare():
     placement = Placement(False)
     placement.update(make_servers(9), 0)
     for key in range(50):
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""When a request may be sent again, hedged, or given up."""
+"""Tests of retries, hedges and of giving up requests."""
 
 from helpers import S, make_balancer, make_balancer_with_origin, make_request, make_servers, route_after_miss
 
@@ -50,7 +50,7 @@
     )
 
 
-def test_retries_keep_to_their_budget_and_come_after_first_attempts():
+def test_retries_respect_their_budget_and_come_after_first_attempts():
     balancer = make_balancer(make_servers(4))
     balancer.retry_budget.tokens = 0.5
     request = make_request()
@@ -73,19 +73,19 @@
     )
 
 
-def test_a_cache_fill_goes_on_when_its_client_has_been_answered():
+def test_a_cache_fill_continues_after_its_client_has_been_answered():
     balancer, _ = make_balancer_with_origin(retry_after=5)
     request, decision = route_after_miss(balancer, 0)
     assert isinstance(decision, Send) and decision.timeout_at > S  # after the latency objective
     assert balancer.next_wakeup(S - 1).due == []
-    # At once, not when the attempt times out.
+    # The client is answered at the deadline, not when the attempt times out.
     assert balancer.next_wakeup(S).due == [request] and balancer.route(request, S) == Reject(5)
     request.concluded = True
     assert balancer.record_outcome(request.attempts[1], Outcome.SUCCEEDED, S + 1) == OutcomeDecision(
         Done(), []
     )
     write = make_request(Idempotency.KEYED, is_write=True, time_to_deadline=3 * S, dedup_window=9 * S)
-    assert balancer.route(write, 0).timeout_at == S  # fills nothing
+    assert balancer.route(write, 0).timeout_at == S  # a write fills no cache
 
 
 def test_an_invalid_request_fails_and_is_not_sent_elsewhere():
--- a/tests/test_server_load.py
+++ b/tests/test_server_load.py
@@ -1,4 +1,4 @@
-"""Weights that the endpoint list lowers by load, and servers' load reports."""
+"""Tests of listed weights that fall with load, and of servers' load reports."""
 
 from collections import Counter
 from math import inf, nan
@@ -12,15 +12,15 @@
     return [[server.name for server in balancer.placement.replicas_and_spares(key, 2)] for key in range(keys)]
 
 
-def test_weights_that_move_with_load_move_no_key():
+def test_weights_that_change_with_load_move_no_key():
     balancer = make_balancer(make_weighted_servers(*[4.0] * 9), live_weights=True)
-    before = placed_names(balancer)
+    names_before = placed_names(balancer)
     balancer.update_endpoints(make_weighted_servers(1.0, 2.0, 0.4, 4.0, 3.1, 1.3, 0.1, 0.8, 2.0), False, S)
-    assert placed_names(balancer) == before
+    assert placed_names(balancer) == names_before
 
 
 def test_a_process_that_starts_under_load_finds_the_same_sizes():
-    # Guards the placement: one server of a kind at rest is enough, whichever it is.
+    # Guards the placement: one idle server of a machine kind is enough to determine the kind's size.
     old, new = (
         make_balancer(make_weighted_servers(*[4.0] * 9), live_weights=True),
         make_balancer(live_weights=True),
@@ -32,7 +32,7 @@
 
 
 def test_kinds_of_unequal_size_get_keys_in_proportion():
-    # Guards small caches against the even share, which is several times theirs where sizes differ as here.
+    # Guards small servers against an even share of the keys, which would be several times their own.
     small, large = make_weighted_servers(*[1.0] * 10), make_weighted_servers(*[3.5] * 20, kind=1)[10:]
     balancer = make_balancer([*small, *large], live_weights=True)
     shares = Counter(name for replicas in placed_names(balancer, 6000) for name in replicas[:2])
@@ -42,25 +42,28 @@
 
 def test_unusable_weights_are_ignored():
     balancer = make_balancer(make_weighted_servers(4.0, 4.0, 4.0, 4.0), live_weights=True)
-    before = placed_names(balancer)
+    names_before = placed_names(balancer)
     balancer.update_endpoints(make_weighted_servers(0.0, -1.0, nan, inf), False, S)
-    assert placed_names(balancer) == before and all(server.load == 0 for server in balancer.placement.slots)
-    # Nor where no other weight was ever listed.
+    assert placed_names(balancer) == names_before and all(
+        server.load == 0 for server in balancer.placement.slots
+    )
+    # Unusable weights are also ignored if no other weight was ever listed.
     assert placed_names(make_balancer(make_weighted_servers(0.0, nan, 0.0), live_weights=True))
 
 
-def test_own_attempts_count_on_top_of_the_listed_load():
-    live, server = LoadEstimator(True), make_servers(1)[0]
-    live.record_listed_weight(server, 1.0, 0)
+def test_the_processs_own_attempts_are_added_to_the_listed_load():
+    estimator, server = LoadEstimator(True), make_servers(1)[0]
+    estimator.record_listed_weight(server, 1.0, 0)
     server.in_flight = 3
-    assert live.load(server, 0) == 3
+    assert estimator.load(server, 0) == 3
 
 
-def test_a_report_tells_the_requests_in_flight_or_at_least_those_that_wait():
-    live, server = LoadEstimator(True), make_servers(1, weight=2.0)[0]
-    live.record_report(server, {"active": 6, "waiting": 1}, S)
+def test_a_report_gives_the_requests_in_flight_or_a_lower_bound_from_those_waiting():
+    estimator, server = LoadEstimator(True), make_servers(1, weight=2.0)[0]
+    estimator.record_report(server, {"active": 6, "waiting": 1}, S)
     assert (server.load, server.load_reported_at) == (3.0, S)
-    live.record_report(server, {"waiting": 4}, 2 * S)
+    estimator.record_report(server, {"waiting": 4}, 2 * S)
     assert (server.load, server.load_reported_at) == (NO_QUEUE_LOAD + 2.0, 2 * S)
-    live.record_report(server, {"waiting": 0, "cpu": 0.1}, 3 * S)  # tells nothing of what it holds
+    # This report contains no information about requests in flight.
+    estimator.record_report(server, {"waiting": 0, "cpu": 0.1}, 3 * S)
     assert server.load_reported_at == 2 * S
--- a/tests/test_single_execution.py
+++ b/tests/test_single_execution.py
@@ -1,4 +1,4 @@
-"""Requests that may be executed only once: what holds when an attempt is sent, not when it was decided."""
+"""Requests that may be executed only once: rules checked when an attempt is sent, not when it is decided."""
 
 import pytest
 from helpers import S, client, entries, hit, link, proxy, told
@@ -21,203 +21,213 @@
 MS = 1000
 
 
-def once(group="all", window=300, semantics="token", budget=2000, **limits):
-    """A proxy with one class, whose repeats are dropped for so many milliseconds."""
-    stated = {
+def one_class(group="all", window=300, semantics="token", budget=2000, **limits):
+    """Return a configuration with one request class; `window` and `budget` are in milliseconds."""
+    request_class = {
         "name": "mark", "semantics": semantics, "latency_budget": budget * 10**6, "give_up": budget * 10**6,
         "criticality": 1.0, "group": group, "window": window * 10**6,
     }  # fmt: skip
-    return told(methods=[stated], connect_timeout=10**9, most_write_outs=4, **limits)
+    return told(methods=[request_class], connect_timeout=10**9, most_write_outs=4, **limits)
 
 
-def put(ident=b"1", wait=2000):
-    return encode_command(b"OBJ.SET", b"7f", ident, b"c=mark,t=t,d=%d" % wait, b"v")
+def set_command(ident=b"1", deadline_ms=2000):
+    return encode_command(b"OBJ.SET", b"7f", ident, b"c=mark,t=t,d=%d" % deadline_ms, b"v")
 
 
-def pass_by(made, milliseconds):
-    """So many milliseconds go by, one after the other."""
+def advance_ms(instance, milliseconds):
+    """Advance the clock in steps of one millisecond."""
     for _ in range(milliseconds):
-        made.reactor.advance(0.001)
+        instance.reactor.advance(0.001)
 
 
-def written(made):
-    """What has been written to nodes, on any connection that has come up."""
-    links = made.server_pools.connections.values()
-    return b"".join(one.transport.value() for one in links if one.is_connected)
+def bytes_written(instance):
+    """Return the bytes written to servers on all established connections."""
+    connections = instance.server_pools.connections.values()
+    return b"".join(connection.transport.value() for connection in connections if connection.is_connected)
 
 
-def lost(one):
-    one.connectionLost(Failure(ConnectionLost()))
+def lose_connection(connection):
+    connection.connectionLost(Failure(ConnectionLost()))
 
 
-# The window and a connection that comes up late.
+# The dedup window, and a connection that is established late.
 
 
-def severed(made, after):
-    """The first attempt was sent; so many milliseconds later it is possibly executed, and a retry waits."""
-    asking = client(made)
-    asking.dataReceived(put())
-    first = link(made)
-    assert b"mark" in written(made)
-    pass_by(made, after)
-    before = len(made.reactor.tcpClients)
-    lost(first)
-    pass_by(made, 1)
-    assert len(made.reactor.tcpClients) == before + 1  # the retry waits for this one
-    return asking
+def lose_first_attempt(instance, after_ms):
+    """Send a request, and lose its connection `after_ms` later; the retry then waits for a new connection."""
+    client_connection = client(instance)
+    client_connection.dataReceived(set_command())
+    first = link(instance)
+    assert b"mark" in bytes_written(instance)
+    advance_ms(instance, after_ms)
+    count_before = len(instance.reactor.tcpClients)
+    lose_connection(first)
+    advance_ms(instance, 1)
+    assert len(instance.reactor.tcpClients) == count_before + 1  # the connection that the retry waits for
+    return client_connection
 
 
 @pytest.mark.parametrize("streams", [1, 10])
 @pytest.mark.parametrize("group, answer", [("all", b"-BUSY"), ("zone", b"-ERR failed")])
-def test_a_retry_whose_connection_comes_up_after_the_window_is_not_sent(streams, group, answer):
-    made = proxy(3, run=once(group, streams_per_conn=streams))
-    asking = severed(made, 250)
-    pass_by(made, 49)  # 300 ms since the first was decided
-    link(made)
-    assert written(made) == b"" and asking.transport.took().startswith(answer)
-    assert not made.request_handler.in_flight and not made.request_handler.requests
-
-
-def test_a_retry_whose_connection_comes_up_within_the_window_is_sent():
-    made = proxy(3, run=once())
-    asking = severed(made, 250)
-    pass_by(made, 40)
-    other = link(made)
-    assert b"mark" in written(made)
-    other.dataReceived(hit(b"receipt"))
-    assert asking.transport.took() == b"$7\r\nreceipt\r\n"
-
-
-def test_a_connection_that_comes_up_in_a_late_reactor_turn_sends_nothing_past_the_window():
-    # The reactor was busy: the link's coming up is told before the deadlines that have passed meanwhile.
-    made = proxy(3, run=once())
-    severed(made, 250)
-    made.reactor.rightNow += 0.2  # with no call made
-    late = link(made)
-    assert written(made) == b"" and late in made.server_pools.idle_connections  # it serves others
+def test_a_retry_whose_connection_is_established_after_the_window_is_not_sent(streams, group, answer):
+    instance = proxy(3, run=one_class(group, streams_per_conn=streams))
+    client_connection = lose_first_attempt(instance, 250)
+    advance_ms(instance, 49)  # 300 ms after the first attempt was decided
+    link(instance)
+    assert bytes_written(instance) == b"" and client_connection.transport.took().startswith(answer)
+    assert not instance.request_handler.in_flight and not instance.request_handler.requests
+
+
+def test_a_retry_whose_connection_is_established_within_the_window_is_sent():
+    instance = proxy(3, run=one_class())
+    client_connection = lose_first_attempt(instance, 250)
+    advance_ms(instance, 40)
+    second_connection = link(instance)
+    assert b"mark" in bytes_written(instance)
+    second_connection.dataReceived(hit(b"receipt"))
+    assert client_connection.transport.took() == b"$7\r\nreceipt\r\n"
+
+
+def test_a_connection_established_in_a_late_reactor_turn_sends_nothing_after_the_window():
+    # The reactor was busy, so it reports the new connection before the deadlines that passed meanwhile.
+    instance = proxy(3, run=one_class())
+    lose_first_attempt(instance, 250)
+    instance.reactor.rightNow += 0.2  # without running the calls that became due
+    late_connection = link(instance)
+    assert bytes_written(instance) == b"" and late_connection in instance.server_pools.idle_connections
 
 
 def test_a_hedge_that_is_sent_first_makes_the_first_attempt_the_retry():
-    # Hedging: the first attempt still waits for its connection when the second one is sent.
-    made = proxy(2, run=once(window=700, streams_per_conn=10, may_duplicate=True, budget=1000))
-    made.settings.request_classes["mark"].attempt_times.extend(
-        [100 * MS] * 8
-    )  # so that a hedge is sent at half of the time
-    asking = client(made)
-    asking.dataReceived(put(wait=1000))
-    pass_by(made, 490)
-    assert len(made.reactor.tcpClients) == 1
-    pass_by(made, 12)
-    second = link(made, 1)
-    assert b"mark" in second.transport.value()
-    pass_by(made, 210)
-    assert link(made, 0).transport.value() == b""
-    second.dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n"
-
-
-def test_an_attempt_that_waits_for_a_process_that_has_gone_is_decided_anew():
-    made = proxy(1, run=once(idempotency="side_effect"))
-    asking = client(made)
-    asking.dataReceived(put())
-    waits = next(iter(made.request_handler.in_flight))
-    made.endpoints.update(entries(1, startedAtMs=999_999), True)
+    # The first attempt is still waiting for its connection when the hedge is sent.
+    instance = proxy(2, run=one_class(window=700, streams_per_conn=10, may_duplicate=True, budget=1000))
+    # Attempt times that make the hedge be sent after half of the time left.
+    instance.settings.request_classes["mark"].attempt_times.extend([100 * MS] * 8)
+    client_connection = client(instance)
+    client_connection.dataReceived(set_command(deadline_ms=1000))
+    advance_ms(instance, 490)
+    assert len(instance.reactor.tcpClients) == 1
+    advance_ms(instance, 12)
+    hedge_connection = link(instance, 1)
+    assert b"mark" in hedge_connection.transport.value()
+    advance_ms(instance, 210)
+    assert link(instance, 0).transport.value() == b""
+    hedge_connection.dataReceived(hit())
+    assert client_connection.transport.took() == b"$1\r\nv\r\n"
+
+
+def test_an_attempt_that_waits_for_a_restarted_server_is_decided_again():
+    instance = proxy(1, run=one_class(idempotency="side_effect"))
+    client_connection = client(instance)
+    client_connection.dataReceived(set_command())
+    waiting_attempt = next(iter(instance.request_handler.in_flight))
+    instance.endpoints.update(entries(1, startedAtMs=999_999), True)
     assert (
-        waits.outcome == Outcome.NOT_SENT
-        and len(made.request_handler.in_flight) == 1
-        and waits not in made.request_handler.in_flight
+        waiting_attempt.outcome == Outcome.NOT_SENT
+        and len(instance.request_handler.in_flight) == 1
+        and waiting_attempt not in instance.request_handler.in_flight
     )
-    assert not asking.transport.value()
+    assert not client_connection.transport.value()
 
 
-# What a connection can prove of an attempt follows from what came on it.
+# What a connection proves about an attempt depends on the data received on it.
 
 
-class Attempts:
-    """Attempts of one class at one node, made without the decisions, and how each ended."""
+class AttemptSender:
+    """Sends attempts of one class to one server, bypassing the balancer, and records their outcomes."""
 
     def __init__(self, semantics, **more):
-        self.made = proxy(1, run=once(streams_per_conn=10, may_duplicate=True, **more))
-        self.method, self.ends = RequestClass("mark", semantics, 2 * S, dedup_window=S), []
-        pools = self.made.server_pools
-        pools.on_outcome = lambda ended, outcome, value: self.ends.append((ended.attempt, outcome))
-
-    def go(self, **more):
-        now, fields = self.made.now(), b"c=mark,d=500"
-        attempt = Attempt(Request(self.method, now, now + 2 * S), None, now, now + 2 * S, **more)
+        self.instance = proxy(1, run=one_class(streams_per_conn=10, may_duplicate=True, **more))
+        self.request_class, self.outcomes = RequestClass("mark", semantics, 2 * S, dedup_window=S), []
+        pools = self.instance.server_pools
+        pools.on_outcome = lambda ended, outcome, value: self.outcomes.append((ended.attempt, outcome))
+
+    def send(self, **more):
+        now, fields = self.instance.now(), b"c=mark,d=500"
+        attempt = Attempt(Request(self.request_class, now, now + 2 * S), None, now, now + 2 * S, **more)
         frame = RequestFrame([b"OBJ.GET", b"7f", b"1", fields], (9, 12))
-        self.made.server_pools.send(InFlightAttempt(attempt, frame), "n0", now + 2 * S)
+        self.instance.server_pools.send(InFlightAttempt(attempt, frame), "n0", now + 2 * S)
         return attempt
 
-    def said(self, wire, data):
-        before = len(self.ends)
-        wire.dataReceived(data)
-        return [outcome for _, outcome in self.ends[before:]]
+    def outcomes_after(self, server_connection, data):
+        count_before = len(self.outcomes)
+        server_connection.dataReceived(data)
+        return [outcome for _, outcome in self.outcomes[count_before:]]
 
 
 @pytest.mark.parametrize("semantics", [Idempotency.NOT_IDEMPOTENT, Idempotency.KEYED, Idempotency.IDEMPOTENT])
 @pytest.mark.parametrize("gap", [0, 8, 99, 101])
 @pytest.mark.parametrize("split", [False, True])
-def test_a_busy_so_soon_after_another_proves_nothing_of_an_attempt_sent_between(semantics, gap, split):
-    # The node's second copy of its first -BUSY comes when the next attempt is out: that one runs.
-    of = Attempts(semantics)
-    of.go()
-    wire = link(of.made)
-    assert of.said(wire, BUSY) == [Outcome.OVERLOADED]
-    pass_by(of.made, gap // 2)
-    of.go()
-    assert len(wire.in_flight) == 1  # on the same connection
-    pass_by(of.made, gap - gap // 2)
-    said = of.said(wire, BUSY[:4]) + of.said(wire, BUSY[4:]) if split else of.said(wire, BUSY)
-    assert said == [
+def test_a_busy_soon_after_another_proves_nothing_about_an_attempt_sent_between(semantics, gap, split):
+    # The server repeats its first -BUSY after the next attempt was sent, and executes that attempt.
+    sender = AttemptSender(semantics)
+    sender.send()
+    server_connection = link(sender.instance)
+    assert sender.outcomes_after(server_connection, BUSY) == [Outcome.OVERLOADED]
+    advance_ms(sender.instance, gap // 2)
+    sender.send()
+    assert len(server_connection.in_flight) == 1  # the same connection is used
+    advance_ms(sender.instance, gap - gap // 2)
+    outcomes = (
+        sender.outcomes_after(server_connection, BUSY[:4])
+        + sender.outcomes_after(server_connection, BUSY[4:])
+        if split
+        else sender.outcomes_after(server_connection, BUSY)
+    )
+    assert outcomes == [
         Outcome.OVERLOADED if semantics == Idempotency.IDEMPOTENT or gap > 100 else Outcome.CANCELLED
     ]
 
 
-def test_of_several_on_a_connection_only_the_first_busy_proves():
-    of = Attempts(Idempotency.NOT_IDEMPOTENT)
-    of.made.server_pools.PIPELINE_FROM = 1
-    of.go()
-    wire = link(of.made)
-    of.go()
-    of.go()
-    assert len(wire.in_flight) == 3
-    assert of.said(wire, BUSY + BUSY + hit()) == [Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.SUCCEEDED]
-
-
-def test_a_busy_for_a_cancelled_attempt_makes_the_next_one_doubtful():
-    of = Attempts(Idempotency.NOT_IDEMPOTENT)
-    of.made.server_pools.PIPELINE_FROM = 1
-    of.go()
-    wire = link(of.made)
-    of.go()
-    of.made.server_pools.cancel(wire.in_flight[0])
-    assert of.said(wire, BUSY + BUSY) == [Outcome.CANCELLED]
-
-
-def test_an_attempt_with_a_last_moment_is_sent_behind_no_other():
-    # What holds back those before it, a long value or a node that reads no more, would hold it back too.
-    of = Attempts(Idempotency.KEYED)
-    of.made.server_pools.PIPELINE_FROM = 1
-    of.go()
-    wire = link(of.made)
-    far, near = of.made.now() + 4 * S, of.made.now() + S
-    of.go(send_by=far)
-    assert len(wire.in_flight) == 2  # in so long a time it gets there, or is given up
-    last = of.go(send_by=near)
-    waiting = of.made.server_pools.pools["n0"].waiting
-    assert len(wire.in_flight) == 2 and [one.attempt for one in waiting] == [last]
-    pass_by(of.made, 1001)
-    assert of.ends[-1] == (last, Outcome.NOT_SENT)
-
-
-def test_no_value_and_miss_proves_nothing_where_nodes_read_through():
-    lacks = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-    for aside, outcome in ((False, Outcome.ERROR), (True, Outcome.CACHE_MISS)):
-        of = Attempts(Idempotency.NOT_IDEMPOTENT)
-        of.made.server_pools.cache_aside = aside
-        of.go()
-        assert of.said(link(of.made), lacks) == [outcome]
+def test_of_several_busy_answers_on_a_connection_only_the_first_is_proof():
+    sender = AttemptSender(Idempotency.NOT_IDEMPOTENT)
+    sender.instance.server_pools.PIPELINE_FROM = 1
+    sender.send()
+    server_connection = link(sender.instance)
+    sender.send()
+    sender.send()
+    assert len(server_connection.in_flight) == 3
+    assert sender.outcomes_after(server_connection, BUSY + BUSY + hit()) == [
+        Outcome.OVERLOADED,
+        Outcome.CANCELLED,
+        Outcome.SUCCEEDED,
+    ]
+
+
+def test_after_a_busy_for_a_cancelled_attempt_the_next_busy_proves_nothing():
+    sender = AttemptSender(Idempotency.NOT_IDEMPOTENT)
+    sender.instance.server_pools.PIPELINE_FROM = 1
+    sender.send()
+    server_connection = link(sender.instance)
+    sender.send()
+    sender.instance.server_pools.cancel(server_connection.in_flight[0])
+    assert sender.outcomes_after(server_connection, BUSY + BUSY) == [Outcome.CANCELLED]
+
+
+def test_an_attempt_that_must_be_sent_soon_is_not_pipelined():
+    # A long value, or a server that stopped reading, would delay it together with the attempts before it.
+    sender = AttemptSender(Idempotency.KEYED)
+    sender.instance.server_pools.PIPELINE_FROM = 1
+    sender.send()
+    server_connection = link(sender.instance)
+    far, near = sender.instance.now() + 4 * S, sender.instance.now() + S
+    sender.send(send_by=far)
+    assert len(server_connection.in_flight) == 2  # the time is long enough: it is sent by then, or given up
+    urgent_attempt = sender.send(send_by=near)
+    waiting_attempts = sender.instance.server_pools.pools["n0"].waiting
+    assert len(server_connection.in_flight) == 2 and [
+        in_flight.attempt for in_flight in waiting_attempts
+    ] == [urgent_attempt]
+    advance_ms(sender.instance, 1001)
+    assert sender.outcomes[-1] == (urgent_attempt, Outcome.NOT_SENT)
+
+
+def test_a_miss_without_a_value_proves_nothing_if_servers_read_through():
+    miss_answer = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
+    for cache_aside, outcome in ((False, Outcome.ERROR), (True, Outcome.CACHE_MISS)):
+        sender = AttemptSender(Idempotency.NOT_IDEMPOTENT)
+        sender.instance.server_pools.cache_aside = cache_aside
+        sender.send()
+        assert sender.outcomes_after(link(sender.instance), miss_answer) == [outcome]
 
 
 @pytest.mark.parametrize(
@@ -236,32 +246,32 @@
         (b"noise\r\n", Outcome.ERROR),
     ],
 )
-def test_each_row_of_the_protocols_table(answer, outcome):
-    # Only a -BUSY, or an incomplete sending, proves that it was not executed (PROTOCOL, the nodes' table).
-    of = Attempts(Idempotency.NOT_IDEMPOTENT)
-    of.go()
-    assert of.said(link(of.made), answer) == [outcome]
+def test_the_outcome_of_each_answer_in_the_protocols_table(answer, outcome):
+    # Only -BUSY or an incomplete send proves that the attempt was not executed (PROTOCOL, the nodes' table).
+    sender = AttemptSender(Idempotency.NOT_IDEMPOTENT)
+    sender.send()
+    assert sender.outcomes_after(link(sender.instance), answer) == [outcome]
     assert (outcome in retry_policy.NEVER_EXECUTED) is (
         answer.startswith(b"-BUSY") and answer != b"-BUSYING\r\n"
     )
 
 
-def test_an_attempt_that_was_never_sent_is_told_from_one_that_was():
-    for written_first in (False, True):
-        of = Attempts(Idempotency.NOT_IDEMPOTENT)
-        out = of.go()
-        if written_first:
-            lost(link(of.made))
+def test_an_attempt_that_was_never_sent_is_distinguished_from_one_that_was():
+    for sent_first in (False, True):
+        sender = AttemptSender(Idempotency.NOT_IDEMPOTENT)
+        attempt = sender.send()
+        if sent_first:
+            lose_connection(link(sender.instance))
         else:
-            pass_by(of.made, 1001)
-        ((of_whom, outcome),) = of.ends
-        assert of_whom is out and (outcome in retry_policy.NEVER_EXECUTED) is not written_first
+            advance_ms(sender.instance, 1001)
+        ((ended_attempt, outcome),) = sender.outcomes
+        assert ended_attempt is attempt and (outcome in retry_policy.NEVER_EXECUTED) is not sent_first
 
 
 # SIGHUP.
 
 
-@pytest.mark.parametrize("before, now, held", [
+@pytest.mark.parametrize("previous, current, effective", [
     (("pure", "all", 0), ("side_effect", "all", 0), (Idempotency.NOT_IDEMPOTENT, "all", 0)),
     (("pure", "all", 0), ("token", "zone", 400), (Idempotency.KEYED, "zone", 400 * MS)),
     (("token", "all", 900), ("token", "cell", 400), (Idempotency.KEYED, "cell", 400 * MS)),
@@ -269,22 +279,25 @@
     (("token", "all", 900), ("pure", "all", 0), (Idempotency.KEYED, "all", 900 * MS)),
     (("side_effect", "all", 0), ("pure", "all", 0), (Idempotency.NOT_IDEMPOTENT, "all", 0)),
 ])  # fmt: skip
-def test_of_two_meanings_the_stricter_holds_for_requests_in_flight_at_sighup(before, now, held):
-    made = proxy(3, run=once(before[1], before[2], before[0]))
-    asking = client(made)
-    asking.dataReceived(put())
-    (request,) = made.request_handler.active
-    made.reload(once(now[1], now[2], now[0]))
+def test_the_stricter_of_two_semantics_applies_to_requests_in_flight_at_sighup(previous, current, effective):
+    instance = proxy(3, run=one_class(previous[1], previous[2], previous[0]))
+    client_connection = client(instance)
+    client_connection.dataReceived(set_command())
+    (request,) = instance.request_handler.active
+    instance.reload(one_class(current[1], current[2], current[0]))
     assert (
         request.request_class.idempotency,
         request.request_class.dedup_group.value,
         request.request_class.dedup_window,
-    ) == held
-    asking.dataReceived(put(b"2"))
-    fresh = next(one for one in made.request_handler.active if one is not request)
+    ) == effective
+    client_connection.dataReceived(set_command(b"2"))
+    new_request = next(active for active in instance.request_handler.active if active is not request)
     semantics = {
         "pure": Idempotency.IDEMPOTENT,
         "token": Idempotency.KEYED,
         "side_effect": Idempotency.NOT_IDEMPOTENT,
-    }[now[0]]
-    assert (fresh.request_class.idempotency, fresh.request_class.dedup_window) == (semantics, now[2] * MS)
+    }[current[0]]
+    assert (new_request.request_class.idempotency, new_request.request_class.dedup_window) == (
+        semantics,
+        current[2] * MS,
+    )
--- a/tests/test_slot_order.py
+++ b/tests/test_slot_order.py
@@ -1,4 +1,4 @@
-"""Processes that restart amid a release take the slot order from those that have kept it."""
+"""Tests of processes that restart during a release, and take over the slot order of the others."""
 
 from helpers import S, deliver_gossip, make_balancer, make_fleet, make_request, make_servers
 
@@ -14,43 +14,54 @@
 
 
 def release(balancers, first, count, now):
-    """So many servers leave, new ones come, as each process's list says it."""
-    for one in balancers:
-        old = [one.servers[f"n{i:02}"] for i in range(first, first + count)]
-        one.update_endpoints([relisted(server, ServerState.DRAINING) for server in old], False, now)
-        new = [Server(f"m{i:02}", started_at=now) for i in range(first, first + count)]
-        one.update_endpoints(new, False, now)
-
-
-def restart(one, count, me):
-    """The same process after a restart: it knows the list and nothing else."""
+    """Replace `count` servers by new ones in the endpoint list of each balancer."""
+    for balancer in balancers:
+        old_servers = [balancer.servers[f"n{i:02}"] for i in range(first, first + count)]
+        balancer.update_endpoints(
+            [relisted(server, ServerState.DRAINING) for server in old_servers], False, now
+        )
+        new_servers = [Server(f"m{i:02}", started_at=now) for i in range(first, first + count)]
+        balancer.update_endpoints(new_servers, False, now)
+
+
+def restart(balancer, count, number):
+    """Return the balancer of a process after a restart, which knows only the endpoint list."""
     listed = [
-        Server(n.name, started_at=n.started_at) for n in one.servers.values() if n.state == ServerState.READY
+        Server(server.name, started_at=server.started_at)
+        for server in balancer.servers.values()
+        if server.state == ServerState.READY
     ]
-    return make_balancer(listed, process_count=count, gossip=True, own_number=me, now=9 * S)
+    return make_balancer(listed, process_count=count, gossip=True, own_number=number, now=9 * S)
 
 
 def slot_orders(balancers):
-    return [tuple(server.name for server in one.placement.slots) for one in balancers]
+    return [tuple(server.name for server in balancer.placement.slots) for balancer in balancers]
 
 
-def restart_amid_a_release(count):
+def restart_during_a_release(count):
     balancers = make_fleet(count, 20)
     release(balancers, 3, 6, S)
-    dead = count * 7 // 10
-    return [restart(one, count, me) if me < dead else one for me, one in enumerate(balancers)]
+    restarted_count = count * 7 // 10
+    return [
+        restart(balancer, count, number) if number < restarted_count else balancer
+        for number, balancer in enumerate(balancers)
+    ]
 
 
-def order_datagrams(kept, asker=1):
-    """The datagrams that answer a request for the order."""
-    kept.receive_gossip(b"?" + asker.to_bytes(2, "big"), 9 * S)
-    return [r.datagram for r in kept.next_wakeup(9 * S).due if isinstance(r, SendGossip) and r.peer == asker]
+def order_datagrams(settled, requester=1):
+    """Return the datagrams with which a balancer replies to a request for the slot order."""
+    settled.receive_gossip(b"?" + requester.to_bytes(2, "big"), 9 * S)
+    return [
+        action.datagram
+        for action in settled.next_wakeup(9 * S).due
+        if isinstance(action, SendGossip) and action.peer == requester
+    ]
 
 
-def test_processes_that_restart_together_adopt_the_order_that_the_others_kept():
-    balancers = restart_amid_a_release(40)
+def test_processes_that_restart_together_adopt_the_order_of_the_others():
+    balancers = restart_during_a_release(40)
     assert len(set(slot_orders(balancers))) == 2
-    for step in range(4):  # the peers asked may have started just now too
+    for step in range(4):  # requested peers may have just started too
         deliver_gossip(balancers, 9 * S + step * REQUEST_INTERVAL_US)
         deliver_gossip(balancers, 9 * S + step * REQUEST_INTERVAL_US + 1)
     assert len(set(slot_orders(balancers))) == 1
@@ -58,60 +69,71 @@
 
 def test_requests_for_the_order_do_not_grow_with_the_fleet():
     for count in (40, 200):
-        balancers, messages = restart_amid_a_release(count), 0
+        balancers, messages = restart_during_a_release(count), 0
         for step in range(40):
             messages += deliver_gossip(balancers, 9 * S + step * REQUEST_INTERVAL_US)[0]
         rounds = SETTLING_US // REQUEST_INTERVAL_US
-        # Requests and answers, and then no more.
+        # At most all requests and replies of the settling time; none are sent afterwards.
         assert 0 < messages <= count * 2 * slot_order.FANOUT * rounds
 
 
 def test_processes_that_all_start_together_keep_their_own_orders():
     balancers = [
-        make_balancer(make_servers(5), process_count=40, gossip=True, own_number=me) for me in range(40)
+        make_balancer(make_servers(5), process_count=40, gossip=True, own_number=number)
+        for number in range(40)
     ]
-    before = slot_orders(balancers)
+    orders_before = slot_orders(balancers)
     for step in range(40):
         deliver_gossip(balancers, step * REQUEST_INTERVAL_US)
-    assert slot_orders(balancers) == before and all(one.slot_order.next_at is None for one in balancers)
+    assert slot_orders(balancers) == orders_before and all(
+        balancer.slot_order.next_at is None for balancer in balancers
+    )
 
 
-def test_a_long_order_comes_in_parts_in_any_sequence():
-    kept = make_fleet(2, 200)[0]
+def test_a_long_order_is_sent_in_parts_that_may_arrive_in_any_order():
+    settled = make_fleet(2, 200)[0]
     starting = make_balancer(make_servers(200)[::-1], process_count=2, gossip=True, own_number=1, now=9 * S)
-    kept.placement.slots.reverse()
-    parts = order_datagrams(kept)
+    settled.placement.slots.reverse()
+    parts = order_datagrams(settled)
     assert len(parts) == 3 and all(len(part) <= 256 and len(part) % OUTCOME_BYTES for part in parts)
     for part in (parts[2], parts[0], parts[0]):
         starting.receive_gossip(part, 9 * S)
-    assert slot_orders([starting]) != slot_orders([kept])
+    assert slot_orders([starting]) != slot_orders([settled])
     starting.receive_gossip(parts[1], 9 * S)
-    assert slot_orders([starting]) == slot_orders([kept])
+    assert slot_orders([starting]) == slot_orders([settled])
 
 
 def test_datagrams_that_are_no_order_change_nothing():
-    kept, starting = (
+    settled, starting = (
         make_fleet(2, 9)[0],
         make_balancer(make_servers(9), process_count=2, gossip=True, own_number=1, now=9 * S),
     )
-    kept.placement.slots.reverse()
-    (whole,) = order_datagrams(kept)
-    before = slot_orders([starting])
-    longer = whole[:5] + b"\xff\xff" + whole[7:]
-    for datagram in (b"?", b"=", b"=" * 9, whole[:-3], longer, b"x" + whole[1:], b"??x"):
+    settled.placement.slots.reverse()
+    (order_datagram,) = order_datagrams(settled)
+    orders_before = slot_orders([starting])
+    wrong_count = order_datagram[:5] + b"\xff\xff" + order_datagram[7:]
+    for datagram in (
+        b"?",
+        b"=",
+        b"=" * 9,
+        order_datagram[:-3],
+        wrong_count,
+        b"x" + order_datagram[1:],
+        b"??x",
+    ):
         starting.receive_gossip(datagram, 9 * S)
-        kept.receive_gossip(datagram, 9 * S)
-    assert slot_orders([starting]) == before
-    kept.receive_gossip(whole, 9 * S)  # one that has run for long stays with its own
-    assert slot_orders([kept]) != before
-    starting.receive_gossip(whole, 9 * S)
-    assert slot_orders([starting]) == slot_orders([kept])
+        settled.receive_gossip(datagram, 9 * S)
+    assert slot_orders([starting]) == orders_before
+    settled.receive_gossip(order_datagram, 9 * S)  # a process past its settling time keeps its own order
+    assert slot_orders([settled]) != orders_before
+    starting.receive_gossip(order_datagram, 9 * S)
+    assert slot_orders([starting]) == slot_orders([settled])
 
 
-def test_the_slot_of_an_unlisted_server_is_kept_and_sent_nothing():
-    kept = make_fleet(2, 6)[0]
+def test_the_slot_of_an_unlisted_server_is_reserved_and_sent_nothing():
+    settled = make_fleet(2, 6)[0]
     starting = make_balancer(make_servers(6)[:4], process_count=2, gossip=True, own_number=1, now=9 * S)
-    for datagram in order_datagrams(kept):
+    for datagram in order_datagrams(settled):
         starting.receive_gossip(datagram, 9 * S)
     assert len(starting.placement.slots) == 6
     for key in range(50):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Servers that have just started take a growing part of their requests."""
+"""Tests of slow start: servers that have just started get a growing part of their requests."""
 
 from collections import Counter
 
@@ -22,20 +22,20 @@
         initial_fraction=0.1,
         warm_up_time=100 * S,
     )
-    # All are warming up.
+    # Here all servers are warming up.
     assert sum(isinstance(balancer.route(make_request(key=key), 2), Send) for key in range(400)) < 80
 
 
-def test_a_warming_server_takes_nothing_that_its_keys_other_replicas_cannot():
-    # Guards the fourth rule: full or gone, the others' part came on top of the warming one's own.
+def test_a_warming_server_does_not_take_requests_that_other_replicas_cannot():
+    # Otherwise the part of full or lost replicas would be added to that of the warming server.
     balancer = make_balancer(make_servers(6), initial_fraction=0.5, warm_up_time=20 * S, overload_factor=2.0)
     cold, other = balancer.placement.replicas(7, 2)
     cold.started_at, other.admitted_share = 2 * S, 0.0
     picks = Counter(balancer.select_server(make_ranked_request(2 * S), 2 * S) for _ in range(200))
-    assert 60 < picks[cold] < 140  # its own turns
+    assert 60 < picks[cold] < 140  # only the requests for which it is the preferred replica
     cold.started_at = 0
     assert {balancer.select_server(make_ranked_request(2 * S), 2 * S) for _ in range(50)} == {cold}
-    # As much as it is said to bear.
+    # With a greater overload factor, the warming server takes the other replica's requests too.
     balancer = make_balancer(make_servers(6), initial_fraction=0.5, warm_up_time=20 * S, overload_factor=4.0)
     cold, other = balancer.placement.replicas(7, 2)
     cold.started_at, other.admitted_share = 2 * S, 0.0
@@ -52,7 +52,7 @@
 
 
 def test_a_warming_server_under_load_takes_less():
-    # Guards the fourth rule where all that is asked is more than the fleet can do.
+    # Guards a warming server while the fleet's total traffic exceeds its capacity.
     balancer = make_balancer(
         make_weighted_servers(*[4.0] * 6), live_weights=True, initial_fraction=0.5, warm_up_time=20 * S
     )
@@ -61,6 +61,6 @@
     assert balancer.slow_start.warm_fraction(server, 1) == 0.5
     server.load, server.load_reported_at = 5.0, S
     assert balancer.slow_start.warm_fraction(server, S) < 0.15
-    assert balancer.slow_start.warm_fraction(server, S + LOAD_MAX_AGE_US) > 0.5  # forgotten
+    assert balancer.slow_start.warm_fraction(server, S + LOAD_MAX_AGE_US) > 0.5  # the load is too old
     server.started_at = 0
-    assert balancer.slow_start.warm_fraction(server, S) == 1  # a warm one is not cold for being loaded
+    assert balancer.slow_start.warm_fraction(server, S) == 1  # load does not affect a warm server
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""What part of a tenant's traffic its quota covers."""
+"""Tests of the part of a tenant's traffic that its quota covers."""
 
 from helpers import S
 
@@ -13,7 +13,7 @@
     assert quotas.covered_fraction(tenant, S) == 1
 
 
-def test_the_tenant_beyond_its_quota_is_covered_in_part_and_the_others_in_full():
+def test_a_tenant_above_its_quota_is_covered_in_part_and_the_others_in_full():
     tenants = [Tenant("a", 10.0), Tenant("b", 10.0), Tenant("greedy", 10.0)]
     quotas = TenantQuotas(tenants, 1)
     for turn in range(60):
@@ -24,9 +24,9 @@
 
 
 def test_only_the_recent_requests_count():
-    old, new = Tenant("old", 10.0), Tenant("new", 10.0)
-    quotas = TenantQuotas([old, new], 1)
-    quotas.record_request(old, 0)
+    former_tenant, current_tenant = Tenant("old", 10.0), Tenant("new", 10.0)
+    quotas = TenantQuotas([former_tenant, current_tenant], 1)
+    quotas.record_request(former_tenant, 0)
     for turn in range(RECENT_REQUESTS):
-        quotas.record_request(new, turn)
-    assert (old.recent_requests, new.recent_requests) == (0, RECENT_REQUESTS)
+        quotas.record_request(current_tenant, turn)
+    assert (former_tenant.recent_requests, current_tenant.recent_requests) == (0, RECENT_REQUESTS)
