--- a/ivystack/balancing/concurrency_limit.py
+++ b/ivystack/balancing/concurrency_limit.py
@@ -12,15 +12,16 @@
 from .server_load import NO_QUEUE_LOAD, load_is_recent
 
 INITIAL_LIMIT = 12.0  # attempts; lets requests of the lowest priority use a server that is not overloaded
-MIN_LIMIT, MAX_LIMIT = 0.05, 64.0  # attempts; the minimum allows one attempt in two seconds
+MIN_LIMIT, MAX_LIMIT = 0.05, 64.0  # attempts; the minimum lets one through in two seconds, to detect recovery
 MIN_LIMIT_FRACTION = 0.1  # fraction of a limit that the lowest priority may use
-MIN_SHARE = 0.02  # of the requests is always sent, so that the recovery of a server is detected
+MIN_SHARE = 0.02  # this share is always sent, so that the recovery of a server is detected
 # With a limit below one, attempts are sent at intervals of this part of the latency objective over the limit.
 PACING_FRACTION = 0.125
 DEFAULT_PACING_US = 1e5  # used if the caller passes no pacing for the request class
 SMALL_LIMIT_GROWTH = 0.1  # of the limit per answer, times the consecutive answers on time
 FAST_GROWTH = 4  # attempts per limit's worth of answers while both shares are 1; otherwise 1 attempt
-LATER_SUCCESS_DECREASE = 0.25  # attempts; a lost connection or long work was late, not a queue
+# Attempts; small, because the timeout indicates a lost connection or long-running work, not a queue.
+LATER_SUCCESS_DECREASE = 0.25
 LIMIT_FACTOR = 0.25  # factor on the limit after an attempt that timed out
 SHARE_FACTOR = 0.35  # factor on a server's share after a timeout, if its outcomes are rare
 RECENT_SHARE_FACTOR = 0.8  # the same if the server has a recent outcome
--- a/ivystack/balancing/connection_budget.py
+++ b/ivystack/balancing/connection_budget.py
@@ -12,8 +12,9 @@
 from ..model import CloseIdleConnections, Server
 
 LARGE_FLEET = 16  # processes; a fleet up to this size lets the servers close idle connections
-REJECTED_FACTOR, ACCEPTED_FACTOR = 0.8, 1.005  # of the idle time; an equilibrium at one rejected in forty
-# After a rejection, no new connection to the server is opened for this time, in which others are closed.
+REJECTED_FACTOR, ACCEPTED_FACTOR = 0.8, 1.005  # on the idle time; in equilibrium one in forty is rejected
+# After a rejection, no new connection to the server is opened for this time.  Its connection table has free
+# entries again by then.
 REJECTION_PAUSE_US = 500_000
 MIN_IDLE_TIME_US = REJECTION_PAUSE_US // 8
 
--- a/ivystack/balancing/load_shedding.py
+++ b/ivystack/balancing/load_shedding.py
@@ -19,7 +19,8 @@
 MISS_PRIORITY_FACTOR = 0.2  # a likely cache miss loads the origin, and stays in flight during the fetch
 MIN_PRIORITY = 1e-9  # above zero, so that classes of weight 0 are still ordered by chance and tie-break
 TIE_BREAK = 0.01  # greatest random addition, as a part of the priority; orders equal requests at random
-# With a lower probability of an answer in time, hardly any request is sent; twenty answers can show it.
+# With a lower probability of an answer in time, hardly any request is sent.  Such an estimate needs at least
+# twenty answers.
 HOPELESS_CHANCE = 0.05
 
 
@@ -27,7 +28,8 @@
     """Return the estimated probability that a request of the class is answered within `time_left`.
 
     The estimate is the part of the class's last answers that took at most `time_left` microseconds.  Requests
-    that can't be answered in time still load the servers, which work on after a client has disconnected.
+    with hardly a chance are held back, because servers would work on them even after the client has
+    disconnected.
     """
     times = request_class.success_times
     if time_left >= max(times, default=0):  # the usual case, much faster than comparing each time
--- a/ivystack/balancing/outcomes.py
+++ b/ivystack/balancing/outcomes.py
@@ -181,7 +181,7 @@
         if not self.load.enabled:
             self._record_overload(attempt, self.outliers.is_healthy(server.health), has_recent_outcome, now)
             return
-        # Where loads are reported, a rejection only describes the server's state at that time, and tells
+        # Where loads are reported, a rejection only describes the server's state at that time, and says
         # nothing about other servers.  A warming server's share is lowered more, because rejected requests
         # also count towards its collapse.
         is_warming = self.slow_start.warm_fraction(server, now) < 1
--- a/ivystack/balancing/outlier_detection.py
+++ b/ivystack/balancing/outlier_detection.py
@@ -69,5 +69,5 @@
 
 
 def later_attempt_succeeded(attempt: Attempt) -> bool:
-    """Return whether the server has answered a later attempt, so that it is not late in general."""
+    """Return whether the server has answered an attempt sent later, so that it is not late in general."""
     return attempt.sent_at < attempt.server.latest_success_sent_at
--- a/ivystack/balancing/slot_order.py
+++ b/ivystack/balancing/slot_order.py
@@ -18,7 +18,9 @@
 )
 
 REQUEST_INTERVAL_US = 500_000  # datagrams may be lost, and requested peers may have just started too
-SETTLING_US = 8_000_000  # endpoint lists agree by then; a process sends requests until then, replies after
+# Endpoint lists agree by this time after a start.  A process requests the order until then, and replies to
+# requests only afterwards.
+SETTLING_US = 8_000_000
 FANOUT = 6  # peers per request; one of them has run for longer unless nearly all just started
 MAX_REPLIES = 256  # datagrams queued to be sent
 
--- a/ivystack/balancing/tenant_quotas.py
+++ b/ivystack/balancing/tenant_quotas.py
@@ -11,7 +11,9 @@
 from ..model import Tenant
 
 RECENT_REQUESTS = 200  # about one second of traffic of a busy process
-PRIOR_REQUESTS = 8  # assumed in addition, in proportion to the quotas; the first dozens show little
+# Requests assumed in addition to the recent ones, in proportion to the quotas, because the first dozens of
+# requests show little about the tenants' rates.
+PRIOR_REQUESTS = 8
 
 
 class TenantQuotas:
--- a/ivystack/model.py
+++ b/ivystack/model.py
@@ -11,7 +11,7 @@
 from math import inf
 
 LONG_AGO = -1_000_000_000  # microseconds; earlier than any clock reading
-MAX_RESPONSE_TIMES = 64  # samples per request class
+MAX_TIME_SAMPLES = 64  # samples per request class
 
 
 class Idempotency(enum.Enum):
@@ -61,9 +61,9 @@
     """The recent failures of a server, or of one request class at a server."""
 
     consecutive_failures: int = 0
-    connection_failed: bool = False  # one of the failures was a lost or refused connection
+    connection_failed: bool = False  # one of the failures was a connection that could not be established
     next_probe_at: int = 0  # an ejected server gets no probe before this time
-    probes: int = 0  # probes sent since the ejection
+    probes: int = 0  # probe pauses started since the ejection
     skipped_requests: int = 0  # requests withheld because of the ejection since the last probe
 
 
@@ -87,7 +87,7 @@
     class_failures: dict[RequestClass, FailureState] = field(default_factory=dict)
     latest_success_sent_at: int = 0  # send time of the latest attempt that was answered
     last_outcome_at: int = LONG_AGO
-    consecutive_on_time: int = 0  # answers
+    consecutive_on_time: int = 0  # answers on time since the last overload
     last_was_slow: bool = False  # the last answer was slow, relative to its latency objective
     limit_lowered_at: int = 0
     connection_rejected_at: int = LONG_AGO  # when it last rejected a new connection
@@ -95,7 +95,7 @@
     response_times: tuple[int, ...] = ()  # of the last answers; kept for origin servers only
     load: float = 0.0  # requests in flight per core, as last reported
     load_reported_at: int = LONG_AGO
-    admitted_share: float = 1.0  # of its requests that are sent, highest priority first
+    admitted_share: float = 1.0  # the share of its requests that is sent, highest priority first
 
 
 @dataclass(eq=False, slots=True)
@@ -109,8 +109,8 @@
     dedup_group: DedupGroup = DedupGroup.ALL  # for keyed classes
     dedup_window: int = 0  # for keyed classes
     late_priority_weight: float = 0.0  # weight of an answer after the latency objective
-    attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_RESPONSE_TIMES))
-    success_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_RESPONSE_TIMES))
+    attempt_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_TIME_SAMPLES))
+    success_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_TIME_SAMPLES))
 
 
 @dataclass(eq=False, slots=True)
--- a/ivystack/net/hot_restart_state.py
+++ b/ivystack/net/hot_restart_state.py
@@ -11,7 +11,7 @@
 
 from ..balancing.balancer import Balancer
 from ..balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT, MIN_SHARE
-from ..model import MAX_RESPONSE_TIMES, FailureState, RequestClass, Server, ServerState
+from ..model import MAX_TIME_SAMPLES, FailureState, RequestClass, Server, ServerState
 
 VERSION = 1  # of the records; a process that is told another one starts without
 MAX_PROBE_DELAY = 10_000_000  # microseconds: longer than any pause between probes
@@ -76,7 +76,7 @@
         _import_server(record, server, request_classes, now)
     for name, times in state.attempt_times.items():
         if name in request_classes:
-            samples = [time for time in times[-MAX_RESPONSE_TIMES:] if time >= 0]
+            samples = [time for time in times[-MAX_TIME_SAMPLES:] if time >= 0]
             request_classes[name].attempt_times.extend(samples)
     balancer.limiter.common_share = min(1.0, max(MIN_SHARE, state.common_share))
     _import_slots(state.slots, balancer, now)
