--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -53,223 +53,223 @@
 
 
 def test_only_the_wait_is_rewritten():
-    args = [b"OBJ.SET", b"7f", b"1", b"c=pay,d=480,k=d=9,size=3", b"value"]
-    told = b"".join(RequestFrame(args, (8, 11)).encode(12))
-    assert told == encode_command(*args[:3], args[3].replace(b"480", b"12"), args[4])
+    arguments = [b"OBJ.SET", b"7f", b"1", b"c=pay,d=480,k=d=9,size=3", b"value"]
+    encoded = b"".join(RequestFrame(arguments, (8, 11)).encode(12))
+    assert encoded == encode_command(*arguments[:3], arguments[3].replace(b"480", b"12"), arguments[4])
 
 
 def test_a_req_is_answered_with_the_value_as_it_came():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    made.reactor.advance(0.01)
-    node = open_server_connection(made)
-    assert node.transport.take_output() == encode_get(fields=b"c=read,t=t,d=490")
-    node.dataReceived(encode_hit(b"a\r\n\0"))
-    assert asking.transport.take_output() == b"$4\r\na\r\n\0\r\n"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    proxy.reactor.advance(0.01)
+    connection = open_server_connection(proxy)
+    assert connection.transport.take_output() == encode_get(fields=b"c=read,t=t,d=490")
+    connection.dataReceived(encode_hit(b"a\r\n\0"))
+    assert client.transport.take_output() == b"$4\r\na\r\n\0\r\n"
     assert (
-        not made.request_handler.requests
-        and not made.request_handler.in_flight
-        and not made.request_handler.active
+        not proxy.request_handler.requests
+        and not proxy.request_handler.in_flight
+        and not proxy.request_handler.active
     )
-    asking.dataReceived(encode_get(b"2"))  # the connection is used again
-    assert len(made.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in node.transport.take_output()
+    client.dataReceived(encode_get(b"2"))  # the connection is used again
+    assert len(proxy.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in connection.transport.take_output()
 
 
 def test_answers_go_out_in_the_order_of_the_commands():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(b"1") + encode_get(b"2") + encode_command(b"PING"))
-    first, second = open_server_connection(made, 0), open_server_connection(made, 1)
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(b"1") + encode_get(b"2") + encode_command(b"PING"))
+    first, second = open_server_connection(proxy, 0), open_server_connection(proxy, 1)
     second.dataReceived(encode_hit(b"second"))
-    assert asking.transport.take_output() == b""
+    assert client.transport.take_output() == b""
     first.dataReceived(encode_hit(b"first"))
-    assert asking.transport.take_output() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
+    assert client.transport.take_output() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
 
 
 def test_ready_only_with_a_node_to_send_to():
-    made = make_proxy(0)
-    asking = connect_client(made)
-    asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.take_output().startswith(b"-ERR")
-    made.endpoints.update(make_entries(1), True)
-    asking.dataReceived(
+    proxy = make_proxy(0)
+    client = connect_client(proxy)
+    client.dataReceived(encode_command(b"PING"))
+    assert client.transport.take_output().startswith(b"-ERR")
+    proxy.endpoints.update(make_entries(1), True)
+    client.dataReceived(
         encode_command(b"PING") + encode_command(b"HELLO", b"3") + encode_command(b"SELECT", b"0")
     )
-    assert asking.transport.take_output() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
+    assert client.transport.take_output() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
 
 
 def test_strange_bytes_end_their_connection_after_what_is_owed():
     # Guards against losing the req before them, and against reading on in what is no command.
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get() + b"GET / HTTP/1.1\r\n\r\n" + encode_get(b"2"))
-    assert asking.transport.take_output() == b"" and len(made.request_handler.requests) == 1
-    open_server_connection(made).dataReceived(encode_hit())
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get() + b"GET / HTTP/1.1\r\n\r\n" + encode_get(b"2"))
+    assert client.transport.take_output() == b"" and len(proxy.request_handler.requests) == 1
+    open_server_connection(proxy).dataReceived(encode_hit())
     assert (
-        asking.transport.take_output() == b"$1\r\nv\r\n-ERR no array\r\n" and asking.transport.disconnecting
+        client.transport.take_output() == b"$1\r\nv\r\n-ERR no array\r\n" and client.transport.disconnecting
     )
 
 
 def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
-    made = make_proxy()
-    asking = connect_client(made)
+    proxy = make_proxy()
+    client = connect_client(proxy)
     for text in (
         encode_get(fields=b"c=none,d=5"),
         encode_get(fields=b"c=read"),
         encode_command(b"OBJ.GET", b"1"),
     ):
-        asking.dataReceived(text)
-        assert asking.transport.take_output().startswith(b"-ERR ")
-    assert not asking.transport.disconnecting and not made.request_handler.requests
+        client.dataReceived(text)
+        assert client.transport.take_output().startswith(b"-ERR ")
+    assert not client.transport.disconnecting and not proxy.request_handler.requests
 
 
 def test_a_client_with_many_open_commands_is_not_read_on():
     # Guards the memory against a client that asks faster than it can be answered.
-    made = make_proxy(4)
-    asking = connect_client(made)
-    asking.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(asking.MAX_PENDING + 5)))
-    assert asking.transport.producerState == "paused" and asking.commands_received == asking.MAX_PENDING
+    proxy = make_proxy(4)
+    client = connect_client(proxy)
+    client.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(client.MAX_PENDING + 5)))
+    assert client.transport.producerState == "paused" and client.commands_received == client.MAX_PENDING
 
 
 def test_values_in_hand_are_bounded():
     # Guards the memory: hundreds of clients may each have some values of 64 KiB open.
-    made = make_proxy()
-    made.client_server.value_bytes = made.client_server.max_value_bytes + 1
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    assert asking.transport.take_output() == b"-BUSY\r\n"
-    made.client_server.value_bytes = 0
-    asking.dataReceived(encode_get())
-    assert made.client_server.value_bytes > 0
-    open_server_connection(made).dataReceived(encode_hit())
-    assert made.client_server.value_bytes == 0
+    proxy = make_proxy()
+    proxy.client_server.value_bytes = proxy.client_server.max_value_bytes + 1
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    assert client.transport.take_output() == b"-BUSY\r\n"
+    proxy.client_server.value_bytes = 0
+    client.dataReceived(encode_get())
+    assert proxy.client_server.value_bytes > 0
+    open_server_connection(proxy).dataReceived(encode_hit())
+    assert proxy.client_server.value_bytes == 0
 
 
 def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    node = open_server_connection(made)
-    node.dataReceived(b"?\r\n" + encode_hit())
-    assert node.transport.disconnected and asking.transport.take_output() == b""
-    node.connectionLost(Failure(ConnectionDone()))
-    made.reactor.pump([0.02] * 10)
-    assert asking.transport.take_output() == b"-BUSY\r\n"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    connection.dataReceived(b"?\r\n" + encode_hit())
+    assert connection.transport.disconnected and client.transport.take_output() == b""
+    connection.connectionLost(Failure(ConnectionDone()))
+    proxy.reactor.pump([0.02] * 10)
+    assert client.transport.take_output() == b"-BUSY\r\n"
 
 
 def test_without_a_descriptor_no_node_is_blamed():
-    made = make_proxy()
+    proxy = make_proxy()
     outcomes = []
-    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
-    connect_client(made).dataReceived(encode_get())
-    made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
+    proxy.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
+    connect_client(proxy).dataReceived(encode_get())
+    proxy.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectBindError()))
     assert outcomes == [Outcome.OVERLOADED]
 
 
 def test_a_client_that_does_not_read_is_cut_off():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_command(b"PING"))
-    asking.pauseProducing()  # as the transport does when it can't pass on more
-    made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
-    assert asking.transport.disconnected and asking.code == "slow-reader"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_command(b"PING"))
+    client.pauseProducing()  # as the transport does when it can't pass on more
+    proxy.reactor.advance(client.WRITE_TIMEOUT / S + 1)
+    assert client.transport.disconnected and client.code == "slow-reader"
 
 
 def test_a_client_that_reads_again_is_read_again():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.pauseProducing()
-    asking.resumeProducing()
-    made.reactor.advance(asking.WRITE_TIMEOUT / S + 1)
-    asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.take_output() == b"+PONG\r\n" and not asking.transport.disconnected
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.pauseProducing()
+    client.resumeProducing()
+    proxy.reactor.advance(client.WRITE_TIMEOUT / S + 1)
+    client.dataReceived(encode_command(b"PING"))
+    assert client.transport.take_output() == b"+PONG\r\n" and not client.transport.disconnected
 
 
 def test_a_client_that_went_away_ends_its_reqs():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
-    node = open_server_connection(made, 0)
-    asking.connectionLost(Failure(ConnectionDone()))
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(b"1") + encode_get(b"2"))
+    connection = open_server_connection(proxy, 0)
+    client.connectionLost(Failure(ConnectionDone()))
     assert (
-        not made.request_handler.requests
-        and not made.request_handler.in_flight
-        and node.transport.disconnected
+        not proxy.request_handler.requests
+        and not proxy.request_handler.in_flight
+        and connection.transport.disconnected
     )
 
 
 def test_with_no_room_the_client_idle_longest_makes_way():
-    made = make_proxy()
-    made.client_server.max_connections = 2
-    first, second = connect_client(made), connect_client(made)
+    proxy = make_proxy()
+    proxy.client_server.max_connections = 2
+    first, second = connect_client(proxy), connect_client(proxy)
     first.dataReceived(encode_get(b"1"))
     second.dataReceived(encode_get(b"2") + encode_command(b"PING"))
     for number in (0, 1):
-        open_server_connection(made, number).dataReceived(encode_hit())
-    connect_client(made)
+        open_server_connection(proxy, number).dataReceived(encode_hit())
+    connect_client(proxy)
     assert first.transport.disconnecting and not second.transport.disconnecting
 
 
 def test_one_that_said_nothing_whole_makes_way_before_usual_clients():
     # Guards usual clients against hundreds that connect and say nothing, or half a command.
-    made = make_proxy()
-    made.client_server.max_connections = 3
-    usual, silent, half = connect_client(made), connect_client(made), connect_client(made)
+    proxy = make_proxy()
+    proxy.client_server.max_connections = 3
+    usual, silent, half = connect_client(proxy), connect_client(proxy), connect_client(proxy)
     usual.dataReceived(encode_get())
-    open_server_connection(made).dataReceived(encode_hit())
+    open_server_connection(proxy).dataReceived(encode_hit())
     half.dataReceived(encode_get()[:-2])
-    made.reactor.advance(made.client_server.MIN_SILENCE / S)
-    connect_client(made), connect_client(made)
+    proxy.reactor.advance(proxy.client_server.MIN_SILENCE / S)
+    connect_client(proxy), connect_client(proxy)
     assert silent.transport.disconnecting and half.transport.disconnecting
     assert usual.commands_received == 1 and not usual.transport.disconnecting
 
 
 def test_one_that_sends_slowly_makes_way_after_silent_ones():
     # Guards usual clients that need seconds for a command: they came before the silent ones.
-    made = make_proxy()
-    made.client_server.max_connections = 3
-    slow = connect_client(made)
-    made.reactor.advance(1)
-    silent, half = connect_client(made), connect_client(made)
+    proxy = make_proxy()
+    proxy.client_server.max_connections = 3
+    slow = connect_client(proxy)
+    proxy.reactor.advance(1)
+    silent, half = connect_client(proxy), connect_client(proxy)
     half.dataReceived(b"*")
-    made.reactor.advance(made.client_server.MIN_SILENCE / S)
+    proxy.reactor.advance(proxy.client_server.MIN_SILENCE / S)
     for at in range(0, 50, 10):
         slow.dataReceived(encode_get()[at : at + 10])
-    connect_client(made), connect_client(made)
+    connect_client(proxy), connect_client(proxy)
     assert silent.transport.disconnecting and half.transport.disconnecting
     slow.dataReceived(encode_get()[50:])
-    open_server_connection(made).dataReceived(encode_hit())
+    open_server_connection(proxy).dataReceived(encode_hit())
     assert slow.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
-    made = make_proxy(4, streams_per_conn=1, may_duplicate=True)
-    made.client_server.max_connections = 96
-    idle = [connect_client(made) for _ in range(12)]
+    proxy = make_proxy(4, streams_per_conn=1, may_duplicate=True)
+    proxy.client_server.max_connections = 96
+    idle = [connect_client(proxy) for _ in range(12)]
     for one in idle:
         one.dataReceived(encode_command(b"PING"))
-    made.reactor.advance(made.client_server.SHORT_IDLE_TIMEOUT / S)
+    proxy.reactor.advance(proxy.client_server.SHORT_IDLE_TIMEOUT / S)
     assert not any(one.transport.disconnecting for one in idle)
     for _ in range(40):
-        one = connect_client(made)
+        one = connect_client(proxy)
         one.dataReceived(b"*4")
         one.pending.add()
-        made.client_server.unused_connections.pop(one, None)
-    last = connect_client(made)
+        proxy.client_server.unused_connections.pop(one, None)
+    last = connect_client(proxy)
     last.dataReceived(encode_command(b"PING"))
     assert sum(one.code == "idle" for one in idle) >= 10
 
 
 def test_silent_and_half_said_clients_are_closed_and_usual_ones_stay():
     # Guards the descriptors: such clients would hold them for good.
-    made = make_proxy()
-    silent, half, later, usual = (connect_client(made) for _ in range(4))
+    proxy = make_proxy()
+    silent, half, later, usual = (connect_client(proxy) for _ in range(4))
     half.dataReceived(encode_get()[:-3])
     for one in (later, usual):
         one.dataReceived(encode_command(b"PING"))
     later.dataReceived(b"*2")
-    made.reactor.advance(made.client_server.buildProtocol(None).COMMAND_TIMEOUT / S)
+    proxy.reactor.advance(proxy.client_server.buildProtocol(None).COMMAND_TIMEOUT / S)
     assert (
         silent.transport.take_output() == b"" and silent.code == "silent" and silent.transport.disconnecting
     )
@@ -277,198 +277,202 @@
         assert (
             one.transport.take_output().endswith(b"-ERR half a command\r\n") and one.transport.disconnecting
         )
-    made.reactor.advance(60)
+    proxy.reactor.advance(60)
     assert not usual.transport.disconnecting
 
 
 def test_no_id_and_an_id_in_use_get_an_error_and_no_value():
     # Guards against answering one client's req with what was made for another's.
-    made = make_proxy()
-    asking, other = connect_client(made), connect_client(made)
-    asking.dataReceived(encode_get(b"1"))
-    for ident, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
-        other.dataReceived(encode_get(ident, key))
+    proxy = make_proxy()
+    client, other = connect_client(proxy), connect_client(proxy)
+    client.dataReceived(encode_get(b"1"))
+    for request_id, key in ((b"", b"7f"), (b"1", b"7f"), (b"2", b"")):
+        other.dataReceived(encode_get(request_id, key))
         assert other.transport.take_output().startswith(b"-ERR ")
-    open_server_connection(made).dataReceived(encode_hit())
+    open_server_connection(proxy).dataReceived(encode_hit())
     assert (
-        asking.transport.take_output() == b"$1\r\nv\r\n"
+        client.transport.take_output() == b"$1\r\nv\r\n"
         and other.transport.take_output() == b""
-        and not made.client_server.request_ids
+        and not proxy.client_server.request_ids
     )
 
 
 def test_an_answer_out_of_time_is_given_up_with_its_connection():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    node = open_server_connection(made)
-    made.reactor.advance(0.6)
-    assert asking.transport.take_output() == b"-BUSY\r\n" and node.transport.disconnected
-    node.connectionLost(Failure(ConnectionDone()))
-    assert not made.server_pools.connections
-    assert node.end_code(Failure(ConnectionDone()), "node") == "out-of-time"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    proxy.reactor.advance(0.6)
+    assert client.transport.take_output() == b"-BUSY\r\n" and connection.transport.disconnected
+    connection.connectionLost(Failure(ConnectionDone()))
+    assert not proxy.server_pools.connections
+    assert connection.end_code(Failure(ConnectionDone()), "node") == "out-of-time"
 
 
 def test_a_connection_that_breaks_means_it_may_have_run():
-    made = make_proxy(3)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
-    open_server_connection(made).connectionLost(Failure(ConnectionLost()))
+    proxy = make_proxy(3)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
+    open_server_connection(proxy).connectionLost(Failure(ConnectionLost()))
     assert (
-        asking.transport.take_output() == b"-ERR failed\r\n"
+        client.transport.take_output() == b"-ERR failed\r\n"
     )  # never again, and no word that it is harmless
 
 
 def test_a_refused_connection_means_it_never_ran():
-    made = make_proxy(3)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
-    made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert len(made.reactor.tcpClients) == 2  # it goes to another node
+    proxy = make_proxy(3)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
+    proxy.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+    assert len(proxy.reactor.tcpClients) == 2  # it goes to another node
 
 
 def test_a_connection_that_does_not_come_up_in_time_is_refused():
-    made = make_proxy()
+    proxy = make_proxy()
     ended = []
-    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
-    connect_client(made).dataReceived(encode_get())
-    made.reactor.advance(0.3)
+    proxy.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
+    connect_client(proxy).dataReceived(encode_get())
+    proxy.reactor.advance(0.3)
     assert ended == [Outcome.CONNECTION_REFUSED]
 
 
 def test_an_end_is_told_once_whatever_comes_after():
-    made = make_proxy()
+    proxy = make_proxy()
     ended = []
-    connect_client(made).dataReceived(encode_get())
-    node = open_server_connection(made)
-    attempt = node.in_flight[0]
-    made.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
-    made.server_pools.cancel(attempt)
-    made.server_pools.cancel(attempt)
-    node.connectionLost(Failure(ConnectionDone()))
+    connect_client(proxy).dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    attempt = connection.in_flight[0]
+    proxy.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
+    proxy.server_pools.cancel(attempt)
+    proxy.server_pools.cancel(attempt)
+    connection.connectionLost(Failure(ConnectionDone()))
     assert ended == [Outcome.CANCELLED]
 
 
 def test_a_second_copys_answer_calls_off_the_first():
-    made = make_proxy(2, may_duplicate=True, streams_per_conn=100)
-    made.settings.request_classes["read"].attempt_times.extend([1000] * 8)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
-    slow = open_server_connection(made)
-    made.reactor.advance(0.6)
-    quick = open_server_connection(made)
+    proxy = make_proxy(2, may_duplicate=True, streams_per_conn=100)
+    proxy.settings.request_classes["read"].attempt_times.extend([1000] * 8)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(fields=b"c=read,d=900"))
+    slow = open_server_connection(proxy)
+    proxy.reactor.advance(0.6)
+    quick = open_server_connection(proxy)
     assert quick is not slow and quick.in_flight
     quick.dataReceived(encode_hit())
-    assert asking.transport.take_output() == b"$1\r\nv\r\n" and not made.request_handler.in_flight
+    assert client.transport.take_output() == b"$1\r\nv\r\n" and not proxy.request_handler.in_flight
     slow.dataReceived(encode_hit(b"late"))  # nobody waits for it, and its connection is good again
-    assert asking.transport.take_output() == b"" and slow in made.server_pools.idle_connections
+    assert client.transport.take_output() == b"" and slow in proxy.server_pools.idle_connections
 
 
 def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
     # Guards against keeping connections to a hung node, which answers nothing.
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    node = open_server_connection(made)
-    made.reactor.advance(0.6)
-    assert asking.transport.take_output() == b"-BUSY\r\n" and not node.transport.disconnected
-    asking.dataReceived(encode_get(b"2"))
-    assert b"$1\r\n2\r\n" not in node.transport.take_output()
-    made.reactor.advance(made.server_pools.ABANDONED_TIMEOUT / S)
-    assert node.transport.disconnected and node.code == "out-of-time"
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    proxy.reactor.advance(0.6)
+    assert client.transport.take_output() == b"-BUSY\r\n" and not connection.transport.disconnected
+    client.dataReceived(encode_get(b"2"))
+    assert b"$1\r\n2\r\n" not in connection.transport.take_output()
+    proxy.reactor.advance(proxy.server_pools.ABANDONED_TIMEOUT / S)
+    assert connection.transport.disconnected and connection.code == "out-of-time"
 
 
 def test_nothing_that_waits_goes_to_a_node_that_drains():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    made.endpoints.update(make_entries(1, "DRAINING"), False)
-    node = open_server_connection(made)
-    assert node.transport.take_output() == b"" and node.transport.disconnecting
-    made.reactor.advance(0.5)
-    assert asking.transport.take_output() == b"-BUSY\r\n"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    proxy.endpoints.update(make_entries(1, "DRAINING"), False)
+    connection = open_server_connection(proxy)
+    assert connection.transport.take_output() == b"" and connection.transport.disconnecting
+    proxy.reactor.advance(0.5)
+    assert client.transport.take_output() == b"-BUSY\r\n"
 
 
 def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    node = open_server_connection(made)
-    made.endpoints.update(make_entries(1, "DRAINING"), False)
-    assert not node.transport.disconnecting
-    node.dataReceived(encode_hit())
-    assert asking.transport.take_output() == b"$1\r\nv\r\n" and node.code == "unlisted"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    proxy.endpoints.update(make_entries(1, "DRAINING"), False)
+    assert not connection.transport.disconnecting
+    connection.dataReceived(encode_hit())
+    assert client.transport.take_output() == b"$1\r\nv\r\n" and connection.code == "unlisted"
 
 
 def test_idle_connections_are_closed_before_the_node_does():
-    made = make_proxy()
-    connect_client(made).dataReceived(encode_get())
-    node = open_server_connection(made)
-    node.dataReceived(encode_hit())
-    made.reactor.advance(8.1)
-    assert node.transport.disconnecting and node.code == "idle" and not made.server_pools.pools["n0"].idle
+    proxy = make_proxy()
+    connect_client(proxy).dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    connection.dataReceived(encode_hit())
+    proxy.reactor.advance(8.1)
+    assert (
+        connection.transport.disconnecting
+        and connection.code == "idle"
+        and not proxy.server_pools.pools["n0"].idle
+    )
 
 
 def test_with_all_connections_taken_the_one_idle_longest_makes_way():
-    made = make_proxy(2)
-    pools = made.server_pools
+    proxy = make_proxy(2)
+    pools = proxy.server_pools
     pools.max_connections = 1
-    asking = connect_client(made)
+    client = connect_client(proxy)
     for key in range(40):  # until both nodes have been met
-        asking.dataReceived(encode_get(key=b"%x" % key))
+        client.dataReceived(encode_get(key=b"%x" % key))
         if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
-        if made.reactor.tcpClients and not pools.idle_connections:
-            node = (
-                open_server_connection(made)
+        if proxy.reactor.tcpClients and not pools.idle_connections:
+            connection = (
+                open_server_connection(proxy)
                 if not pools.connections[0].is_connected
                 else pools.connections[0]
             )
-            node.dataReceived(encode_hit())
-    made.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
-    assert len(made.reactor.tcpClients) == 2
+            connection.dataReceived(encode_hit())
+    proxy.server_pools.connections[0].connectionLost(Failure(ConnectionDone()))
+    assert len(proxy.reactor.tcpClients) == 2
 
 
 def test_an_entry_that_cannot_be_used_does_not_hide_the_others():
-    made = make_proxy(0)
+    proxy = make_proxy(0)
     strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
-    made.endpoints.update([*strange, *make_entries(1), *make_entries(2, "NEW-WORD")[1:]], True)
-    assert {name: node.state for name, node in made.balancer.servers.items()} == {
+    proxy.endpoints.update([*strange, *make_entries(1), *make_entries(2, "NEW-WORD")[1:]], True)
+    assert {name: server.state for name, server in proxy.balancer.servers.items()} == {
         "n0": ServerState.READY,
         "n1": ServerState.DRAINING,
     }
 
 
 def test_failing_decisions_end_their_req_as_a_failure_and_the_proxy_goes_on():
-    made = make_proxy()
-    asking = connect_client(made)
-    whole = made.balancer.route
-    made.balancer.route = None
-    asking.dataReceived(encode_get())
-    assert asking.transport.take_output() == b"-ERR failed\r\n"
-    made.balancer.route = whole
-    made.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
-    asking.dataReceived(encode_get(b"2"))
-    made.reactor.pump([0.05] * 12)
-    assert asking.transport.take_output() != b"" and not made.request_handler.requests
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    whole = proxy.balancer.route
+    proxy.balancer.route = None
+    client.dataReceived(encode_get())
+    assert client.transport.take_output() == b"-ERR failed\r\n"
+    proxy.balancer.route = whole
+    proxy.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
+    client.dataReceived(encode_get(b"2"))
+    proxy.reactor.pump([0.05] * 12)
+    assert client.transport.take_output() != b"" and not proxy.request_handler.requests
 
 
 def test_after_sigterm_all_that_is_held_is_finished():
-    made = make_proxy()
-    made.endpoint_watch.request_watch = lambda: None
-    made.start()
-    idle, asking = connect_client(made), connect_client(made)
-    made.terminate()
-    asking.dataReceived(encode_get(fields=b"c=read,d=900"))
-    node = open_server_connection(made)
-    made.reactor.pump([0.02] * 30)
-    assert idle.transport.disconnecting and not asking.transport.disconnecting
-    node.dataReceived(encode_hit())
-    assert asking.transport.take_output() == b"$1\r\nv\r\n" and asking.transport.disconnecting
-    for one in (idle, asking):
+    proxy = make_proxy()
+    proxy.endpoint_watch.request_watch = lambda: None
+    proxy.start()
+    idle, client = connect_client(proxy), connect_client(proxy)
+    proxy.terminate()
+    client.dataReceived(encode_get(fields=b"c=read,d=900"))
+    connection = open_server_connection(proxy)
+    proxy.reactor.pump([0.02] * 30)
+    assert idle.transport.disconnecting and not client.transport.disconnecting
+    connection.dataReceived(encode_hit())
+    assert client.transport.take_output() == b"$1\r\nv\r\n" and client.transport.disconnecting
+    for one in (idle, client):
         one.connectionLost(Failure(ConnectionDone()))
-    made.reactor.advance(0.02)
-    assert made.reactor.hasStopped and node.code == "stopping"
+    proxy.reactor.advance(0.02)
+    assert proxy.reactor.hasStopped and connection.code == "stopping"
 
 
 def test_slots_are_used_again_lowest_first():
@@ -480,120 +484,120 @@
 
 
 def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
-    made = make_proxy()
-    reactor, seen = made.reactor, []
-    deadlines = DeadlineQueue(reactor, made.now)
+    proxy = make_proxy()
+    reactor, seen = proxy.reactor, []
+    deadlines = DeadlineQueue(reactor, proxy.now)
     for after in (3, 1, 2):
-        deadlines.call_at(made.now() + after * S, seen.append, after)
-    deadlines.call_at(made.now() + S, seen.append, "dropped").cancel()
-    deadlines.call_at(made.now() + S, lambda: 1 / 0)
+        deadlines.call_at(proxy.now() + after * S, seen.append, after)
+    deadlines.call_at(proxy.now() + S, seen.append, "dropped").cancel()
+    deadlines.call_at(proxy.now() + S, lambda: 1 / 0)
     reactor.pump([0.5] * 7)
     assert seen == [1, 2, 3]
 
 
 def test_dropped_deadlines_do_not_pile_up():
-    made = make_proxy()
+    proxy = make_proxy()
     seen = []
-    deadlines = DeadlineQueue(made.reactor, made.now)
-    kept = deadlines.call_at(made.now() + 2 * S, seen.append, 1)
+    deadlines = DeadlineQueue(proxy.reactor, proxy.now)
+    kept = deadlines.call_at(proxy.now() + 2 * S, seen.append, 1)
     for _ in range(5 * deadlines.MAX_CANCELLED):
-        deadlines.call_at(made.now() + 60 * S, seen.append, 2).cancel()
+        deadlines.call_at(proxy.now() + 60 * S, seen.append, 2).cancel()
     assert len(deadlines.heap) < 2 * deadlines.MAX_CANCELLED + 2
-    made.reactor.pump([1.5, 1])
+    proxy.reactor.pump([1.5, 1])
     assert seen == [1]
     kept.cancel()  # one that is over counts no more
-    made.reactor.advance(60)
+    proxy.reactor.advance(60)
     assert deadlines.cancelled == len(deadlines.heap) == 0
 
 
 def test_a_silent_watch_is_begun_anew():
-    made = make_proxy()
+    proxy = make_proxy()
     calls = []
-    made.endpoint_watch.request_watch = lambda: calls.append(made.now())
-    made.endpoint_watch.note_activity()
-    made.reactor.advance(4.9)
+    proxy.endpoint_watch.request_watch = lambda: calls.append(proxy.now())
+    proxy.endpoint_watch.note_activity()
+    proxy.reactor.advance(4.9)
     assert not calls
-    made.reactor.pump([0.2, 1])
+    proxy.reactor.pump([0.2, 1])
     assert len(calls) == 1
 
 
 def test_lines_of_the_watch_are_news_and_bad_ones_begin_it_anew():
-    made = make_proxy(0)
+    proxy = make_proxy(0)
     calls = []
-    made.endpoint_watch.request_watch = lambda: calls.append(made.endpoint_watch.generation)
-    made.endpoint_watch.line_received(b'{"generation":7,"reset":true,"instances":[]}')
-    made.endpoint_watch.line_received(b"")
-    assert made.endpoint_watch.generation == 7 and not calls
-    made.endpoint_watch.line_received(b'{"generation":')
-    made.reactor.advance(1)
+    proxy.endpoint_watch.request_watch = lambda: calls.append(proxy.endpoint_watch.generation)
+    proxy.endpoint_watch.line_received(b'{"generation":7,"reset":true,"instances":[]}')
+    proxy.endpoint_watch.line_received(b"")
+    assert proxy.endpoint_watch.generation == 7 and not calls
+    proxy.endpoint_watch.line_received(b'{"generation":')
+    proxy.reactor.advance(1)
     assert calls == [7]
 
 
 def test_words_of_strangers_and_wrong_words_do_nothing():
-    made = make_proxy(peers=True)
+    proxy = make_proxy(peers=True)
     heard = []
-    made.gossip.peers, made.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
-    made.gossip.on_datagram = heard.append
-    made.gossip.datagramReceived(b"x", ("127.0.0.4", 9))
-    made.gossip.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
+    proxy.gossip.peers, proxy.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
+    proxy.gossip.on_datagram = heard.append
+    proxy.gossip.datagramReceived(b"x", ("127.0.0.4", 9))
+    proxy.gossip.datagramReceived(b"x" * 257, ("127.0.0.3", 9))
     assert not heard
-    made.request_handler.receive_gossip(b"\xff" * 7)
-    made.balancer.receive_gossip = None
-    made.request_handler.receive_gossip(b"")
+    proxy.request_handler.receive_gossip(b"\xff" * 7)
+    proxy.balancer.receive_gossip = None
+    proxy.request_handler.receive_gossip(b"")
 
 
 def test_a_satisfied_req_earns_the_decisions_their_outcome():
-    made = make_proxy()
+    proxy = make_proxy()
     seen = []
-    whole = made.balancer.record_outcome
-    made.balancer.record_outcome = lambda sent, outcome, *more: seen.append(outcome) or whole(
-        sent, outcome, *more
+    whole = proxy.balancer.record_outcome
+    proxy.balancer.record_outcome = lambda attempt, outcome, *more: seen.append(outcome) or whole(
+        attempt, outcome, *more
     )
-    connect_client(made).dataReceived(encode_get())
-    open_server_connection(made).dataReceived(encode_hit())
+    connect_client(proxy).dataReceived(encode_get())
+    open_server_connection(proxy).dataReceived(encode_hit())
     assert seen == [Outcome.SUCCEEDED]
 
 
 def test_a_connection_that_says_nothing_more_condemns_the_idle_ones():
     # Guards against a machine that was cut off: it resets the connections it no longer knows when it is back.
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
-    silent, quick = open_server_connection(made, 0), open_server_connection(made, 1)
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(b"1") + encode_get(b"2"))
+    silent, quick = open_server_connection(proxy, 0), open_server_connection(proxy, 1)
     quick.dataReceived(encode_hit())
-    made.reactor.pump([0.6, made.server_pools.ABANDONED_TIMEOUT / S])
+    proxy.reactor.pump([0.6, proxy.server_pools.ABANDONED_TIMEOUT / S])
     assert silent.transport.disconnected and quick.code == "suspect"
 
 
-def crowd(made):
+def crowd(proxy):
     """Five reqs of one key, on two connections to the one node, and the client."""
-    made.server_pools.PIPELINE_FROM = 2
-    asking = connect_client(made)
-    asking.dataReceived(encode_get(b"1") + encode_get(b"2"))
-    links = [open_server_connection(made, 0), open_server_connection(made, 1)]
-    for ident in (b"3", b"4", b"5"):
-        asking.dataReceived(encode_get(ident))
-    return asking, links
+    proxy.server_pools.PIPELINE_FROM = 2
+    client = connect_client(proxy)
+    client.dataReceived(encode_get(b"1") + encode_get(b"2"))
+    connections = [open_server_connection(proxy, 0), open_server_connection(proxy, 1)]
+    for request_id in (b"3", b"4", b"5"):
+        client.dataReceived(encode_get(request_id))
+    return client, connections
 
 
 def test_with_a_few_connections_up_attempts_go_behind_others():
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking, links = crowd(made)
-    assert len(made.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in links) == [2, 3]
-    for one in links:
-        for ident in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.take_output()):
-            one.dataReceived(encode_hit(ident))
-    assert not made.request_handler.requests and asking.transport.take_output() == b"".join(
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client, connections = crowd(proxy)
+    assert len(proxy.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in connections) == [2, 3]
+    for one in connections:
+        for request_id in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.take_output()):
+            one.dataReceived(encode_hit(request_id))
+    assert not proxy.request_handler.requests and client.transport.take_output() == b"".join(
         encode_bulk(b"%d" % i) for i in range(1, 6)
     )
 
 
 def test_a_break_ends_all_that_is_on_the_connection():
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking, links = crowd(made)
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client, connections = crowd(proxy)
     outcomes = []
-    made.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
-    links[0].connectionLost(Failure(ConnectionLost()))
+    proxy.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
+    connections[0].connectionLost(Failure(ConnectionLost()))
     assert outcomes == [
         Outcome.CONNECTION_LOST,
         Outcome.CANCELLED,
@@ -603,19 +607,19 @@
 
 def test_nothing_goes_behind_an_attempt_that_was_given_up():
     # Guards against feeding a connection whose first answer may never come.
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking, links = crowd(made)
-    for one in links:
-        made.server_pools.cancel(one.in_flight[0])
-    asking.dataReceived(encode_get(b"6"))
-    assert len(made.reactor.tcpClients) == 3
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client, connections = crowd(proxy)
+    for one in connections:
+        proxy.server_pools.cancel(one.in_flight[0])
+    client.dataReceived(encode_get(b"6"))
+    assert len(proxy.reactor.tcpClients) == 3
 
 
-def outcomes_of(made):
+def outcomes_of(proxy):
     """What the decisions are told from now on."""
-    outcomes, whole = [], made.balancer.record_outcome
-    made.balancer.record_outcome = lambda sent, outcome, *more: outcomes.append(outcome) or whole(
-        sent, outcome, *more
+    outcomes, whole = [], proxy.balancer.record_outcome
+    proxy.balancer.record_outcome = lambda attempt, outcome, *more: outcomes.append(outcome) or whole(
+        attempt, outcome, *more
     )
     return outcomes
 
@@ -623,135 +627,136 @@
 def test_a_spoilt_answer_is_one_failure_and_its_connection_is_dropped():
     # Guards against serving what no node made, and against taking the node for gone, and back cold.
     for text in (b":5\r\n", b"*1\r\n$1\r\nv\r\n", b"*3\r\n*3\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n"):
-        made = make_proxy(may_duplicate=True, streams_per_conn=100)
-        asking, links = crowd(made)
-        outcomes = outcomes_of(made)
-        links[0].dataReceived(text)
+        proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+        client, connections = crowd(proxy)
+        outcomes = outcomes_of(proxy)
+        connections[0].dataReceived(text)
         assert (
             outcomes[:3] == [Outcome.ERROR, Outcome.CANCELLED, Outcome.CANCELLED]
-            and links[0].transport.disconnected
+            and connections[0].transport.disconnected
         )
-        assert asking.transport.take_output() == b"" and [
-            one.consecutive_failures for one in made.balancer.servers["n0"].class_failures.values()
+        assert client.transport.take_output() == b"" and [
+            one.consecutive_failures for one in proxy.balancer.servers["n0"].class_failures.values()
         ] == [1]
 
 
 def test_a_bad_load_report_does_not_spoil_the_value():
     for report in (b"?\r\n", b"$5000\r\n", b"*1\r\n$1\r\n{\r\n"):
-        made = make_proxy()
-        asking = connect_client(made)
-        asking.dataReceived(encode_get())
-        open_server_connection(made).dataReceived(encode_hit()[:-5] + report)
-        assert asking.transport.take_output() == b"$1\r\nv\r\n"
+        proxy = make_proxy()
+        client = connect_client(proxy)
+        client.dataReceived(encode_get())
+        open_server_connection(proxy).dataReceived(encode_hit()[:-5] + report)
+        assert client.transport.take_output() == b"$1\r\nv\r\n"
 
 
 def test_what_comes_too_much_never_answers_the_next_req():
     # Guards against a second copy or noise behind an answer: the next req went out before it was read.
     for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
-        made = make_proxy()
-        asking = connect_client(made)
-        asking.dataReceived(encode_get(b"1"))
-        node = open_server_connection(made)
-        connect_client(made).dataReceived(encode_get(b"2"))
-        node.dataReceived(encode_hit() + more)
-        assert asking.transport.take_output() == b"$1\r\nv\r\n" and node.transport.disconnected
-        assert b"$1\r\n2\r\n" not in node.transport.take_output()
+        proxy = make_proxy()
+        client = connect_client(proxy)
+        client.dataReceived(encode_get(b"1"))
+        connection = open_server_connection(proxy)
+        connect_client(proxy).dataReceived(encode_get(b"2"))
+        connection.dataReceived(encode_hit() + more)
+        assert client.transport.take_output() == b"$1\r\nv\r\n" and connection.transport.disconnected
+        assert b"$1\r\n2\r\n" not in connection.transport.take_output()
 
 
 def test_a_copy_that_crosses_the_next_attempt_is_not_its_answer():
-    made = make_proxy(may_duplicate=True, streams_per_conn=100)
-    asking, links = crowd(made)
-    outcomes = outcomes_of(made)
-    links[0].dataReceived(encode_hit(b"one"))
-    links[0].dataReceived(encode_hit(b"one"))
-    assert outcomes[:2] == [Outcome.SUCCEEDED, Outcome.ERROR] and links[0].transport.disconnected
+    proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
+    client, connections = crowd(proxy)
+    outcomes = outcomes_of(proxy)
+    connections[0].dataReceived(encode_hit(b"one"))
+    connections[0].dataReceived(encode_hit(b"one"))
+    assert outcomes[:2] == [Outcome.SUCCEEDED, Outcome.ERROR] and connections[0].transport.disconnected
 
 
 def test_a_req_that_a_node_cannot_use_is_sent_to_no_other():
     # Guards against holding a client's fault against one node after the other.
-    made = make_proxy(3)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    open_server_connection(made).dataReceived(b"-ERR bad request\r\n")
-    assert asking.transport.take_output() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == 1
+    proxy = make_proxy(3)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    open_server_connection(proxy).dataReceived(b"-ERR bad request\r\n")
+    assert client.transport.take_output() == b"-ERR failed\r\n" and len(proxy.reactor.tcpClients) == 1
     assert not any(
-        node.health.consecutive_failures or node.class_failures for node in made.balancer.servers.values()
+        server.health.consecutive_failures or server.class_failures
+        for server in proxy.balancer.servers.values()
     )
 
 
 def test_what_is_known_of_a_node_goes_with_it():
     # Guards the memory: a fleet that is replaced all day has ever new ids.
-    made = make_proxy(2)
-    connect_client(made).dataReceived(encode_get())
-    busy = open_server_connection(made)
+    proxy = make_proxy(2)
+    connect_client(proxy).dataReceived(encode_get())
+    busy = open_server_connection(proxy)
     for number in range(50):
-        made.endpoints.update(make_entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
-        made.endpoints.update(make_entries(1, "DELETED", instanceId=f"x{number}"), False)
-    made.endpoints.update(make_entries(2, "DRAINING"), False)
-    made.endpoints.update(make_entries(2, "DELETED"), False)
-    assert [*made.balancer.servers] == [*made.server_pools.pools] == [busy.pool.name]  # its attempt is out
+        proxy.endpoints.update(make_entries(1, "DRAINING", instanceId=f"x{number}", weight=1.0), False)
+        proxy.endpoints.update(make_entries(1, "DELETED", instanceId=f"x{number}"), False)
+    proxy.endpoints.update(make_entries(2, "DRAINING"), False)
+    proxy.endpoints.update(make_entries(2, "DELETED"), False)
+    assert [*proxy.balancer.servers] == [*proxy.server_pools.pools] == [busy.pool.name]  # its attempt is out
     busy.dataReceived(encode_hit())
     busy.connectionLost(Failure(ConnectionDone()))
-    made.endpoints.update([], False)
-    assert not made.balancer.servers and not made.server_pools.pools
+    proxy.endpoints.update([], False)
+    assert not proxy.balancer.servers and not proxy.server_pools.pools
 
 
 def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
     # Guards against taking a node out because connections kept for long end under the next attempt.
-    made = make_proxy()
-    asking, outcomes = connect_client(made), outcomes_of(made)
-    asking.dataReceived(encode_get(b"1"))
-    open_server_connection(made).dataReceived(encode_hit())
-    asking.dataReceived(encode_get(b"2"))
-    made.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
-    asking.dataReceived(encode_get(b"3"))
-    open_server_connection(made).connectionLost(Failure(ConnectionLost()))
+    proxy = make_proxy()
+    client, outcomes = connect_client(proxy), outcomes_of(proxy)
+    client.dataReceived(encode_get(b"1"))
+    open_server_connection(proxy).dataReceived(encode_hit())
+    client.dataReceived(encode_get(b"2"))
+    proxy.server_pools.connections[0].connectionLost(Failure(ConnectionLost()))
+    client.dataReceived(encode_get(b"3"))
+    open_server_connection(proxy).connectionLost(Failure(ConnectionLost()))
     assert (
         outcomes[:3] == [Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.CONNECTION_LOST]
-        and made.balancer.servers["n0"].health.consecutive_failures == 1
+        and proxy.balancer.servers["n0"].health.consecutive_failures == 1
     )
 
 
 def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
-    made = make_proxy()
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    node = open_server_connection(made)
-    node.dataReceived(encode_hit(b"v" * 400_000))
-    assert len(asking.transport.take_output()) > 400_000
-    asking.dataReceived(encode_get(b"2"))
-    node.dataReceived(b"*3\r\n$900000000\r\n")
-    assert node.code == "strange: too long"
+    proxy = make_proxy()
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    connection = open_server_connection(proxy)
+    connection.dataReceived(encode_hit(b"v" * 400_000))
+    assert len(client.transport.take_output()) > 400_000
+    client.dataReceived(encode_get(b"2"))
+    connection.dataReceived(b"*3\r\n$900000000\r\n")
+    assert connection.code == "strange: too long"
 
 
 def test_idle_clients_beyond_a_part_are_closed_the_longest_idle_first():
     # Guards usual clients against those that ask once and keep their connection for good.
-    made = make_proxy()
-    made.client_server.max_connections = 2 * made.client_server.IDLE_DIVISOR
-    asking = []
+    proxy = make_proxy()
+    proxy.client_server.max_connections = 2 * proxy.client_server.IDLE_DIVISOR
+    clients = []
     for number in range(5):
-        made.reactor.advance(1)
-        asking.append(connect_client(made))
-        asking[-1].dataReceived(encode_get(b"%d" % number))
-        for one in [*made.server_pools.connections.values()] or [open_server_connection(made)]:
+        proxy.reactor.advance(1)
+        clients.append(connect_client(proxy))
+        clients[-1].dataReceived(encode_get(b"%d" % number))
+        for one in [*proxy.server_pools.connections.values()] or [open_server_connection(proxy)]:
             if one.in_flight:
                 one.dataReceived(encode_hit())
-    assert [one.code for one in asking] == ["idle", "idle", None, None, None]
+    assert [one.code for one in clients] == ["idle", "idle", None, None, None]
 
 
 REPORTS = {"how": "answers", "columns": ["active", "waiting"]}
 
 
 def test_a_nodes_load_report_reaches_the_pick():
-    made = make_proxy(2, REPORTS)
-    asking = connect_client(made)
-    asking.dataReceived(encode_get())
-    loaded = next(node for node in made.balancer.servers.values() if node.in_flight)
-    open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
+    proxy = make_proxy(2, REPORTS)
+    client = connect_client(proxy)
+    client.dataReceived(encode_get())
+    loaded = next(server for server in proxy.balancer.servers.values() if server.in_flight)
+    open_server_connection(proxy).dataReceived(encode_hit(report=b'{"active":50,"new":1}'))
     assert loaded.load == 50
-    now = made.now()
+    now = proxy.now()
     picks = [
-        made.balancer.select_server(Request(made.settings.request_classes["read"], now, now + S, 7), now)
+        proxy.balancer.select_server(Request(proxy.settings.request_classes["read"], now, now + S, 7), now)
         for _ in range(100)
     ]
     assert picks.count(loaded) < 20
@@ -760,52 +765,52 @@
 def test_a_load_report_that_cannot_be_read_spoils_nothing():
     strange = b'{ [3] 5 {"active":-1} {"active":1e999} {"active":"x"}'.split()
     for report in (*strange, b"", b"9" * 70_000):
-        made = make_proxy(1, REPORTS)
-        asking = connect_client(made)
-        asking.dataReceived(encode_get())
-        open_server_connection(made).dataReceived(encode_hit(report=report))
-        assert asking.transport.take_output() == b"$1\r\nv\r\n"
-        assert made.balancer.servers["n0"].load == 0 and not made.request_handler.requests
-    made = make_proxy(1)  # nor is one read that the settings do not name
-    connect_client(made).dataReceived(encode_get())
-    open_server_connection(made).dataReceived(encode_hit(report=b'{"active":50}'))
-    assert made.balancer.servers["n0"].load == 0
+        proxy = make_proxy(1, REPORTS)
+        client = connect_client(proxy)
+        client.dataReceived(encode_get())
+        open_server_connection(proxy).dataReceived(encode_hit(report=report))
+        assert client.transport.take_output() == b"$1\r\nv\r\n"
+        assert proxy.balancer.servers["n0"].load == 0 and not proxy.request_handler.requests
+    proxy = make_proxy(1)  # nor is one read that the settings do not name
+    connect_client(proxy).dataReceived(encode_get())
+    open_server_connection(proxy).dataReceived(encode_hit(report=b'{"active":50}'))
+    assert proxy.balancer.servers["n0"].load == 0
 
 
 def test_one_req_a_connection_where_the_settings_say_so_and_room_for_all():
     # Guards against a quick answer that waits behind a slow one, and against a bound below what is out there.
-    made = make_proxy(1, streams_per_conn=1, may_duplicate=True)
-    made.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
-    asking = connect_client(made)
-    asking.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(10)))
-    links = [open_server_connection(made, i) for i in range(len(made.reactor.tcpClients))]
-    assert len(links) == 10
-    assert all(one.transport.take_output().count(b"OBJ.GET") == 1 for one in links)
+    proxy = make_proxy(1, streams_per_conn=1, may_duplicate=True)
+    proxy.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
+    client = connect_client(proxy)
+    client.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(10)))
+    connections = [open_server_connection(proxy, i) for i in range(len(proxy.reactor.tcpClients))]
+    assert len(connections) == 10
+    assert all(one.transport.take_output().count(b"OBJ.GET") == 1 for one in connections)
 
 
 def test_calls_for_the_list_are_spaced_where_it_is_asked_for():
     # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
-    made = make_proxy()
+    proxy = make_proxy()
     waits = []
-    made.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - made.now())
+    proxy.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - proxy.now())
     for mode in ("push", "ask"):
         settings = InstanceConfiguration(1, {"discovery": mode, "rules": {"ask_within": 10 * S * 1000}})
-        made.settings.apply(settings)
-        made.endpoint_watch.backoff.failures = 0
-        made.endpoint_watch.connection_broke("watch-ended")
+        proxy.settings.apply(settings)
+        proxy.endpoint_watch.backoff.failures = 0
+        proxy.endpoint_watch.connection_broke("watch-ended")
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
 
 
 def test_a_nodes_word_that_it_had_the_value_reaches_the_decisions():
-    for word, told in ((b"hit", True), (b"miss", False)):
-        made = make_proxy()
-        seen, after = [], made.balancer.record_outcome
-        made.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
+    for lookup_result, cache_hit in ((b"hit", True), (b"miss", False)):
+        proxy = make_proxy()
+        seen, after = [], proxy.balancer.record_outcome
+        proxy.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
             values[-1]
         ) or after(*values)
-        asked = connect_client(made)
-        asked.dataReceived(encode_get())
-        open_server_connection(made).dataReceived(
-            b"*3\r\n" + encode_bulk(b"v") + encode_bulk(word) + b"$-1\r\n"
+        client = connect_client(proxy)
+        client.dataReceived(encode_get())
+        open_server_connection(proxy).dataReceived(
+            b"*3\r\n" + encode_bulk(b"v") + encode_bulk(lookup_result) + b"$-1\r\n"
         )
-        assert seen == [told]
+        assert seen == [cache_hit]
