--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,3 +1,5 @@
+"""The proxy with clients, servers and discovery on in-memory transports."""
+
 import re
 
 from helpers import (
@@ -21,44 +23,46 @@
 
 
 class Reader(RespProtocol):
+    """Collects the values that arrive and the errors of malformed input."""
+
     def __init__(self):
         super().__init__()
-        self.values, self.faults = [], []
-        self.value_received, self.fail_protocol = self.values.append, self.faults.append
+        self.values, self.errors = [], []
+        self.value_received, self.fail_protocol = self.values.append, self.errors.append
 
 
-def read(text, piece):
+def read_in_pieces(data, piece_size):
     reader = Reader()
-    for at in range(0, len(text), piece):
-        reader.dataReceived(text[at : at + piece])
+    for start in range(0, len(data), piece_size):
+        reader.dataReceived(data[start : start + piece_size])
     return reader
 
 
-def test_values_are_read_however_they_are_cut():
-    text = b"+PONG\r\n" + encode_hit(b"a\r\nb") + b"$-1\r\n*0\r\n-BUSY 5\r\n$0\r\n\r\n"
-    for piece in (1, 2, 7, len(text)):
-        reader = read(text, piece)
+def test_values_are_parsed_regardless_of_segmentation():
+    data = b"+PONG\r\n" + encode_hit(b"a\r\nb") + b"$-1\r\n*0\r\n-BUSY 5\r\n$0\r\n\r\n"
+    for piece in (1, 2, 7, len(data)):
+        reader = read_in_pieces(data, piece)
         assert reader.values == ["+PONG", [b"a\r\nb", b"hit", None], None, [], "-BUSY 5", b""]
-        assert not reader.faults
+        assert not reader.errors
 
 
-def test_what_is_no_value_or_too_large_is_told():
-    for text in (b"x", b"$x", b"*99", b"$-2", b"$3\r\nabcd", b"*2\r\n$1\r\na\r\n$2000", b""):
-        assert read(text + b"\r\n", 99).faults
+def test_malformed_and_oversized_values_are_reported():
+    for data in (b"x", b"$x", b"*99", b"$-2", b"$3\r\nabcd", b"*2\r\n$1\r\na\r\n$2000", b""):
+        assert read_in_pieces(data + b"\r\n", 99).errors
     assert (
-        read(b"$%d\r\n" % (MAX_BUFFERED_VALUE + 1), 99).faults
-        and not read(b"$%d\r\n" % MAX_BUFFERED_VALUE, 99).faults
+        read_in_pieces(b"$%d\r\n" % (MAX_BUFFERED_VALUE + 1), 99).errors
+        and not read_in_pieces(b"$%d\r\n" % MAX_BUFFERED_VALUE, 99).errors
     )
-    assert read(b"y" * 600, 600).faults
+    assert read_in_pieces(b"y" * 600, 600).errors
 
 
-def test_only_the_wait_is_rewritten():
+def test_only_the_timeout_is_rewritten():
     arguments = [b"OBJ.SET", b"7f", b"1", b"c=pay,d=480,k=d=9,size=3", b"value"]
     encoded = b"".join(RequestFrame(arguments, (8, 11)).encode(12))
     assert encoded == encode_command(*arguments[:3], arguments[3].replace(b"480", b"12"), arguments[4])
 
 
-def test_a_req_is_answered_with_the_value_as_it_came():
+def test_a_request_is_answered_with_the_unchanged_value():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -76,7 +80,7 @@
     assert len(proxy.reactor.tcpClients) == 1 and b"$1\r\n2\r\n" in connection.transport.take_output()
 
 
-def test_answers_go_out_in_the_order_of_the_commands():
+def test_responses_are_written_in_the_order_of_the_commands():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get(b"1") + encode_get(b"2") + encode_command(b"PING"))
@@ -87,7 +91,7 @@
     assert client.transport.take_output() == b"$5\r\nfirst\r\n$6\r\nsecond\r\n+PONG\r\n"
 
 
-def test_ready_only_with_a_node_to_send_to():
+def test_ping_reports_ready_only_with_a_server():
     proxy = make_proxy(0)
     client = connect_client(proxy)
     client.dataReceived(encode_command(b"PING"))
@@ -99,8 +103,8 @@
     assert client.transport.take_output() == b"+PONG\r\n-ERR unknown command\r\n+OK\r\n"
 
 
-def test_strange_bytes_end_their_connection_after_what_is_owed():
-    # Guards against losing the req before them, and against reading on in what is no command.
+def test_malformed_input_closes_the_connection_after_pending_responses():
+    # The request before the malformed input must be answered, and nothing after that input may be read.
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get() + b"GET / HTTP/1.1\r\n\r\n" + encode_get(b"2"))
@@ -111,29 +115,29 @@
     )
 
 
-def test_commands_that_lack_something_get_an_error_and_the_connection_stays():
+def test_incomplete_commands_get_an_error_and_the_connection_stays_open():
     proxy = make_proxy()
     client = connect_client(proxy)
-    for text in (
+    for data in (
         encode_get(fields=b"c=none,d=5"),
         encode_get(fields=b"c=read"),
         encode_command(b"OBJ.GET", b"1"),
     ):
-        client.dataReceived(text)
+        client.dataReceived(data)
         assert client.transport.take_output().startswith(b"-ERR ")
     assert not client.transport.disconnecting and not proxy.request_handler.requests
 
 
-def test_a_client_with_many_open_commands_is_not_read_on():
-    # Guards the memory against a client that asks faster than it can be answered.
+def test_a_client_with_many_pending_commands_is_not_read():
+    # A client that sends commands faster than they are answered must not use up the memory.
     proxy = make_proxy(4)
     client = connect_client(proxy)
     client.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(client.MAX_PENDING + 5)))
     assert client.transport.producerState == "paused" and client.commands_received == client.MAX_PENDING
 
 
-def test_values_in_hand_are_bounded():
-    # Guards the memory: hundreds of clients may each have some values of 64 KiB open.
+def test_the_memory_for_values_is_bounded():
+    # Hundreds of clients with a few pending values of 64 KiB each must not use up the memory.
     proxy = make_proxy()
     proxy.client_server.value_bytes = proxy.client_server.max_value_bytes + 1
     client = connect_client(proxy)
@@ -146,7 +150,7 @@
     assert proxy.client_server.value_bytes == 0
 
 
-def test_what_comes_after_strange_bytes_of_a_node_answers_nothing():
+def test_input_after_a_malformed_response_answers_no_request():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -158,7 +162,7 @@
     assert client.transport.take_output() == b"-BUSY\r\n"
 
 
-def test_without_a_descriptor_no_node_is_blamed():
+def test_a_lack_of_descriptors_is_not_counted_against_a_server():
     proxy = make_proxy()
     outcomes = []
     proxy.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
@@ -167,16 +171,16 @@
     assert outcomes == [Outcome.OVERLOADED]
 
 
-def test_a_client_that_does_not_read_is_cut_off():
+def test_a_client_that_does_not_read_is_disconnected():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_command(b"PING"))
-    client.pauseProducing()  # as the transport does when it can't pass on more
+    client.pauseProducing()  # as the transport does when its buffer is full
     proxy.reactor.advance(client.WRITE_TIMEOUT / S + 1)
     assert client.transport.disconnected and client.code == "slow-reader"
 
 
-def test_a_client_that_reads_again_is_read_again():
+def test_a_client_that_resumes_reading_is_read_again():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.pauseProducing()
@@ -186,7 +190,7 @@
     assert client.transport.take_output() == b"+PONG\r\n" and not client.transport.disconnected
 
 
-def test_a_client_that_went_away_ends_its_reqs():
+def test_a_client_that_disconnects_ends_its_requests():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get(b"1") + encode_get(b"2"))
@@ -199,7 +203,7 @@
     )
 
 
-def test_with_no_room_the_client_idle_longest_makes_way():
+def test_the_client_idle_for_longest_is_evicted():
     proxy = make_proxy()
     proxy.client_server.max_connections = 2
     first, second = connect_client(proxy), connect_client(proxy)
@@ -211,78 +215,79 @@
     assert first.transport.disconnecting and not second.transport.disconnecting
 
 
-def test_one_that_said_nothing_whole_makes_way_before_usual_clients():
-    # Guards usual clients against hundreds that connect and say nothing, or half a command.
+def test_clients_without_a_whole_command_are_evicted_first():
+    # Hundreds of clients that connect and send nothing or part of a command must not displace usual clients.
     proxy = make_proxy()
     proxy.client_server.max_connections = 3
-    usual, silent, half = connect_client(proxy), connect_client(proxy), connect_client(proxy)
+    usual, silent, partial = connect_client(proxy), connect_client(proxy), connect_client(proxy)
     usual.dataReceived(encode_get())
     open_server_connection(proxy).dataReceived(encode_hit())
-    half.dataReceived(encode_get()[:-2])
+    partial.dataReceived(encode_get()[:-2])
     proxy.reactor.advance(proxy.client_server.MIN_SILENCE / S)
     connect_client(proxy), connect_client(proxy)
-    assert silent.transport.disconnecting and half.transport.disconnecting
+    assert silent.transport.disconnecting and partial.transport.disconnecting
     assert usual.commands_received == 1 and not usual.transport.disconnecting
 
 
-def test_one_that_sends_slowly_makes_way_after_silent_ones():
-    # Guards usual clients that need seconds for a command: they came before the silent ones.
+def test_slow_senders_are_evicted_after_silent_clients():
+    # A usual client may need seconds to send a command; it connected before the silent clients.
     proxy = make_proxy()
     proxy.client_server.max_connections = 3
     slow = connect_client(proxy)
     proxy.reactor.advance(1)
-    silent, half = connect_client(proxy), connect_client(proxy)
-    half.dataReceived(b"*")
+    silent, partial = connect_client(proxy), connect_client(proxy)
+    partial.dataReceived(b"*")
     proxy.reactor.advance(proxy.client_server.MIN_SILENCE / S)
     for at in range(0, 50, 10):
         slow.dataReceived(encode_get()[at : at + 10])
     connect_client(proxy), connect_client(proxy)
-    assert silent.transport.disconnecting and half.transport.disconnecting
+    assert silent.transport.disconnecting and partial.transport.disconnecting
     slow.dataReceived(encode_get()[50:])
     open_server_connection(proxy).dataReceived(encode_hit())
     assert slow.transport.take_output() == b"$1\r\nv\r\n"
 
 
-def test_idle_clients_go_at_once_where_busy_ones_hold_most_of_their_part():
+def test_idle_clients_are_closed_soon_if_busy_ones_hold_most_descriptors():
     proxy = make_proxy(4, streams_per_conn=1, may_duplicate=True)
     proxy.client_server.max_connections = 96
     idle = [connect_client(proxy) for _ in range(12)]
-    for one in idle:
-        one.dataReceived(encode_command(b"PING"))
+    for client in idle:
+        client.dataReceived(encode_command(b"PING"))
     proxy.reactor.advance(proxy.client_server.SHORT_IDLE_TIMEOUT / S)
-    assert not any(one.transport.disconnecting for one in idle)
+    assert not any(client.transport.disconnecting for client in idle)
     for _ in range(40):
-        one = connect_client(proxy)
-        one.dataReceived(b"*4")
-        one.pending.add()
-        proxy.client_server.unused_connections.pop(one, None)
+        client = connect_client(proxy)
+        client.dataReceived(b"*4")
+        client.pending.add()
+        proxy.client_server.unused_connections.pop(client, None)
     last = connect_client(proxy)
     last.dataReceived(encode_command(b"PING"))
-    assert sum(one.code == "idle" for one in idle) >= 10
+    assert sum(client.code == "idle" for client in idle) >= 10
 
 
-def test_silent_and_half_said_clients_are_closed_and_usual_ones_stay():
-    # Guards the descriptors: such clients would hold them for good.
+def test_clients_that_are_silent_or_stop_within_a_command_are_closed():
+    # Such clients would otherwise hold their descriptors forever.
     proxy = make_proxy()
-    silent, half, later, usual = (connect_client(proxy) for _ in range(4))
-    half.dataReceived(encode_get()[:-3])
-    for one in (later, usual):
-        one.dataReceived(encode_command(b"PING"))
+    silent, partial, later, usual = (connect_client(proxy) for _ in range(4))
+    partial.dataReceived(encode_get()[:-3])
+    for client in (later, usual):
+        client.dataReceived(encode_command(b"PING"))
     later.dataReceived(b"*2")
     proxy.reactor.advance(proxy.client_server.buildProtocol(None).COMMAND_TIMEOUT / S)
     assert (
         silent.transport.take_output() == b"" and silent.code == "silent" and silent.transport.disconnecting
     )
-    for one in (half, later):
+    for client in (partial, later):
         assert (
-            one.transport.take_output().endswith(b"-ERR half a command\r\n") and one.transport.disconnecting
+            client.transport.take_output().endswith(b"-ERR half a command\r\n")
+            and client.transport.disconnecting
         )
     proxy.reactor.advance(60)
     assert not usual.transport.disconnecting
 
 
-def test_no_id_and_an_id_in_use_get_an_error_and_no_value():
-    # Guards against answering one client's req with what was made for another's.
+def test_a_missing_id_and_an_id_in_use_get_an_error():
+    # A client must not be answered with the value for another client's request.
     proxy = make_proxy()
     client, other = connect_client(proxy), connect_client(proxy)
     client.dataReceived(encode_get(b"1"))
@@ -297,7 +302,7 @@
     )
 
 
-def test_an_answer_out_of_time_is_given_up_with_its_connection():
+def test_an_attempt_that_times_out_closes_its_connection():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -309,25 +314,25 @@
     assert connection.end_code(Failure(ConnectionDone()), "node") == "out-of-time"
 
 
-def test_a_connection_that_breaks_means_it_may_have_run():
+def test_after_a_broken_connection_the_attempt_may_have_been_executed():
     proxy = make_proxy(3)
     client = connect_client(proxy)
     client.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     open_server_connection(proxy).connectionLost(Failure(ConnectionLost()))
     assert (
         client.transport.take_output() == b"-ERR failed\r\n"
-    )  # never again, and no word that it is harmless
+    )  # it is not retried, and the client is not told that a retry is safe
 
 
-def test_a_refused_connection_means_it_never_ran():
+def test_after_a_refused_connection_the_attempt_was_not_executed():
     proxy = make_proxy(3)
     client = connect_client(proxy)
     client.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     proxy.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert len(proxy.reactor.tcpClients) == 2  # it goes to another node
+    assert len(proxy.reactor.tcpClients) == 2  # it is retried on another server
 
 
-def test_a_connection_that_does_not_come_up_in_time_is_refused():
+def test_a_connect_timeout_counts_as_refused():
     proxy = make_proxy()
     ended = []
     proxy.server_pools.on_outcome = lambda in_flight, outcome, value: ended.append(outcome)
@@ -336,7 +341,7 @@
     assert ended == [Outcome.CONNECTION_REFUSED]
 
 
-def test_an_end_is_told_once_whatever_comes_after():
+def test_the_outcome_of_an_attempt_is_reported_once():
     proxy = make_proxy()
     ended = []
     connect_client(proxy).dataReceived(encode_get())
@@ -349,7 +354,7 @@
     assert ended == [Outcome.CANCELLED]
 
 
-def test_a_second_copys_answer_calls_off_the_first():
+def test_a_hedges_answer_cancels_the_first_attempt():
     proxy = make_proxy(2, may_duplicate=True, streams_per_conn=100)
     proxy.settings.request_classes["read"].attempt_times.extend([1000] * 8)
     client = connect_client(proxy)
@@ -360,12 +365,12 @@
     assert quick is not slow and quick.in_flight
     quick.dataReceived(encode_hit())
     assert client.transport.take_output() == b"$1\r\nv\r\n" and not proxy.request_handler.in_flight
-    slow.dataReceived(encode_hit(b"late"))  # nobody waits for it, and its connection is good again
+    slow.dataReceived(encode_hit(b"late"))  # the late answer is discarded, and its connection can be reused
     assert client.transport.take_output() == b"" and slow in proxy.server_pools.idle_connections
 
 
-def test_a_connection_whose_answer_never_comes_is_closed_in_the_end():
-    # Guards against keeping connections to a hung node, which answers nothing.
+def test_a_connection_without_an_answer_is_closed_eventually():
+    # Connections to a server that hangs must not stay open.
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -378,7 +383,7 @@
     assert connection.transport.disconnected and connection.code == "out-of-time"
 
 
-def test_nothing_that_waits_goes_to_a_node_that_drains():
+def test_waiting_attempts_are_not_sent_to_a_draining_server():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -389,7 +394,7 @@
     assert client.transport.take_output() == b"-BUSY\r\n"
 
 
-def test_a_node_that_drains_gets_its_connections_back_as_they_are_done():
+def test_connections_to_a_draining_server_are_closed_once_answered():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -400,7 +405,7 @@
     assert client.transport.take_output() == b"$1\r\nv\r\n" and connection.code == "unlisted"
 
 
-def test_idle_connections_are_closed_before_the_node_does():
+def test_idle_connections_are_closed_before_the_server_closes_them():
     proxy = make_proxy()
     connect_client(proxy).dataReceived(encode_get())
     connection = open_server_connection(proxy)
@@ -413,12 +418,12 @@
     )
 
 
-def test_with_all_connections_taken_the_one_idle_longest_makes_way():
+def test_the_server_connection_idle_for_longest_is_closed_at_the_bound():
     proxy = make_proxy(2)
     pools = proxy.server_pools
     pools.max_connections = 1
     client = connect_client(proxy)
-    for key in range(40):  # until both nodes have been met
+    for key in range(40):  # until both servers have a connection
         client.dataReceived(encode_get(key=b"%x" % key))
         if pools.idle_connections and any(pool.waiting for pool in pools.pools.values()):
             break
@@ -433,31 +438,31 @@
     assert len(proxy.reactor.tcpClients) == 2
 
 
-def test_an_entry_that_cannot_be_used_does_not_hide_the_others():
+def test_an_invalid_endpoint_entry_does_not_affect_the_others():
     proxy = make_proxy(0)
-    strange = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
-    proxy.endpoints.update([*strange, *make_entries(1), *make_entries(2, "NEW-WORD")[1:]], True)
+    malformed = [5, {"instanceId": "x", "lifecycle": "SERVING"}, {"instanceId": 5, "hostPort": "127.0.0.1:5"}]
+    proxy.endpoints.update([*malformed, *make_entries(1), *make_entries(2, "NEW-WORD")[1:]], True)
     assert {name: server.state for name, server in proxy.balancer.servers.items()} == {
         "n0": ServerState.READY,
         "n1": ServerState.DRAINING,
     }
 
 
-def test_failing_decisions_end_their_req_as_a_failure_and_the_proxy_goes_on():
+def test_an_exception_in_the_balancer_fails_only_its_request():
     proxy = make_proxy()
     client = connect_client(proxy)
-    whole = proxy.balancer.route
+    original = proxy.balancer.route
     proxy.balancer.route = None
     client.dataReceived(encode_get())
     assert client.transport.take_output() == b"-ERR failed\r\n"
-    proxy.balancer.route = whole
-    proxy.balancer.next_wakeup = None  # and one that loses reqs: they are answered by their deadline
+    proxy.balancer.route = original
+    proxy.balancer.next_wakeup = None  # a request that the balancer loses is answered at its deadline
     client.dataReceived(encode_get(b"2"))
     proxy.reactor.pump([0.05] * 12)
     assert client.transport.take_output() != b"" and not proxy.request_handler.requests
 
 
-def test_after_sigterm_all_that_is_held_is_finished():
+def test_after_sigterm_active_requests_are_finished():
     proxy = make_proxy()
     proxy.endpoint_watch.request_watch = lambda: None
     proxy.start()
@@ -475,7 +480,7 @@
     assert proxy.reactor.hasStopped and connection.code == "stopping"
 
 
-def test_slots_are_used_again_lowest_first():
+def test_the_lowest_free_slot_is_reused_first():
     slots = SlotTable()
     assert [slots.add(what) for what in "abc"] == [0, 1, 2]
     slots.remove(2)
@@ -483,34 +488,34 @@
     assert [slots.add(what) for what in "de"] == [0, 2] and slots[0] == "d"
 
 
-def test_deadlines_come_in_order_and_a_failing_one_keeps_none_back():
+def test_deadlines_run_in_order_and_a_failing_call_affects_no_other():
     proxy = make_proxy()
-    reactor, seen = proxy.reactor, []
+    reactor, calls = proxy.reactor, []
     deadlines = DeadlineQueue(reactor, proxy.now)
     for after in (3, 1, 2):
-        deadlines.call_at(proxy.now() + after * S, seen.append, after)
-    deadlines.call_at(proxy.now() + S, seen.append, "dropped").cancel()
+        deadlines.call_at(proxy.now() + after * S, calls.append, after)
+    deadlines.call_at(proxy.now() + S, calls.append, "dropped").cancel()
     deadlines.call_at(proxy.now() + S, lambda: 1 / 0)
     reactor.pump([0.5] * 7)
-    assert seen == [1, 2, 3]
+    assert calls == [1, 2, 3]
 
 
-def test_dropped_deadlines_do_not_pile_up():
+def test_cancelled_deadlines_do_not_accumulate():
     proxy = make_proxy()
-    seen = []
+    calls = []
     deadlines = DeadlineQueue(proxy.reactor, proxy.now)
-    kept = deadlines.call_at(proxy.now() + 2 * S, seen.append, 1)
+    pending = deadlines.call_at(proxy.now() + 2 * S, calls.append, 1)
     for _ in range(5 * deadlines.MAX_CANCELLED):
-        deadlines.call_at(proxy.now() + 60 * S, seen.append, 2).cancel()
+        deadlines.call_at(proxy.now() + 60 * S, calls.append, 2).cancel()
     assert len(deadlines.heap) < 2 * deadlines.MAX_CANCELLED + 2
     proxy.reactor.pump([1.5, 1])
-    assert seen == [1]
-    kept.cancel()  # one that is over counts no more
+    assert calls == [1]
+    pending.cancel()  # a call that was made is not counted as cancelled
     proxy.reactor.advance(60)
     assert deadlines.cancelled == len(deadlines.heap) == 0
 
 
-def test_a_silent_watch_is_begun_anew():
+def test_a_silent_watch_is_restarted():
     proxy = make_proxy()
     calls = []
     proxy.endpoint_watch.request_watch = lambda: calls.append(proxy.now())
@@ -521,7 +526,7 @@
     assert len(calls) == 1
 
 
-def test_lines_of_the_watch_are_news_and_bad_ones_begin_it_anew():
+def test_a_malformed_line_restarts_the_watch():
     proxy = make_proxy(0)
     calls = []
     proxy.endpoint_watch.request_watch = lambda: calls.append(proxy.endpoint_watch.generation)
@@ -533,7 +538,7 @@
     assert calls == [7]
 
 
-def test_words_of_strangers_and_wrong_words_do_nothing():
+def test_gossip_that_is_malformed_or_not_from_a_peer_is_ignored():
     proxy = make_proxy(peers=True)
     heard = []
     proxy.gossip.peers, proxy.gossip.allowed_senders = [("127.0.0.3", 9)], {("127.0.0.3", 9)}
@@ -546,20 +551,20 @@
     proxy.request_handler.receive_gossip(b"")
 
 
-def test_a_satisfied_req_earns_the_decisions_their_outcome():
+def test_the_balancer_is_notified_of_a_successful_attempt():
     proxy = make_proxy()
-    seen = []
-    whole = proxy.balancer.record_outcome
-    proxy.balancer.record_outcome = lambda attempt, outcome, *more: seen.append(outcome) or whole(
+    recorded = []
+    original = proxy.balancer.record_outcome
+    proxy.balancer.record_outcome = lambda attempt, outcome, *more: recorded.append(outcome) or original(
         attempt, outcome, *more
     )
     connect_client(proxy).dataReceived(encode_get())
     open_server_connection(proxy).dataReceived(encode_hit())
-    assert seen == [Outcome.SUCCEEDED]
+    assert recorded == [Outcome.SUCCEEDED]
 
 
-def test_a_connection_that_says_nothing_more_condemns_the_idle_ones():
-    # Guards against a machine that was cut off: it resets the connections it no longer knows when it is back.
+def test_idle_connections_are_closed_when_one_to_the_same_server_goes_silent():
+    # A machine that was cut off from the network resets the connections it no longer knows when it is back.
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
     client = connect_client(proxy)
     client.dataReceived(encode_get(b"1") + encode_get(b"2"))
@@ -569,8 +574,8 @@
     assert silent.transport.disconnected and quick.code == "suspect"
 
 
-def crowd(proxy):
-    """Five reqs of one key, on two connections to the one node, and the client."""
+def pipeline_requests(proxy):
+    """Send five requests for one key on two connections to one server; return the client and connections."""
     proxy.server_pools.PIPELINE_FROM = 2
     client = connect_client(proxy)
     client.dataReceived(encode_get(b"1") + encode_get(b"2"))
@@ -580,21 +585,23 @@
     return client, connections
 
 
-def test_with_a_few_connections_up_attempts_go_behind_others():
+def test_attempts_are_pipelined_once_enough_connections_are_open():
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
-    client, connections = crowd(proxy)
-    assert len(proxy.reactor.tcpClients) == 2 and sorted(len(one.in_flight) for one in connections) == [2, 3]
-    for one in connections:
-        for request_id in re.findall(rb"7f\r\n\$1\r\n(\d)", one.transport.take_output()):
-            one.dataReceived(encode_hit(request_id))
+    client, connections = pipeline_requests(proxy)
+    assert len(proxy.reactor.tcpClients) == 2 and sorted(
+        len(connection.in_flight) for connection in connections
+    ) == [2, 3]
+    for connection in connections:
+        for request_id in re.findall(rb"7f\r\n\$1\r\n(\d)", connection.transport.take_output()):
+            connection.dataReceived(encode_hit(request_id))
     assert not proxy.request_handler.requests and client.transport.take_output() == b"".join(
         encode_bulk(b"%d" % i) for i in range(1, 6)
     )
 
 
-def test_a_break_ends_all_that_is_on_the_connection():
+def test_a_broken_connection_ends_all_its_attempts():
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
-    client, connections = crowd(proxy)
+    client, connections = pipeline_requests(proxy)
     outcomes = []
     proxy.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     connections[0].connectionLost(Failure(ConnectionLost()))
@@ -602,45 +609,45 @@
         Outcome.CONNECTION_LOST,
         Outcome.CANCELLED,
         Outcome.CANCELLED,
-    ]  # one end, held against the node once
+    ]  # the break counts once against the server
 
 
-def test_nothing_goes_behind_an_attempt_that_was_given_up():
-    # Guards against feeding a connection whose first answer may never come.
+def test_attempts_are_not_pipelined_behind_a_cancelled_attempt():
+    # The first answer on such a connection may never arrive.
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
-    client, connections = crowd(proxy)
-    for one in connections:
-        proxy.server_pools.cancel(one.in_flight[0])
+    client, connections = pipeline_requests(proxy)
+    for connection in connections:
+        proxy.server_pools.cancel(connection.in_flight[0])
     client.dataReceived(encode_get(b"6"))
     assert len(proxy.reactor.tcpClients) == 3
 
 
-def outcomes_of(proxy):
-    """What the decisions are told from now on."""
-    outcomes, whole = [], proxy.balancer.record_outcome
-    proxy.balancer.record_outcome = lambda attempt, outcome, *more: outcomes.append(outcome) or whole(
+def record_outcomes(proxy):
+    """Return a list to which the outcomes that the balancer is notified of are appended from now on."""
+    outcomes, original = [], proxy.balancer.record_outcome
+    proxy.balancer.record_outcome = lambda attempt, outcome, *more: outcomes.append(outcome) or original(
         attempt, outcome, *more
     )
     return outcomes
 
 
-def test_a_spoilt_answer_is_one_failure_and_its_connection_is_dropped():
-    # Guards against serving what no node made, and against taking the node for gone, and back cold.
-    for text in (b":5\r\n", b"*1\r\n$1\r\nv\r\n", b"*3\r\n*3\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n"):
+def test_a_malformed_response_is_one_failure_and_closes_its_connection():
+    # Such a response must not be served, and the server must not be treated as failed and then as cold.
+    for data in (b":5\r\n", b"*1\r\n$1\r\nv\r\n", b"*3\r\n*3\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n"):
         proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
-        client, connections = crowd(proxy)
-        outcomes = outcomes_of(proxy)
-        connections[0].dataReceived(text)
+        client, connections = pipeline_requests(proxy)
+        outcomes = record_outcomes(proxy)
+        connections[0].dataReceived(data)
         assert (
             outcomes[:3] == [Outcome.ERROR, Outcome.CANCELLED, Outcome.CANCELLED]
             and connections[0].transport.disconnected
         )
         assert client.transport.take_output() == b"" and [
-            one.consecutive_failures for one in proxy.balancer.servers["n0"].class_failures.values()
+            failures.consecutive_failures for failures in proxy.balancer.servers["n0"].class_failures.values()
         ] == [1]
 
 
-def test_a_bad_load_report_does_not_spoil_the_value():
+def test_a_malformed_load_report_does_not_affect_the_value():
     for report in (b"?\r\n", b"$5000\r\n", b"*1\r\n$1\r\n{\r\n"):
         proxy = make_proxy()
         client = connect_client(proxy)
@@ -649,8 +656,8 @@
         assert client.transport.take_output() == b"$1\r\nv\r\n"
 
 
-def test_what_comes_too_much_never_answers_the_next_req():
-    # Guards against a second copy or noise behind an answer: the next req went out before it was read.
+def test_surplus_input_never_answers_the_next_request():
+    # The next request may already be sent when a duplicate or other surplus input behind an answer is read.
     for more in (encode_hit(), b"noise", b"\r\n", b"*3\r\n"):
         proxy = make_proxy()
         client = connect_client(proxy)
@@ -662,17 +669,17 @@
         assert b"$1\r\n2\r\n" not in connection.transport.take_output()
 
 
-def test_a_copy_that_crosses_the_next_attempt_is_not_its_answer():
+def test_a_duplicate_answer_does_not_answer_the_next_attempt():
     proxy = make_proxy(may_duplicate=True, streams_per_conn=100)
-    client, connections = crowd(proxy)
-    outcomes = outcomes_of(proxy)
+    client, connections = pipeline_requests(proxy)
+    outcomes = record_outcomes(proxy)
     connections[0].dataReceived(encode_hit(b"one"))
     connections[0].dataReceived(encode_hit(b"one"))
     assert outcomes[:2] == [Outcome.SUCCEEDED, Outcome.ERROR] and connections[0].transport.disconnected
 
 
-def test_a_req_that_a_node_cannot_use_is_sent_to_no_other():
-    # Guards against holding a client's fault against one node after the other.
+def test_an_invalid_request_is_not_retried_on_another_server():
+    # A client's error must not be counted against one server after the other.
     proxy = make_proxy(3)
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -684,8 +691,8 @@
     )
 
 
-def test_what_is_known_of_a_node_goes_with_it():
-    # Guards the memory: a fleet that is replaced all day has ever new ids.
+def test_the_state_of_a_removed_server_is_discarded():
+    # Servers that are replaced all day have new ids each time, which must not use up the memory.
     proxy = make_proxy(2)
     connect_client(proxy).dataReceived(encode_get())
     busy = open_server_connection(proxy)
@@ -694,17 +701,19 @@
         proxy.endpoints.update(make_entries(1, "DELETED", instanceId=f"x{number}"), False)
     proxy.endpoints.update(make_entries(2, "DRAINING"), False)
     proxy.endpoints.update(make_entries(2, "DELETED"), False)
-    assert [*proxy.balancer.servers] == [*proxy.server_pools.pools] == [busy.pool.name]  # its attempt is out
+    assert (
+        [*proxy.balancer.servers] == [*proxy.server_pools.pools] == [busy.pool.name]
+    )  # its attempt is in flight
     busy.dataReceived(encode_hit())
     busy.connectionLost(Failure(ConnectionDone()))
     proxy.endpoints.update([], False)
     assert not proxy.balancer.servers and not proxy.server_pools.pools
 
 
-def test_the_first_break_of_a_kept_connection_is_not_held_against_its_node():
-    # Guards against taking a node out because connections kept for long end under the next attempt.
+def test_the_first_break_of_a_reused_connection_is_not_counted_against_its_server():
+    # A server must not be ejected because a connection that was idle for long ends under the next attempt.
     proxy = make_proxy()
-    client, outcomes = connect_client(proxy), outcomes_of(proxy)
+    client, outcomes = connect_client(proxy), record_outcomes(proxy)
     client.dataReceived(encode_get(b"1"))
     open_server_connection(proxy).dataReceived(encode_hit())
     client.dataReceived(encode_get(b"2"))
@@ -717,7 +726,7 @@
     )
 
 
-def test_answers_beyond_the_protocols_bound_are_passed_on_and_those_of_gigabytes_are_not():
+def test_long_answers_are_forwarded_up_to_a_bound():
     proxy = make_proxy()
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -729,8 +738,8 @@
     assert connection.code == "strange: too long"
 
 
-def test_idle_clients_beyond_a_part_are_closed_the_longest_idle_first():
-    # Guards usual clients against those that ask once and keep their connection for good.
+def test_excess_idle_clients_are_closed_starting_with_the_longest_idle():
+    # Clients that send one request and stay connected forever must not displace usual clients.
     proxy = make_proxy()
     proxy.client_server.max_connections = 2 * proxy.client_server.IDLE_DIVISOR
     clients = []
@@ -738,16 +747,16 @@
         proxy.reactor.advance(1)
         clients.append(connect_client(proxy))
         clients[-1].dataReceived(encode_get(b"%d" % number))
-        for one in [*proxy.server_pools.connections.values()] or [open_server_connection(proxy)]:
-            if one.in_flight:
-                one.dataReceived(encode_hit())
-    assert [one.code for one in clients] == ["idle", "idle", None, None, None]
+        for connection in [*proxy.server_pools.connections.values()] or [open_server_connection(proxy)]:
+            if connection.in_flight:
+                connection.dataReceived(encode_hit())
+    assert [client.code for client in clients] == ["idle", "idle", None, None, None]
 
 
 REPORTS = {"how": "answers", "columns": ["active", "waiting"]}
 
 
-def test_a_nodes_load_report_reaches_the_pick():
+def test_a_load_report_affects_the_selection_of_servers():
     proxy = make_proxy(2, REPORTS)
     client = connect_client(proxy)
     client.dataReceived(encode_get())
@@ -762,34 +771,35 @@
     assert picks.count(loaded) < 20
 
 
-def test_a_load_report_that_cannot_be_read_spoils_nothing():
-    strange = b'{ [3] 5 {"active":-1} {"active":1e999} {"active":"x"}'.split()
-    for report in (*strange, b"", b"9" * 70_000):
+def test_an_unreadable_load_report_has_no_effect():
+    malformed = b'{ [3] 5 {"active":-1} {"active":1e999} {"active":"x"}'.split()
+    for report in (*malformed, b"", b"9" * 70_000):
         proxy = make_proxy(1, REPORTS)
         client = connect_client(proxy)
         client.dataReceived(encode_get())
         open_server_connection(proxy).dataReceived(encode_hit(report=report))
         assert client.transport.take_output() == b"$1\r\nv\r\n"
         assert proxy.balancer.servers["n0"].load == 0 and not proxy.request_handler.requests
-    proxy = make_proxy(1)  # nor is one read that the settings do not name
+    proxy = make_proxy(1)  # a report that the settings do not name is not read either
     connect_client(proxy).dataReceived(encode_get())
     open_server_connection(proxy).dataReceived(encode_hit(report=b'{"active":50}'))
     assert proxy.balancer.servers["n0"].load == 0
 
 
-def test_one_req_a_connection_where_the_settings_say_so_and_room_for_all():
-    # Guards against a quick answer that waits behind a slow one, and against a bound below what is out there.
+def test_one_request_a_connection_with_enough_connections_for_all():
+    # A quick answer must not wait behind a slow one, and the bound must not be below the requests in flight.
     proxy = make_proxy(1, streams_per_conn=1, may_duplicate=True)
-    proxy.balancer.servers["n0"].concurrency_limit = 64.0  # rank shall not bind here
+    proxy.balancer.servers["n0"].concurrency_limit = 64.0  # so that the limit does not reject by rank
     client = connect_client(proxy)
     client.dataReceived(b"".join(encode_get(b"%d" % i) for i in range(10)))
     connections = [open_server_connection(proxy, i) for i in range(len(proxy.reactor.tcpClients))]
     assert len(connections) == 10
-    assert all(one.transport.take_output().count(b"OBJ.GET") == 1 for one in connections)
+    assert all(connection.transport.take_output().count(b"OBJ.GET") == 1 for connection in connections)
 
 
-def test_calls_for_the_list_are_spaced_where_it_is_asked_for():
-    # Guards an overbooked service: forty proxies that came back within 0.3 s had their watches ended again.
+def test_polls_of_the_endpoint_list_are_spaced():
+    # Without spacing, forty proxies reconnected within 0.3 s to an overloaded discovery service, which then
+    # ended their watches again.
     proxy = make_proxy()
     waits = []
     proxy.endpoint_watch.deadlines.call_at = lambda at, *_: waits.append(at - proxy.now())
@@ -801,16 +811,16 @@
     assert waits[0] < 400_000 and 750_000 <= waits[1] <= 2_250_000
 
 
-def test_a_nodes_word_that_it_had_the_value_reaches_the_decisions():
+def test_the_balancer_is_notified_of_cache_hits():
     for lookup_result, cache_hit in ((b"hit", True), (b"miss", False)):
         proxy = make_proxy()
-        seen, after = [], proxy.balancer.record_outcome
-        proxy.balancer.record_outcome = lambda *values, after=after, seen=seen: seen.append(
+        recorded, original = [], proxy.balancer.record_outcome
+        proxy.balancer.record_outcome = lambda *values, original=original, recorded=recorded: recorded.append(
             values[-1]
-        ) or after(*values)
+        ) or original(*values)
         client = connect_client(proxy)
         client.dataReceived(encode_get())
         open_server_connection(proxy).dataReceived(
             b"*3\r\n" + encode_bulk(b"v") + encode_bulk(lookup_result) + b"$-1\r\n"
         )
-        assert seen == [cache_hit]
+        assert recorded == [cache_hit]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -47,16 +47,16 @@
         text = b"".join(encode_hit(rng.choice(values)) for _ in range(4)) + bad
         whole = Pieces()
         whole.dataReceived(text)
-        assert len(whole.values) == 4 and bool(whole.faults) == bool(bad)
+        assert len(whole.values) == 4 and bool(whole.errors) == bool(bad)
         cuts = [sorted(rng.randrange(len(text)) for _ in range(count)) for count in (1, 5, 50, 500)]
         cuts.append(range(1, len(text)) if len(text) < 200_000 else [])
         for cut in cuts:
             reader, at = Pieces(), 0
             for to in [*cut, len(text)]:
-                if not reader.faults:
+                if not reader.errors:
                     reader.dataReceived(text[at:to])
                 at = to
-            assert reader.values == whole.values and reader.faults == whole.faults
+            assert reader.values == whole.values and reader.errors == whole.errors
 
 
 def asked(count=1, **limits):
