--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -1,4 +1,4 @@
-"""Long writes, passed on in pieces."""
+"""Long writes, which are forwarded in pieces."""
 
 import re
 import socket
@@ -17,205 +17,215 @@
 TAIL = b"\r\n"
 
 
-def begun(count=1, head=HEAD, **limits):
-    """A long write whose first piece has gone to its node."""
-    made = make_proxy(count, **limits)
-    asking = connect_client(made)
-    asking.dataReceived(head + LONG[:1000])
-    return made, asking, open_server_connection(made)
-
-
-def test_a_long_write_goes_out_as_it_comes_and_its_last_byte_once_the_clients_has_come():
-    made, asking, node = begun()
-    assert node.transport.take_output() == HEAD + LONG[:1000]
-    for at in range(1000, len(LONG), 65_536):
-        asking.dataReceived(LONG[at : at + 65_536])
-    assert node.transport.take_output() == LONG[1000:]
-    asking.dataReceived(TAIL[:1])
-    assert node.transport.take_output() == b""
-    asking.dataReceived(TAIL[1:])
-    assert node.transport.take_output() == TAIL
-    node.dataReceived(encode_hit(b"receipt"))
+def start_write(count=1, head=HEAD, **limits):
+    """Send the first piece of a long write to a server; return the proxy and both connections."""
+    proxy = make_proxy(count, **limits)
+    client = connect_client(proxy)
+    client.dataReceived(head + LONG[:1000])
+    return proxy, client, open_server_connection(proxy)
+
+
+def test_a_long_write_is_forwarded_in_pieces_and_ends_only_when_received():
+    proxy, client, connection = start_write()
+    assert connection.transport.take_output() == HEAD + LONG[:1000]
+    for start in range(1000, len(LONG), 65_536):
+        client.dataReceived(LONG[start : start + 65_536])
+    assert connection.transport.take_output() == LONG[1000:]
+    client.dataReceived(TAIL[:1])
+    assert connection.transport.take_output() == b""
+    client.dataReceived(TAIL[1:])
+    assert connection.transport.take_output() == TAIL
+    connection.dataReceived(encode_hit(b"receipt"))
     assert (
-        asking.transport.take_output() == encode_bulk(b"receipt")
-        and not made.request_handler.requests
-        and not made.request_handler.in_flight
+        client.transport.take_output() == encode_bulk(b"receipt")
+        and not proxy.request_handler.requests
+        and not proxy.request_handler.in_flight
     )
-    asking.dataReceived(encode_get(b"2"))  # both connections are good for more
-    node.dataReceived(encode_hit())
-    assert asking.transport.take_output() == encode_bulk(b"v")
-
-
-def test_its_time_counts_from_the_last_byte():
-    made, asking, node = begun()
-    for at in range(1000, len(LONG), 32_768):
-        made.reactor.advance(2)
-        asking.dataReceived(LONG[at : at + 32_768])
-    asking.dataReceived(TAIL)
-    made.reactor.advance(0.8)
-    assert asking.transport.take_output() == b""
-    made.reactor.advance(0.2)
-    assert (
-        asking.transport.take_output() == b"-ERR failed\r\n" and not made.request_handler.requests
-    )  # it may have run
-    assert [*made.settings.request_classes["pay"].attempt_times] == [
-        1_000_000
-    ]  # none of the seconds in which it came
-
-
-def test_before_its_last_byte_nothing_has_run_and_after_it_it_may_have():
+    client.dataReceived(encode_get(b"2"))  # both connections can be reused
+    connection.dataReceived(encode_hit())
+    assert client.transport.take_output() == encode_bulk(b"v")
+
+
+def test_the_timeout_of_a_long_write_starts_at_its_last_byte():
+    proxy, client, connection = start_write()
+    for start in range(1000, len(LONG), 32_768):
+        proxy.reactor.advance(2)
+        client.dataReceived(LONG[start : start + 32_768])
+    client.dataReceived(TAIL)
+    proxy.reactor.advance(0.8)
+    assert client.transport.take_output() == b""
+    proxy.reactor.advance(0.2)
+    # An error, because the write may have been executed.
+    assert client.transport.take_output() == b"-ERR failed\r\n" and not proxy.request_handler.requests
+    # Without the seconds in which the write was received.
+    assert [*proxy.settings.request_classes["pay"].attempt_times] == [1_000_000]
+
+
+def test_a_long_write_may_have_been_executed_only_after_its_last_byte():
     for sent, answer in ((LONG[1000:], b"-BUSY\r\n"), (LONG[1000:] + TAIL, b"-ERR failed\r\n")):
-        made, asking, node = begun(3)
-        asking.dataReceived(sent)
-        node.connectionLost(Failure(ConnectionLost()))
-        assert asking.transport.take_output() == answer and len(made.reactor.tcpClients) == 1
-        asking.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + encode_get(b"2"))  # the rest is thrown away
-        assert made.request_handler.active and not asking.transport.disconnecting
-
-
-def test_while_no_piece_has_gone_out_it_goes_to_another_node():
-    made = make_proxy(3)
-    asking = connect_client(made)
-    asking.dataReceived(HEAD + LONG[:1000])
-    assert asking.transport.producerState == "paused"  # until there is a connection
-    made.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    node = open_server_connection(made, 1)
+        proxy, client, connection = start_write(3)
+        client.dataReceived(sent)
+        connection.connectionLost(Failure(ConnectionLost()))
+        assert client.transport.take_output() == answer and len(proxy.reactor.tcpClients) == 1
+        client.dataReceived((LONG[1000:] + TAIL)[len(sent) :] + encode_get(b"2"))  # the rest is discarded
+        assert proxy.request_handler.active and not client.transport.disconnecting
+
+
+def test_a_long_write_is_retried_if_no_byte_was_sent():
+    proxy = make_proxy(3)
+    client = connect_client(proxy)
+    client.dataReceived(HEAD + LONG[:1000])
+    assert client.transport.producerState == "paused"  # until a server's connection is open
+    proxy.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+    connection = open_server_connection(proxy, 1)
     assert (
-        node.transport.take_output() == HEAD + LONG[:1000] and asking.transport.producerState == "producing"
+        connection.transport.take_output() == HEAD + LONG[:1000]
+        and client.transport.producerState == "producing"
     )
 
 
-def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind():
-    made, asking, node = begun()
-    asking.connectionLost(Failure(ConnectionDone()))
+def test_a_client_that_disconnects_within_a_long_write_leaves_no_state():
+    proxy, client, connection = start_write()
+    client.connectionLost(Failure(ConnectionDone()))
     assert (
-        node.transport.disconnected
-        and not made.request_handler.requests
-        and not made.request_handler.in_flight
-        and not made.client_server.request_ids
+        connection.transport.disconnected
+        and not proxy.request_handler.requests
+        and not proxy.request_handler.in_flight
+        and not proxy.client_server.request_ids
     )
-    assert not made.balancer.servers["n0"].health.consecutive_failures  # that was not the node's doing
+    assert not proxy.balancer.servers["n0"].health.consecutive_failures  # not counted against the server
 
 
-def test_a_wrong_length_never_reaches_the_node_whole():
-    made, asking, node = begun()
-    asking.dataReceived(LONG[1000:] + b"more than said")
-    assert node.transport.disconnected and not node.transport.value().endswith(TAIL)
+def test_a_long_write_of_a_wrong_length_is_never_completed():
+    proxy, client, connection = start_write()
+    client.dataReceived(LONG[1000:] + b"more than said")
+    assert connection.transport.disconnected and not connection.transport.value().endswith(TAIL)
     assert (
-        asking.transport.take_output().endswith(b"after a bulk string\r\n") and asking.transport.disconnecting
+        client.transport.take_output().endswith(b"after a bulk string\r\n") and client.transport.disconnecting
     )
 
 
-def test_progress_is_what_counts_for_a_slow_client():
-    made, asking, node = begun()
-    for at in range(5):
-        made.reactor.advance(2)
-        asking.dataReceived(LONG[1000 + at : 1001 + at])
-    assert not asking.transport.disconnecting
-    made.reactor.advance(2.6)
+def test_a_slow_client_is_dropped_only_without_progress():
+    proxy, client, connection = start_write()
+    for start in range(5):
+        proxy.reactor.advance(2)
+        client.dataReceived(LONG[1000 + start : 1001 + start])
+    assert not client.transport.disconnecting
+    proxy.reactor.advance(2.6)
     assert (
-        asking.code == "malformed: half a command"
-        and node.transport.disconnected
-        and not made.request_handler.requests
+        client.code == "malformed: half a command"
+        and connection.transport.disconnected
+        and not proxy.request_handler.requests
     )
 
 
-def test_the_client_is_read_no_further_than_the_node_takes():
-    made, asking, node = begun()
-    node.transport.producer.pauseProducing()  # as the transport does when it can't pass on more
-    assert asking.transport.producerState == "paused"
-    made.reactor.advance(9)  # the client is not to blame
-    assert not asking.transport.disconnecting
-    node.transport.producer.resumeProducing()
-    assert asking.transport.producerState == "producing"
-    asking.dataReceived(LONG[1000:] + TAIL)
-    node.dataReceived(encode_hit())
-    assert asking.transport.take_output() == encode_bulk(b"v")
+def test_reading_from_the_client_pauses_while_the_server_does_not_read():
+    proxy, client, connection = start_write()
+    connection.transport.producer.pauseProducing()  # as the transport does when its buffer is full
+    assert client.transport.producerState == "paused"
+    proxy.reactor.advance(9)  # the client is not timed out for the server's pause
+    assert not client.transport.disconnecting
+    connection.transport.producer.resumeProducing()
+    assert client.transport.producerState == "producing"
+    client.dataReceived(LONG[1000:] + TAIL)
+    connection.dataReceived(encode_hit())
+    assert client.transport.take_output() == encode_bulk(b"v")
 
 
-def test_a_node_that_takes_nothing_is_given_up():
-    made, asking, node = begun()
-    node.transport.producer.pauseProducing()
-    made.reactor.advance(10)
-    assert node.code == "stalled"
-    node.connectionLost(Failure(ConnectionLost()))
-    assert asking.transport.take_output() == b"-BUSY\r\n"  # it never ran
+def test_a_server_that_does_not_read_is_dropped():
+    proxy, client, connection = start_write()
+    connection.transport.producer.pauseProducing()
+    proxy.reactor.advance(10)
+    assert connection.code == "stalled"
+    connection.connectionLost(Failure(ConnectionLost()))
+    assert client.transport.take_output() == b"-BUSY\r\n"  # it was not executed
 
 
-def test_an_answer_to_half_a_write_ends_it_there():
+def test_an_answer_to_an_incomplete_write_ends_the_attempt():
     for early, answer in ((b"-BUSY\r\n", b"-BUSY\r\n"), (encode_hit(), b"-ERR failed\r\n")):
-        made, asking, node = begun()
-        node.dataReceived(early)
-        assert asking.transport.take_output() == answer and node.transport.disconnected
-        asking.dataReceived(LONG[1000:] + TAIL)
-        assert asking.commands_received == 1 and not asking.transport.disconnecting
+        proxy, client, connection = start_write()
+        connection.dataReceived(early)
+        assert client.transport.take_output() == answer and connection.transport.disconnected
+        client.dataReceived(LONG[1000:] + TAIL)
+        assert client.commands_received == 1 and not client.transport.disconnecting
 
 
-def test_what_can_not_be_used_is_answered_at_once_and_read_to_its_end():
-    made = make_proxy()
-    asking = connect_client(made)
+def test_an_invalid_long_write_is_answered_at_once_and_discarded():
+    proxy = make_proxy()
+    client = connect_client(proxy)
     for head in (HEAD.replace(b"c=pay", b"c=pax"), HEAD.replace(b"$1\r\n1", b"$0\r\n")):
-        asking.dataReceived(head + LONG[:10])
-        assert asking.transport.take_output().startswith(b"-ERR ")
-        asking.dataReceived(LONG[10:] + TAIL)
-    asking.dataReceived(encode_command(b"PING"))
-    assert asking.transport.take_output() == b"+PONG\r\n" and not made.reactor.tcpClients
-    for bad in (HEAD.replace(b"OBJ.SET", b"OBJ.GET"), HEAD.replace(b"$262144", b"$%d" % (MAX_VALUE + 1))):
-        asking = connect_client(made)
-        asking.dataReceived(bad)
-        assert asking.transport.take_output() == b"-ERR too long\r\n" and asking.transport.disconnecting
-
-
-def test_with_nowhere_to_go_it_is_nacked_within_an_eighth_of_its_time():
-    made = make_proxy(1)
-    made.balancer.servers["n0"].health.consecutive_failures = 2
-    made.balancer.servers["n0"].health.next_probe_at = made.now() + 100 * S
-    asking = connect_client(made)
-    asking.dataReceived(HEAD + LONG[:1000])
-    made.reactor.pump([0.01] * 12)
-    assert asking.transport.take_output() == b"-BUSY\r\n"
-    asking.dataReceived(LONG[1000:] + TAIL + encode_command(b"PING"))
-    assert asking.transport.take_output() == b"+PONG\r\n" and not made.request_handler.requests
-
-
-def test_what_is_under_way_to_a_node_that_drains_is_finished():
-    made, asking, node = begun()
-    made.endpoints.update(
+        client.dataReceived(head + LONG[:10])
+        assert client.transport.take_output().startswith(b"-ERR ")
+        client.dataReceived(LONG[10:] + TAIL)
+    client.dataReceived(encode_command(b"PING"))
+    assert client.transport.take_output() == b"+PONG\r\n" and not proxy.reactor.tcpClients
+    for malformed in (
+        HEAD.replace(b"OBJ.SET", b"OBJ.GET"),
+        HEAD.replace(b"$262144", b"$%d" % (MAX_VALUE + 1)),
+    ):
+        client = connect_client(proxy)
+        client.dataReceived(malformed)
+        assert client.transport.take_output() == b"-ERR too long\r\n" and client.transport.disconnecting
+
+
+def test_without_a_server_a_long_write_is_rejected_within_an_eighth_of_its_timeout():
+    proxy = make_proxy(1)
+    proxy.balancer.servers["n0"].health.consecutive_failures = 2
+    proxy.balancer.servers["n0"].health.next_probe_at = proxy.now() + 100 * S
+    client = connect_client(proxy)
+    client.dataReceived(HEAD + LONG[:1000])
+    proxy.reactor.pump([0.01] * 12)
+    assert client.transport.take_output() == b"-BUSY\r\n"
+    client.dataReceived(LONG[1000:] + TAIL + encode_command(b"PING"))
+    assert client.transport.take_output() == b"+PONG\r\n" and not proxy.request_handler.requests
+
+
+def test_a_long_write_to_a_draining_server_is_finished():
+    proxy, client, connection = start_write()
+    proxy.endpoints.update(
         [{"instanceId": "n0", "hostPort": "127.0.0.9:7000", "lifecycle": "DRAINING"}], False
     )
-    asking.dataReceived(LONG[1000:] + TAIL)
-    node.dataReceived(encode_hit())
-    assert asking.transport.take_output() == encode_bulk(b"v") and node.code == "unlisted"
+    client.dataReceived(LONG[1000:] + TAIL)
+    connection.dataReceived(encode_hit())
+    assert client.transport.take_output() == encode_bulk(b"v") and connection.code == "unlisted"
 
 
-def test_nothing_goes_behind_half_a_write():
-    made, asking, node = begun(may_duplicate=True, streams_per_conn=100)
-    made.server_pools.PIPELINE_FROM = 1
-    other = connect_client(made)
+def test_requests_are_not_pipelined_behind_an_incomplete_write():
+    proxy, client, connection = start_write(may_duplicate=True, streams_per_conn=100)
+    proxy.server_pools.PIPELINE_FROM = 1
+    other = connect_client(proxy)
     other.dataReceived(encode_get(b"2"))
-    assert node.transport.take_output() == HEAD + LONG[:1000] and len(made.reactor.tcpClients) == 2
-
-
-def test_more_long_writes_at_once_than_memory_holds(make_launcher):
-    nodes = [Node(), Node(), Node()]
-    at = make_launcher(*nodes)
-    budget = 5 * 10**9
-    one = {"name": "put", "semantics": "token", "latency_budget": budget, "give_up": budget, "window": budget}
+    assert connection.transport.take_output() == HEAD + LONG[:1000] and len(proxy.reactor.tcpClients) == 2
+
+
+def test_concurrent_long_writes_larger_than_the_memory(make_launcher):
+    servers = [Node(), Node(), Node()]
+    launcher = make_launcher(*servers)
+    timeout_ns = 5 * 10**9
+    request_class = {
+        "name": "put",
+        "semantics": "token",
+        "latency_budget": timeout_ns,
+        "give_up": timeout_ns,
+        "window": timeout_ns,
+    }
     limits = {"most_write_outs": 3, "streams_per_conn": 1, "may_duplicate": True}
-    process = at.start(limits={"memory_mb": 64}, settings={"methods": [one], "limits": limits})
+    process = launcher.start(
+        limits={"memory_mb": 64}, settings={"methods": [request_class], "limits": limits}
+    )
     value, answers = b"long" * (1 << 20), []
 
     def write(number):
-        for again in range(1000):
-            ident = b"%d.%d" % (number, again)
-            text = encode_command(b"OBJ.SET", b"%x" % number, ident, b"c=put,d=5000,k=1", value)
-            with socket.create_connection(at.address, timeout=30) as asking:
-                for piece in range(0, len(text), 1 << 18):
-                    asking.sendall(text[piece : piece + (1 << 18)])
+        for attempt in range(1000):
+            request_id = b"%d.%d" % (number, attempt)
+            command = encode_command(b"OBJ.SET", b"%x" % number, request_id, b"c=put,d=5000,k=1", value)
+            with socket.create_connection(launcher.address, timeout=30) as client:
+                for start in range(0, len(command), 1 << 18):
+                    client.sendall(command[start : start + (1 << 18)])
                     time.sleep(0.02)
-                answer = asking.recv(100)
+                answer = client.recv(100)
             if answer != b"-BUSY\r\n":
-                return answers.append((ident, answer))
+                return answers.append((request_id, answer))
 
     writers = [threading.Thread(target=write, args=(number,)) for number in range(30)]
     for writer in writers:
@@ -223,7 +233,10 @@
     for writer in writers:
         writer.join()
     with open(f"/proc/{process.pid}/status") as status:
-        most = int(re.search(r"VmHWM:\s+(\d+)", status.read())[1]) >> 10
-    ran = [ident for node in nodes for ident in node.ids]
-    assert sorted(answers) == sorted((ident, encode_bulk(ident)) for ident in ran) and len(answers) == 30
-    assert len(ran) == len(set(ran)) and most < 64
+        peak_mb = int(re.search(r"VmHWM:\s+(\d+)", status.read())[1]) >> 10
+    executed = [request_id for server in servers for request_id in server.ids]
+    assert (
+        sorted(answers) == sorted((request_id, encode_bulk(request_id)) for request_id in executed)
+        and len(answers) == 30
+    )
+    assert len(executed) == len(set(executed)) and peak_mb < 64
