--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -319,9 +319,8 @@
     client = connect_client(proxy)
     client.dataReceived(encode_get(fields=b"c=pay,t=t,d=900"))
     open_server_connection(proxy).connectionLost(Failure(ConnectionLost()))
-    assert (
-        client.transport.take_output() == b"-ERR failed\r\n"
-    )  # it is not retried, and the client is not told that a retry is safe
+    # The request is not retried, and the client is not told that a retry is safe.
+    assert client.transport.take_output() == b"-ERR failed\r\n"
 
 
 def test_after_a_refused_connection_the_attempt_was_not_executed():
@@ -605,11 +604,8 @@
     outcomes = []
     proxy.server_pools.on_outcome = lambda in_flight, outcome, value: outcomes.append(outcome)
     connections[0].connectionLost(Failure(ConnectionLost()))
-    assert outcomes == [
-        Outcome.CONNECTION_LOST,
-        Outcome.CANCELLED,
-        Outcome.CANCELLED,
-    ]  # the break counts once against the server
+    # The break counts once against the server.
+    assert outcomes == [Outcome.CONNECTION_LOST, Outcome.CANCELLED, Outcome.CANCELLED]
 
 
 def test_attempts_are_not_pipelined_behind_a_cancelled_attempt():
@@ -701,9 +697,8 @@
         proxy.endpoints.update(make_entries(1, "DELETED", instanceId=f"x{number}"), False)
     proxy.endpoints.update(make_entries(2, "DRAINING"), False)
     proxy.endpoints.update(make_entries(2, "DELETED"), False)
-    assert (
-        [*proxy.balancer.servers] == [*proxy.server_pools.pools] == [busy.pool.name]
-    )  # its attempt is in flight
+    # The state of a server with an attempt in flight is retained.
+    assert [*proxy.balancer.servers] == [*proxy.server_pools.pools] == [busy.pool.name]
     busy.dataReceived(encode_hit())
     busy.connectionLost(Failure(ConnectionDone()))
     proxy.endpoints.update([], False)
