--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -1,6 +1,6 @@
 """The command line: `python -m ivystack COMMAND`.
 
-Without a command the program is the proxy, and this module with its imports is not loaded.
+Without a command the program runs the proxy and does not load this module or its imports.
 """
 
 from __future__ import annotations
@@ -17,25 +17,27 @@
 from .rig.command import rig
 
 EXIT_FAILURE = 1
-EXIT_FAULT = 2  # a configuration, file or argument is at fault
+EXIT_FAULT = 2  # a configuration, file or argument is invalid
 STATUS_TIMEOUT_S = 5
 HTTP_OK = 200
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A sidecar proxy that spreads keys over cache servers.  Without a command it serves, as LB_CONFIG says.
+    """A sidecar proxy that spreads keys over cache servers.
 
-    Exit codes: 0 success, 1 a violation or an address in use, 2 a configuration, file or argument at fault.
+    Without a command, serve clients with the configuration file that LB_CONFIG names.
+
+    Exit codes: 0 success; 1 a violation, or an address in use; 2 an invalid configuration, file or argument.
     """
 
 
 @main.command()
-@click.option("--config", type=click.Path(), help="The configuration; LB_CONFIG where it is not given.")
-@click.option("--fleet", type=click.Path(), help="The operators' file of the fleet; LB_FLEET if not given.")
+@click.option("--config", type=click.Path(), help="Configuration file (default: LB_CONFIG).")
+@click.option("--fleet", type=click.Path(), help="Fleet file of the operators (default: LB_FLEET).")
 @click.pass_obj
 def serve(start: Callable[[], int], config: str | None, fleet: str | None) -> None:
-    """Serve clients, as without a command."""
+    """Serve clients (the default without a command)."""
     if config:
         os.environ["LB_CONFIG"] = config
     if fleet:
@@ -45,9 +47,13 @@
 
 @main.command("check-config")
 @click.argument("config", type=click.Path(), required=False)
-@click.option("--fleet", type=click.Path(), help="The operators' file of the fleet, checked too, or alone.")
+@click.option(
+    "--fleet",
+    type=click.Path(),
+    help="Also check this fleet file; without CONFIG and LB_CONFIG, check it alone.",
+)
 def check_config(config: str | None, fleet: str | None) -> None:
-    """Read the configuration (default: what LB_CONFIG names) and say what is wrong with it."""
+    """Check the file CONFIG (default: LB_CONFIG) and print what is wrong with it."""
     from .configuration.process import load
 
     fleet_is_faulty = fleet is not None and not check_fleet(fleet)
@@ -60,36 +66,38 @@
         click.echo(str(error), err=True)
         sys.exit(EXIT_FAULT)
     classes = len(run.settings.request_classes)
-    click.echo(f"good: name={run.name} listen={run.listen[0]}:{run.listen[1]} classes={classes}")
+    click.echo(
+        f"configuration is valid: name={run.name} listen={run.listen[0]}:{run.listen[1]} classes={classes}"
+    )
     sys.exit(fleet_code)
 
 
 def check_fleet(path: str) -> bool:
-    """Return whether the operators' file can be used; print each of its faults on a line."""
+    """Return whether the fleet file is valid; print its errors, one per line."""
     from .fleet.config import check_file
 
     try:
         check = check_file(Path(path).read_text(), Path(path).parent)
     except (OSError, UnicodeDecodeError) as error:
-        click.echo(f"{path}: {getattr(error, 'strerror', None) or 'no plain text'}", err=True)
+        click.echo(f"{path}: {getattr(error, 'strerror', None) or 'not a UTF-8 text file'}", err=True)
         return False
     for line in check.faults:
         click.echo(f"{path}: {line}", err=True)
     if check.file is not None and not check.faults:
-        click.echo(f"good: a group of {len(check.file.group.members)}")
+        click.echo(f"fleet file is valid: a group of {len(check.file.group.members)} members")
     return not check.faults
 
 
 @main.group()
 def fleet() -> None:
-    """What the proxies of a fleet do together."""
+    """Key files and state of a fleet of proxies."""
 
 
 @fleet.command("key")
 @click.argument("path", type=click.Path())
-@click.option("--id", "ident", default="k1", show_default=True, help="Its name in logs.")
+@click.option("--id", "ident", default="k1", show_default=True, help="Name of the key in logs.")
 def key(path: str, ident: str) -> None:
-    """Write a new key file; an existing file is never overwritten."""
+    """Write a new key file to PATH; never overwrite an existing file."""
     from .mesh.keys import write_key_file
 
     try:
@@ -102,7 +110,7 @@
 @fleet.command("status")
 @click.argument("admin")
 def status(admin: str) -> None:
-    """Print the fleet's state, as JSON, from the proxy whose admin address is ADMIN."""
+    """Print the fleet state as JSON, read from the proxy with the admin address ADMIN."""
     from http.client import HTTPConnection, HTTPException
 
     try:
@@ -114,7 +122,7 @@
         click.echo(f"{admin}: {error}", err=True)
         sys.exit(EXIT_FAILURE)
     if response.status != HTTP_OK:
-        click.echo(f"{admin}: {response.status}: the fleet's parts are off there", err=True)
+        click.echo(f"{admin}: {response.status}: this proxy runs no fleet services", err=True)
         sys.exit(EXIT_FAILURE)
     click.echo(json.dumps(json.loads(text), indent=1))
 
--- a/ivystack/migrate.py
+++ b/ivystack/migrate.py
@@ -1,9 +1,10 @@
 """The command that migrates an operator's configuration from the old deployment shape to the new one.
 
-The old shape has many requests a connection, static weights or none, and no load reports; the new one has one
-request a connection, weights that follow the load, and load reports with answers.  The source is never
-changed, no file is overwritten, and nothing is written that the proxy would reject.  Exit codes: 0 everything
-was carried over; 1 done, but the keys listed were not carried over; 2 nothing was written, one line says why.
+The old shape has many requests per connection, static weights or none, and no load reports.  The new one has
+one request per connection, weights that follow the load, and load reports with answers.  The source is never
+changed, no file is overwritten, and a configuration that the proxy would reject is not written.  Exit codes:
+0 everything was carried over; 1 the keys and zones that are listed were left out; 2 nothing was written, and
+one line gives the reason.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     convert,
 )
 
-# The schema of each object of the file, by the path of its keys.
+# The schema of each object in the file, by its key path.
 SCHEMAS: dict[tuple[str, ...], type[msgspec.Struct]] = {
     (): ConfigurationFile,
     ("limits",): MachineLimits,
@@ -53,24 +54,24 @@
 EXIT_FAULT = 2
 
 DESCRIPTION = (
-    "Reads a configuration for the old shape (many requests a connection, static weights or none, no load"
-    " reports) and writes its counterpart for the new one (one request a connection, weights that follow the"
-    " load, load reports with answers). Exit codes: 0 all carried over; 1 done, but what is listed was not"
-    " carried over; 2 a file is missing, no JSON or faulty, and nothing was written."
+    "Reads a configuration for the old shape (many requests per connection, static weights or none, no load"
+    " reports) and writes its equivalent for the new one (one request per connection, weights that follow the"
+    " load, load reports with answers). Exit codes: 0 everything was carried over; 1 what is listed was not"
+    " carried over; 2 nothing was written, as a file is missing, not JSON or invalid."
 )
 
 
 def known_keys(path: tuple[str, ...]) -> set[str] | None:
-    """Return the keys that the program reads in the object at that path; None: any key is data."""
+    """Return the keys that the proxy reads in the object at a key path; None if any key is data."""
     schema = SCHEMAS.get(path)
     return {field.encode_name for field in msgspec.structs.fields(schema)} if schema else None
 
 
 def keep_known_keys(value: Any, path: tuple[str, ...], dropped: list[str], label: str = "") -> Any:
-    """Return the value with only the keys that the program reads.
+    """Return the value with only the keys that the proxy reads.
 
-    :param dropped: gets a line for each other key.
-    :param label: the value's place in the file, as those lines call it.
+    :param dropped: a line is appended for each other key.
+    :param label: the position of the value in the file, as shown in those lines.
     """
     names = known_keys(path)
     if isinstance(value, list) and names:
@@ -85,31 +86,31 @@
         if key in names:
             kept[key] = keep_known_keys(entry, (*path, key), dropped, entry_label)
         else:
-            dropped.append(f"`{entry_label}`: the program knows no such key")
+            dropped.append(f"`{entry_label}`: unknown key")
     return kept
 
 
 def rename_zones(
     names: list[Any], zones: Mapping[str, str], dropped: list[str], label: str
 ) -> Iterator[tuple[int, Any]]:
-    """Yield the index and the new name of each zone that is mapped or is a new name already.
+    """Yield the index and the new name of each zone that has a mapping or is already a new name.
 
-    Without a mapping all zones stay as they are.
+    With an empty mapping, yield all zones unchanged.
     """
     for index, zone in enumerate(names):
         if not zones or zone in zones or zone in zones.values():
             yield index, zones.get(zone, zone)
         else:
-            dropped.append(f"`{label}`: [{index}]: the location {zone!r} is mapped to none")
+            dropped.append(f"`{label}`: [{index}]: no new name is given for the zone {zone!r}")
 
 
 def migrate(
     old: dict[str, Any], zones: Mapping[str, str], columns: list[str]
 ) -> tuple[dict[str, Any], list[str]]:
-    """Return the configuration for the new shape, and a line for each thing that was not carried over.
+    """Return the configuration for the new shape, and a line for each key or zone not carried over.
 
-    :param zones: new names of zones, by their old ones.
-    :param columns: the figures that servers report of their load.
+    :param zones: new zone names, by old name.
+    :param columns: the names of the figures in the servers' load reports.
     """
     dropped: list[str] = []
     new = keep_known_keys(old, (), dropped)
@@ -122,18 +123,18 @@
 
 
 def migrate_discovery(settings: dict[str, Any], dropped: list[str]) -> None:
-    """Have endpoint lists pushed."""
+    """Replace polling of the endpoint list by push."""
     rules = settings.get("rules")
     if isinstance(rules, dict) and rules.get("ask_within") is not None:
         settings["rules"] = {key: value for key, value in rules.items() if key != "ask_within"}
-        dropped.append("`settings.rules.ask_within`: lists are pushed now")
+        dropped.append("`settings.rules.ask_within`: endpoint lists are pushed, so no poll interval applies")
     if settings.get("discovery") == "ask":
-        dropped.append("`settings.discovery`: lists are pushed now; nothing asks for one any more")
+        dropped.append("`settings.discovery`: endpoint lists are pushed instead of polled")
     settings["discovery"] = "push"
 
 
 def migrate_shape(settings: dict[str, Any], columns: list[str]) -> None:
-    """Set what makes the new shape; load reports that the file already sets up stay as they are."""
+    """Set the keys of the new shape; load reports that are already configured stay unchanged."""
     settings["weight_source"] = "live"
     settings["limits"] = dict(settings.get("limits") or {}) | {"streams_per_conn": 1}
     reporting = dict(settings.get("reporting") or {})
@@ -143,7 +144,7 @@
 
 
 def migrate_settings_zones(settings: dict[str, Any], zones: Mapping[str, str], dropped: list[str]) -> None:
-    """Rename the instance's own zone and the list of all zones."""
+    """Rename the zone of the instance and the zones in the list of all zones."""
     if settings.get("zone") is not None:
         renamed = rename_zones([settings["zone"]], zones, dropped, "settings.zone")
         settings["zone"] = next((name for _, name in renamed), None)
@@ -153,7 +154,7 @@
 
 
 def migrate_known_endpoints(new: dict[str, Any], zones: Mapping[str, str], dropped: list[str]) -> None:
-    """Rename the zones of the endpoints in the file, and leave out those of zones that are not mapped."""
+    """Rename the zones of the known endpoints; leave out endpoints whose zone has no new name."""
     known = new.get("known")
     if not isinstance(known, dict) or not isinstance(known.get("instances"), list):
         return
@@ -164,9 +165,9 @@
 
 
 def read(path: Path) -> dict[str, Any]:
-    """Return the object that the old file holds.
+    """Return the JSON object in the old file.
 
-    :raises ConfigurationError: it can't be read or holds no JSON object.
+    :raises ConfigurationError: if the file can't be read or does not contain a JSON object.
     """
     try:
         values = json.loads(path.read_bytes())
@@ -182,7 +183,7 @@
 def write(path: Path, text: str) -> None:
     """Write a new file completely or not at all.
 
-    :raises ConfigurationError: it can't be written, or there is such a file.
+    :raises ConfigurationError: if the file can't be written or already exists.
     """
     part = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -190,7 +191,7 @@
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.link(part, path)  # unlike a rename, this fails where there is a file
+        os.link(part, path)  # unlike a rename, a link fails if the file exists
     except OSError as error:
         raise ConfigurationError(f"`NEW`: {error.strerror}: {path}") from None
     finally:
@@ -198,7 +199,7 @@
 
 
 def zone_mapping(text: str) -> tuple[str, str]:
-    """Return the old and the new name of a `--zone` option."""
+    """Parse a `--zone` option; return the old and the new name."""
     old, sign, new = text.partition("=")
     if not (old and sign and new):
         raise argparse.ArgumentTypeError(f"wanted OLD=NEW, got {text!r}")
@@ -206,42 +207,42 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command's arguments."""
+    """Return the argument parser of the command."""
     parser = argparse.ArgumentParser(prog="python -m ivystack.migrate", description=DESCRIPTION)
-    parser.add_argument("old", metavar="OLD", type=Path, help="the configuration's file; never changed")
+    parser.add_argument("old", metavar="OLD", type=Path, help="the configuration file to read; never changed")
     parser.add_argument("new", metavar="NEW", type=Path, help="the file to write; must not exist yet")
-    parser.add_argument("--dry-run", action="store_true", help="list and check all, write nothing")
+    parser.add_argument("--dry-run", action="store_true", help="check and list everything, but write nothing")
     parser.add_argument(
         "--zone",
         metavar="OLD=NEW",
         type=zone_mapping,
         action="append",
         default=[],
-        help="a zone's new name; servers of zones that are neither named nor a new name are left out",
+        help="the new name of a zone; servers in zones that are no OLD or NEW of such an option are left out",
     )
     parser.add_argument(
         "--columns",
         metavar="NAMES",
         default="active,waiting",
-        help="what the servers report of their load, by the wire's names (active, waiting, cpu, avg_ms, rps)",
+        help="the fields of the servers' load reports (active, waiting, cpu, avg_ms, rps)",
     )
     return parser
 
 
 def check(values: dict[str, Any]) -> None:
-    """Check a whole configuration.
+    """Validate a complete configuration.
 
-    :raises ConfigurationError: names the key at fault.
+    :raises ConfigurationError: if it is invalid; the message names the key.
     """
     ProcessConfiguration(convert(values, ConfigurationFile))
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the command; return its exit code."""
+    """Run the command and return its exit code."""
     options = build_parser().parse_args(arguments)
     try:
         old = read(options.old)
-        check(old)  # first, so that a fault is reported by its key in the old file
+        check(old)  # checked first, so that an error names the key in the old file
         columns = [name for name in options.columns.split(",") if name]
         new, dropped = migrate(old, dict(options.zone), columns)
         check(new)
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -216,7 +216,7 @@
         try:
             path.unlink(missing_ok=True)
             self.reactor.listenUNIX(str(path), StateServerFactory(self), mode=SOCKET_MODE)
-        except (CannotListenError, OSError) as error:  # for example, a path that is too long or a missing folder
+        except (CannotListenError, OSError) as error:  # the path may be too long or the folder missing
             logger.warning("hot restart: the state can't be served to the next process: {}", error)
 
     def connection_opened(self, connection: LineReceiver) -> None:
