--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,7 +1,7 @@
-"""Each command of the command line and each benchmark runs at a small size without a programming error.
+"""Each command and each benchmark runs at a small size without a programming error.
 
-A rename once left one use behind: `rig swarm` passed a keyword that its class no longer had, and no test
-called that command.
+Guards against a rename that misses a use: `rig swarm` once passed a keyword argument that its class no longer
+had, and no test ran that command.
 """
 
 import subprocess
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).parent.parent
 NO_FILE = "no-such-file"
-COMMANDS = {  # command: its arguments, the expected exit code
+COMMANDS = {  # command: its arguments and the expected exit code
     "serve": (["--config", NO_FILE], 2),
     "check-config": ([NO_FILE], 2),
     "fleet key": (["{folder}/fleet.key"], 0),
@@ -30,7 +30,7 @@
 
 
 def commands(group, prefix=()):
-    """Yield the words of each command below `group`."""
+    """Yield the full name of each command below `group`."""
     for name, command in group.commands.items():
         if isinstance(command, click.Group):
             yield from commands(command, (*prefix, name))
@@ -38,17 +38,17 @@
             yield " ".join((*prefix, name))
 
 
-def run(*words):
-    """Run Python with `words` from the root; return the exit code and the error output."""
-    done = subprocess.run(
-        [sys.executable, "-B", *words],
+def run(*arguments):
+    """Run Python with `arguments` in the root directory; return the exit code and the error output."""
+    completed = subprocess.run(
+        [sys.executable, "-B", *arguments],
         cwd=ROOT,
         env={"PYTHONPATH": "."},
         capture_output=True,
         text=True,
         timeout=60,
     )
-    return done.returncode, done.stderr
+    return completed.returncode, completed.stderr
 
 
 def test_each_command_has_a_case():
@@ -58,8 +58,8 @@
 @pytest.mark.parametrize("command", COMMANDS)
 def test_each_command_runs(command, tmp_path):
     arguments, expected = COMMANDS[command]
-    words = [word.format(folder=tmp_path) for word in arguments]
-    code, errors = run("-m", "ivystack", *command.split(), *words)
+    formatted = [argument.format(folder=tmp_path) for argument in arguments]
+    code, errors = run("-m", "ivystack", *command.split(), *formatted)
     assert "Traceback" not in errors
     assert code == expected, errors
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,3 +1,5 @@
+"""The program as a real process: start, readiness, reload, drain and exit codes."""
+
 import json
 import os
 import signal
@@ -15,7 +17,7 @@
 
 @pytest.fixture
 def started(tmp_path):
-    """Starts the program with a configuration; kills what a test leaves running."""
+    """Start the program with a configuration; kill the processes that the test leaves running."""
     running = []
 
     def start(**config):
@@ -38,27 +40,28 @@
 
 
 class Agent(threading.Thread):
-    """Discovery as far as it tells that it is called: takes one connection and keeps it open."""
+    """A stand-in for discovery that accepts one connection, records the request and never answers."""
 
     def __init__(self):
         super().__init__(daemon=True)
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(10)
-        self.address = f"127.0.0.1:{self.door.getsockname()[1]}"
-        self.asked = b""
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.settimeout(10)
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.request = b""
         self.start()
 
     def run(self):
-        self.one = self.door.accept()[0]
-        self.asked = self.one.recv(1000)
+        self.connection = self.listener.accept()[0]
+        self.request = self.connection.recv(1000)
 
 
 def free_port():
-    with socket.create_server(("127.0.0.1", 0)) as one:
-        return one.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return listener.getsockname()[1]
 
 
 def connected(port):
+    """Connect to a port of the loopback address, with retries until it listens."""
     for _ in range(100):
         try:
             return socket.create_connection(("127.0.0.1", port), timeout=5)
@@ -67,13 +70,13 @@
     raise TimeoutError
 
 
-def test_a_faulty_configuration_ends_it_with_code_2_and_one_line(started):
+def test_an_invalid_configuration_ends_the_process_with_code_2_and_one_line(started):
     process = started(listen="127.0.0.1:0", discovery="127.0.0.1:1", settings={})
-    _, told = process.communicate(timeout=10)
-    assert process.returncode == 2 and told.count(b"\n") == 1 and b"listen" in told
+    _, log = process.communicate(timeout=10)
+    assert process.returncode == 2 and log.count(b"\n") == 1 and b"listen" in log
 
 
-def test_a_taken_address_ends_it_with_code_1(started):
+def test_an_address_in_use_ends_the_process_with_code_1(started):
     with socket.create_server(("127.0.0.1", 0)) as other:
         address = f"127.0.0.1:{other.getsockname()[1]}"
         process = started(listen=address, discovery=f"127.0.0.1:{free_port()}", settings={})
@@ -81,28 +84,28 @@
     assert process.returncode == 1
 
 
-def test_it_serves_until_sigterm_and_half_a_second_more(started):
-    # Discovery is away all the while, and strange bytes come: neither may take it down.
+def test_the_proxy_serves_until_half_a_second_after_sigterm(started):
+    # Neither an unreachable discovery nor a client that sends garbage may end the process.
     port, node = free_port(), {"instanceId": "a", "hostPort": "127.0.0.1:1", "lifecycle": "SERVING"}
     known = {"generation": 1, "reset": True, "instances": [node]}
     process = started(
         listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{free_port()}", settings={}, known=known
     )
-    with connected(port) as strange:
-        strange.sendall(bytes(range(256)) + b"\r\n")
-        assert strange.recv(100).startswith(b"-ERR ")
+    with connected(port) as client:
+        client.sendall(bytes(range(256)) + b"\r\n")
+        assert client.recv(100).startswith(b"-ERR ")
     process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
-    with connected(port) as asking:
-        asking.sendall(encode_command(b"PING"))
-        assert asking.recv(100) == b"-ERR draining\r\n"
-        assert asking.recv(100) == b""  # closed between reqs
+    with connected(port) as client:
+        client.sendall(encode_command(b"PING"))
+        assert client.recv(100) == b"-ERR draining\r\n"
+        assert client.recv(100) == b""  # closed between requests
     process.communicate(timeout=10)
     assert process.returncode == 0
 
 
-def test_sighup_moves_to_the_files_discovery_and_a_faulty_file_changes_nothing(started, tmp_path):
-    # Guards against ending on SIGHUP, and against staying with a discovery that closes.
+def test_sighup_applies_a_new_discovery_address_and_rejects_an_invalid_file(started, tmp_path):
+    # Guards against a process that ends on SIGHUP, or that keeps calling the previous discovery address.
     port, old, new = free_port(), Agent(), Agent()
     config = {"listen": f"127.0.0.1:{port}", "settings": {}}
     process = started(**config, discovery=old.address)
@@ -114,52 +117,52 @@
         time.sleep(0.2)
     new.join(10)
     process.terminate()
-    _, told = process.communicate(timeout=10)
-    assert process.returncode == 0 and b"index=0" in old.asked and b"index=0" in new.asked
-    assert told.count(b"configuration rejected") == 1 and b"code=moved" in told
+    _, log = process.communicate(timeout=10)
+    assert process.returncode == 0 and b"index=0" in old.request and b"index=0" in new.request
+    assert log.count(b"configuration rejected") == 1 and b"code=moved" in log
 
 
 def call(port, method, path):
-    """The status of a call at the operators' address."""
-    with closing(HTTPConnection("127.0.0.1", port, timeout=10)) as caller:
-        caller.request(method, path)
-        return caller.getresponse().status
+    """Send a request to the admin address and return the status."""
+    with closing(HTTPConnection("127.0.0.1", port, timeout=10)) as connection:
+        connection.request(method, path)
+        return connection.getresponse().status
 
 
-def test_operators_drain_it_and_bring_it_back_beside_callers_that_say_nothing_whole(started):
-    port, operators = free_port(), free_port()
+def test_drain_and_its_end_work_beside_incomplete_admin_requests(started):
+    port, admin_port = free_port(), free_port()
     node = {"instanceId": "a", "hostPort": "127.0.0.1:1", "lifecycle": "SERVING"}
     started(
         listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{free_port()}", settings={},
-        admin_addr=f"127.0.0.1:{operators}", known={"generation": 1, "reset": True, "instances": [node]},
+        admin_addr=f"127.0.0.1:{admin_port}", known={"generation": 1, "reset": True, "instances": [node]},
     )  # fmt: skip
     connected(port).close()
-    holding = []
-    for _ in range(40):  # each says its half while it is the newest: the oldest are cut off beyond sixteen
-        holding.append(connected(operators))
-        holding[-1].sendall(b"GET /_ready HTTP/1.1\r\n")
+    incomplete = []
+    for _ in range(40):  # at most 16 connections stay open; each new one closes the oldest
+        incomplete.append(connected(admin_port))
+        incomplete[-1].sendall(b"GET /_ready HTTP/1.1\r\n")
     try:
-        assert call(operators, "GET", "/_ready") == 200
+        assert call(admin_port, "GET", "/_ready") == 200
         with connected(port) as idle:
             idle.sendall(encode_command(b"PING"))
             assert idle.recv(100) == b"+PONG\r\n"
-            assert call(operators, "POST", "/_lameduck/on") == 200
+            assert call(admin_port, "POST", "/_lameduck/on") == 200
             assert idle.recv(100) == b""  # closed by the drain
         with connected(port) as new:
             new.sendall(encode_command(b"PING"))
             assert new.recv(100) == b"-ERR draining\r\n" and new.recv(100) == b""
-        assert call(operators, "GET", "/_ready") == 503
-        assert call(operators, "POST", "/_lameduck/off") == 200 == call(operators, "GET", "/_ready")
+        assert call(admin_port, "GET", "/_ready") == 503
+        assert call(admin_port, "POST", "/_lameduck/off") == 200 == call(admin_port, "GET", "/_ready")
     finally:
-        for one in holding:
-            one.close()
+        for connection in incomplete:
+            connection.close()
 
 
-def test_an_operators_address_that_is_taken_ends_it_with_code_1_and_one_line(started):
+def test_an_admin_address_in_use_ends_the_process_with_code_1_and_one_line(started):
     with socket.create_server(("127.0.0.1", 0)) as other:
-        taken = f"127.0.0.1:{other.getsockname()[1]}"
+        admin_address = f"127.0.0.1:{other.getsockname()[1]}"
         process = started(
-            listen=f"127.0.0.1:{free_port()}", discovery="127.0.0.1:1", settings={}, admin_addr=taken
+            listen=f"127.0.0.1:{free_port()}", discovery="127.0.0.1:1", settings={}, admin_addr=admin_address
         )
-        _, told = process.communicate(timeout=10)
-    assert process.returncode == 1 and told.count(b"\n") == 1 and taken.encode() in told
+        _, log = process.communicate(timeout=10)
+    assert process.returncode == 1 and log.count(b"\n") == 1 and admin_address.encode() in log
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' address and sending clients away."""
+"""The admin address: readiness, and draining client connections."""
 
 from helpers import S, Transport, client, entries, get, hit, link, proxy
 from twisted.internet.error import ConnectionDone
@@ -17,45 +17,45 @@
     return made
 
 
-def caller(made):
+def admin_connection(made):
     channel = made.admin.buildProtocol(None)
     channel.makeConnection(Transport())
     return channel
 
 
 def ask(made, call):
-    """The status that a call is answered with."""
-    channel = caller(made)
+    """Send an admin request; return the status of the response."""
+    channel = admin_connection(made)
     channel.dataReceived(call.encode() + b" HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert channel.transport.disconnecting  # one call a connection
+    assert channel.transport.disconnecting  # one request per connection
     channel.connectionLost(Failure(ConnectionDone()))
     return int(channel.transport.value().split()[1])
 
 
 def answered(made, count):
-    """Connections of clients that have had an answer, the longest idle first."""
-    asking = []
+    """Return idle connections of clients that have received an answer, the longest idle first."""
+    clients = []
     for _ in range(count):
-        asking.append(client(made))
-        asking[-1].dataReceived(PING)
-        asking[-1].transport.clear()
-    return asking
+        clients.append(client(made))
+        clients[-1].dataReceived(PING)
+        clients[-1].transport.clear()
+    return clients
 
 
-def left(asking):
-    return [one for one in asking if not one.transport.disconnecting]
+def still_open(clients):
+    return [connection for connection in clients if not connection.transport.disconnecting]
 
 
-def test_ready_is_yes_exactly_while_clients_are_taken():
+def test_readiness_is_200_exactly_while_clients_are_accepted():
     made = proxy(0)
     made.endpoint_watch.request_watch = lambda: None
     assert ask(made, "GET /_ready") == 503  # not started
     made.start()
-    assert ask(made, "GET /_ready") == 503  # no node
+    assert ask(made, "GET /_ready") == 503  # no server is ready
     made.endpoints.update(entries(1), True)
     assert ask(made, "GET /_ready") == 200
     assert ask(made, "POST /_lameduck/on") == 200 and ask(made, "GET /_ready") == 503
-    assert ask(made, "POST /_lameduck/on") == 200  # no harm in saying it twice
+    assert ask(made, "POST /_lameduck/on") == 200  # a repeated call has no effect
     assert ask(made, "POST /_lameduck/off") == 200 and ask(made, "GET /_ready") == 200
     assert ask(made, "POST /_lameduck/off") == 200
     made.terminate()
@@ -63,129 +63,132 @@
     assert ask(made, "POST /_lameduck/on") == 200 and made.client_server.drain.code == "stopping"
 
 
-def test_what_is_no_call_is_answered_no_and_changes_nothing():
+def test_invalid_admin_requests_are_rejected_and_change_nothing():
     made = serving()
     assert ask(made, "GET /") == 404 and ask(made, "POST /_ready") == 405
     assert ask(made, "GET /_lameduck/on") == 405 and ask(made, "nonsense") == 400
-    long = caller(made)
+    too_long = admin_connection(made)
     head = b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"
-    long.dataReceived(head + b"x" * (MAX_BODY_BYTES + 1))
-    endless = caller(made)
+    too_long.dataReceived(head + b"x" * (MAX_BODY_BYTES + 1))
+    endless = admin_connection(made)
     endless.dataReceived(b"GET /_ready HTTP/1.1\r\n" + b"A: b\r\n" * 5_000)
     assert (
-        long.transport.disconnected and endless.transport.disconnecting and not made.client_server.drain.code
+        too_long.transport.disconnected
+        and endless.transport.disconnecting
+        and not made.client_server.drain.code
     )
 
 
-def test_callers_without_a_whole_call_keep_nobody_from_an_answer():
-    # Guards the operators: each of these holds its connection, and they are more than may be open at once.
+def test_incomplete_admin_requests_do_not_block_others():
+    # More connections with an incomplete request than may be open at once must not lock the operators out.
     made = serving()
-    holding = [caller(made) for _ in range(3 * AdminServer.MAX_CONNECTIONS)]
-    for one in holding:
-        one.dataReceived(b"GET /_ready HT")
+    incomplete = [admin_connection(made) for _ in range(3 * AdminServer.MAX_CONNECTIONS)]
+    for channel in incomplete:
+        channel.dataReceived(b"GET /_ready HT")
     assert ask(made, "GET /_ready") == 200
-    assert len(made.admin.channels) <= AdminServer.MAX_CONNECTIONS and holding[0].transport.disconnected
-    assert not holding[-1].transport.disconnected
+    assert len(made.admin.channels) <= AdminServer.MAX_CONNECTIONS and incomplete[0].transport.disconnected
+    assert not incomplete[-1].transport.disconnected
     made.reactor.advance(AdminServer.REQUEST_TIMEOUT / S)
-    assert all(one.transport.disconnected for one in holding)
+    assert all(channel.transport.disconnected for channel in incomplete)
 
 
-def test_a_drain_closes_idle_clients_in_slices_the_longest_idle_first():
+def test_a_drain_closes_idle_clients_in_batches_the_longest_idle_first():
     made = serving()
-    asking = answered(made, 100)
+    clients = answered(made, 100)
     ask(made, "POST /_lameduck/on")
     counts = []
     for _ in range(60):
         made.reactor.advance(0.02)
-        counts.append(len(left(asking)))
-        assert left(asking) == asking[100 - counts[-1] :]
+        counts.append(len(still_open(clients)))
+        assert still_open(clients) == clients[100 - counts[-1] :]
     assert counts[5] > 80 and counts[-1] == 0
     assert max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 4  # never all at once
 
 
-def test_in_a_drain_answer_and_end_go_out_together_and_ping_says_no():
+def test_a_drain_closes_a_busy_connection_after_its_answer_and_refuses_ping():
     made = serving()
-    busy, late = client(made), client(made)
+    busy, unused = client(made), client(made)
     busy.dataReceived(get(b"1", fields=b"c=read,d=900"))
-    node = link(made)
+    server_connection = link(made)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 20)
     assert not busy.transport.disconnecting
-    node.dataReceived(hit())
+    server_connection.dataReceived(hit())
     assert busy.transport.took() == b"$1\r\nv\r\n" and busy.transport.disconnecting and busy.code == "drained"
-    new = client(made)  # the front may send some for a while: it is served, and then closed
+    new = client(made)  # new connections may still arrive: they are served, then closed
     new.dataReceived(PING)
     assert new.transport.took() == b"-ERR draining\r\n" and new.transport.disconnecting
-    assert late.transport.disconnecting  # had said nothing
+    assert unused.transport.disconnecting  # has sent nothing
 
 
-def test_commands_that_came_together_are_all_answered_before_the_end():
+def test_pipelined_commands_are_all_answered_before_a_drain_closes_the_connection():
     made = serving()
-    asking = client(made)
+    connection = client(made)
     ask(made, "POST /_lameduck/on")
-    asking.dataReceived(PING + get(b"1") + PING)
+    connection.dataReceived(PING + get(b"1") + PING)
     link(made).dataReceived(hit())
-    assert asking.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
-    assert asking.transport.disconnecting
+    assert connection.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
+    assert connection.transport.disconnecting
 
 
-def test_a_req_that_crosses_the_end_is_read_and_served():
+def test_a_request_that_crosses_the_close_of_a_drain_is_served():
     made = serving()
-    asking = answered(made, 1)[0]
-    parts = []
-    made.client_server.drain.close_batch = lambda *more: parts.append(more)
+    connection = answered(made, 1)[0]
+    batches = []
+    made.client_server.drain.close_batch = lambda *arguments: batches.append(arguments)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 60)
-    asking.dataReceived(get(fields=b"c=read,d=900"))  # between the slice that chose it and its end
+    connection.dataReceived(get(fields=b"c=read,d=900"))  # after it was put in a batch, before it is closed
     del made.client_server.drain.close_batch
-    for more in parts:
-        made.client_server.drain.close_batch(*more)
-    assert parts and not asking.transport.disconnecting
+    for arguments in batches:
+        made.client_server.drain.close_batch(*arguments)
+    assert batches and not connection.transport.disconnecting
     link(made).dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n" and asking.transport.disconnecting
+    assert connection.transport.took() == b"$1\r\nv\r\n" and connection.transport.disconnecting
 
 
-def test_off_in_the_middle_keeps_the_rest_and_says_yes_at_once():
+def test_ending_a_drain_keeps_the_remaining_clients_and_answers_ping():
     made = serving()
-    asking = answered(made, 50)
+    clients = answered(made, 50)
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.02] * 10)
-    some = len(left(asking))
+    remaining = len(still_open(clients))
     ask(made, "POST /_lameduck/off")
     made.reactor.pump([0.02] * 100)
-    assert 0 < some == len(left(asking)) < 50
-    asking[-1].dataReceived(PING)
-    assert asking[-1].transport.took() == b"+PONG\r\n" and not asking[-1].transport.disconnecting
-    for _ in range(3):  # and again, as often as one likes
+    assert 0 < remaining == len(still_open(clients)) < 50
+    clients[-1].dataReceived(PING)
+    assert clients[-1].transport.took() == b"+PONG\r\n" and not clients[-1].transport.disconnecting
+    for _ in range(3):  # repeated drains that are ended at once close nothing
         ask(made, "POST /_lameduck/on"), ask(made, "POST /_lameduck/off")
     made.reactor.pump([0.02] * 100)
-    assert len(left(asking)) == some
+    assert len(still_open(clients)) == remaining
 
 
-def test_a_drain_leaves_no_connection_idle_or_half_said():
+def test_a_drain_closes_idle_connections_and_those_with_a_partial_command():
     made = serving()
-    idle, half, fresh_half = answered(made, 3)
-    for one in (half, fresh_half):
-        one.dataReceived(get()[:-4])
+    idle, partial, other_partial = answered(made, 3)
+    for connection in (partial, other_partial):
+        connection.dataReceived(get()[:-4])
     ask(made, "POST /_lameduck/on")
     made.reactor.pump([0.1] * 21)
-    assert all(one.transport.disconnecting for one in (idle, half, fresh_half))
+    assert all(connection.transport.disconnecting for connection in (idle, partial, other_partial))
 
 
-def test_sigterm_closes_idle_clients_in_slices_too():
+def test_sigterm_closes_idle_clients_in_batches_too():
     made = serving()
-    asking = answered(made, 50)
+    clients = answered(made, 50)
     made.terminate()
-    made.terminate()  # twice is once
+    made.terminate()  # a second call has no effect
     counts = []
     for _ in range(30):
         made.reactor.advance(0.02)
-        counts.append(len(left(asking)))
-    assert counts[-1] == 0 and counts[5] > 25 and {one.code for one in asking} == {"stopping"}
+        counts.append(len(still_open(clients)))
+    assert counts[-1] == 0 and counts[5] > 25 and {connection.code for connection in clients} == {"stopping"}
 
 
-def test_nothing_is_taken_any_more_when_sigkill_could_find_it():
-    # SIGKILL comes 0.7 s after the longest deadline: what is taken later than that may still be held then.
+def test_no_request_is_admitted_that_sigkill_could_interrupt():
+    # SIGKILL comes 0.7 s after the longest deadline, so a request admitted later than 0.7 s after SIGTERM
+    # could still be active then.
     made = serving()
     slow = client(made)
     slow.dataReceived(get()[:-4])
