--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -1,7 +1,7 @@
-"""What earlier versions have stored and sent, byte for byte: the recorded data in tests/data is held to.
+"""Stored and sent bytes are compared with recordings of earlier versions in tests/data.
 
-`python tests/test_golden_state.py FOLDER` records it again; do so only on code whose formats are wanted.
-Names of the package are used by the adapters alone, in the first part of this file.
+`python tests/test_golden_state.py FOLDER` records the data again.  Do so only with code whose formats are
+intended.  Only the adapters in the first part of this file use names of the package.
 """
 
 import json
@@ -19,11 +19,11 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 DATA = Path(__file__).parent / "data"
-MEMBER = "member"  # the folder of the consensus member's directory
-NONCES = bytes(range(16)), bytes(range(16, 32))  # the caller's, the called one's
-LIVES = "0123456789abcdef", "fedcba9876543210"
+MEMBER = "member"  # the name of the consensus member's directory
+NONCES = bytes(range(16)), bytes(range(16, 32))  # of the connecting and of the accepting side
+INCARNATIONS = "0123456789abcdef", "fedcba9876543210"
 MESH_KEY = bytes(range(100, 132))
-LIFE = "0a1b2c3d"  # of the consensus member
+MEMBER_INCARNATION = "0a1b2c3d"  # of the consensus member
 pack = msgspec.msgpack.encode
 
 
@@ -31,8 +31,10 @@
 
 
 def consensus_record(kind, *values):
-    """An entry, a snapshot or a list of members; values in the order on the wire, fields by name, so that
-    fields that change places are seen."""
+    """Return an entry, a snapshot or a configuration.
+
+    The values are in wire order and are assigned to fields by name, so that a reordered field is detected.
+    """
     from ivystack.consensus import messages
 
     kinds = {
@@ -40,12 +42,12 @@
         "snapshot": (messages.Snapshot, "index term configuration data"),
         "members": (messages.Configuration, "voters learners"),
     }
-    made, names = kinds[kind]
-    return made(**dict(zip(names.split(), values, strict=False)))
+    record_type, names = kinds[kind]
+    return record_type(**dict(zip(names.split(), values, strict=False)))
 
 
 def consensus_message(kind, *values):
-    """A message by the letter that it has on the wire; values as above."""
+    """Return a message by its tag on the wire; the values are those of `consensus_record`."""
     from ivystack.consensus import messages
 
     kinds = {
@@ -60,68 +62,68 @@
         "h": (messages.TimeoutNow, "term"),
         "o": (messages.DataLossDetected, "term"),
     }
-    made, names = kinds[kind]
-    return made(**dict(zip(names.split(), values, strict=False)))
+    message_type, names = kinds[kind]
+    return message_type(**dict(zip(names.split(), values, strict=False)))
 
 
-def encode_consensus(what):
+def encode_consensus(message):
     from ivystack.consensus.messages import encode
 
-    return encode(what)
+    return encode(message)
 
 
 def decode_consensus(data):
-    """A message as it arrives: any of them, told apart by its letter."""
+    """Decode a message of any type, which its tag determines."""
     from ivystack.consensus.messages import Message
 
     return msgspec.msgpack.decode(data, type=Message)
 
 
-def consensus_letters():
-    """The letters of all messages that there are."""
+def consensus_tags():
+    """Return the tags of all message types."""
     from ivystack.consensus.messages import Message
 
     return {kind.__struct_config__.tag for kind in Message.__args__}
 
 
-def write_member(folder, saves):
-    """Makes a member's directory in an empty folder by these writes, each in a commit of its own."""
+def write_member(folder, writes):
+    """Create a member's directory in an empty folder; each write is committed separately."""
     from ivystack.consensus.records import WriteBatch
     from ivystack.consensus.storage import Storage
 
     done, failed = queue.SimpleQueue(), []
-    store = Storage(folder, lambda call, *values: call(*values), failed.append)
-    store.open()
-    store.start()
+    storage = Storage(folder, lambda call, *values: call(*values), failed.append)
+    storage.open()
+    storage.start()
     new_names = {"voted": "voted_for", "first": "first_index", "kept_from": "retained_from"}
-    for save in saves:
-        batch = WriteBatch(**{new_names.get(name, name): value for name, value in save.items()})
-        store.save(batch, done.put)
-        assert done.get(timeout=20) == save["number"]
-    store.stop()
+    for write in writes:
+        batch = WriteBatch(**{new_names.get(name, name): value for name, value in write.items()})
+        storage.save(batch, done.put)
+        assert done.get(timeout=20) == write["number"]
+    storage.stop()
     assert not failed
 
 
 def read_member(folder):
-    """What the store finds in a directory, as plain data; ValueError with its code where it takes none."""
+    """Return what the storage reads, as JSON; raise ValueError with its code for a rejected directory."""
     from ivystack.consensus.errors import StorageError
     from ivystack.consensus.storage import Storage
 
-    store = Storage(folder, lambda call, *values: call(*values), None)
+    storage = Storage(folder, lambda call, *values: call(*values), None)
     try:
-        found = store.open()
-    except StorageError as fault:
-        raise ValueError(fault.code) from None
+        found = storage.open()
+    except StorageError as error:
+        raise ValueError(error.code) from None
     finally:
-        store.close()
+        storage.close()
     return {
         "life": found.incarnation, "term": found.term, "voted": found.voted_for, "begun": found.was_member,
-        "snapshot": plain(found.snapshot), "entries": plain(found.entries),
+        "snapshot": to_json(found.snapshot), "entries": to_json(found.entries),
     }  # fmt: skip
 
 
-def agreed_state(snapshot, commands):
-    """What commands answer after a snapshot of the agreed state (empty: the beginning), and its snapshot."""
+def apply_commands(snapshot, commands):
+    """Apply commands to a snapshot (empty: the initial state); return the results and the new snapshot."""
     from ivystack.consensus.state_machine import StateMachine
     from ivystack.duties.lease_table import LeaseTable
 
@@ -131,8 +133,8 @@
     return answers, machine.dump()
 
 
-def mesh_pair(heard):
-    """Both ends of a connection, not yet begun, caller first; `heard(end, kind, body)` is told messages."""
+def mesh_pair(on_message):
+    """Return both ends of a connection before it starts; `on_message(end, kind, body)` gets the messages."""
     from ivystack.mesh.keys import KeyRing
     from ivystack.mesh.mesh import AcceptFactory, DialFactory, Mesh
     from ivystack.net.deadlines import DeadlineQueue
@@ -141,7 +143,7 @@
     clock.advance(1000)
     members = {"a": ("127.0.0.1", 1), "b": ("127.0.0.2", 2)}
     meshes = []
-    for name, life in zip(members, LIVES, strict=True):
+    for name, incarnation in zip(members, INCARNATIONS, strict=True):
 
         def now():
             return round(clock.seconds() * 1_000_000)
@@ -157,99 +159,107 @@
             members,
             None,
         )
-        mesh.incarnation = life
+        mesh.incarnation = incarnation
         for kind in mesh_bodies():
-            mesh.handlers[kind] = lambda peer, body, name=name, kind=kind: heard(name, kind, body)
+            mesh.handlers[kind] = lambda peer, body, name=name, kind=kind: on_message(name, kind, body)
         meshes.append(mesh)
-    caller = DialFactory(meshes[0], "b").buildProtocol(None)
-    called = AcceptFactory(meshes[1]).buildProtocol(type("Address", (), {"host": "127.0.0.1"}))
-    for link, nonce, host in zip((caller, called), NONCES, ("127.0.0.2", "127.0.0.1"), strict=True):
+    dialing = DialFactory(meshes[0], "b").buildProtocol(None)
+    accepting = AcceptFactory(meshes[1]).buildProtocol(type("Address", (), {"host": "127.0.0.1"}))
+    for link, nonce, host in zip((dialing, accepting), NONCES, ("127.0.0.2", "127.0.0.1"), strict=True):
         link.own_nonce = nonce
-        link.wire = Wire(host)
-    return caller, called
+        link.recorder = RecordingTransport(host)
+    return dialing, accepting
 
 
-def mesh_write(link, kind, body):
-    """Says it on this very connection; an empty kind is the beat."""
+def send_message(link, kind, body):
+    """Send a message on this connection; an empty kind is the heartbeat."""
     link.send(kind, body)
 
 
 def old_process():
-    """A proxy with something to tell the next process."""
+    """Return a proxy whose state differs from the initial one."""
     from helpers import S, entries, proxy
 
     from ivystack.model import FailureState
 
-    made = proxy(5)
-    now, nodes = made.now(), made.balancer.servers
-    made.endpoints.update(entries(1, "DRAINING"), False)
-    made.endpoints.update([entries(3, "DELETED")[2]], False)
-    nodes["n1"].health.consecutive_failures, nodes["n1"].health.next_probe_at, nodes["n1"].health.probes = (
+    process = proxy(5)
+    now, servers = process.now(), process.balancer.servers
+    process.endpoints.update(entries(1, "DRAINING"), False)
+    process.endpoints.update([entries(3, "DELETED")[2]], False)
+    (
+        servers["n1"].health.consecutive_failures,
+        servers["n1"].health.next_probe_at,
+        servers["n1"].health.probes,
+    ) = (
         3,
         now + S,
         2,
     )
-    nodes["n1"].health.connection_failed = True
-    nodes["n3"].concurrency_limit, nodes["n3"].admitted_share, nodes["n3"].started_at = 2.5, 0.4, now - 7000
-    read, pay = (made.settings.request_classes[name] for name in ("read", "pay"))
+    servers["n1"].health.connection_failed = True
+    servers["n3"].concurrency_limit, servers["n3"].admitted_share, servers["n3"].started_at = (
+        2.5,
+        0.4,
+        now - 7000,
+    )
+    read, pay = (process.settings.request_classes[name] for name in ("read", "pay"))
     read.attempt_times.extend([5, 6, 7])
-    nodes["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
-    nodes["n4"].class_failures[pay] = FailureState(
+    servers["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
+    servers["n4"].class_failures[pay] = FailureState(
         consecutive_failures=1, connection_failed=True, next_probe_at=now + 2 * S, probes=3
     )
-    made.balancer.limiter.common_share = 0.5
-    made.endpoint_watch.generation = 41
-    return made
+    process.balancer.limiter.common_share = 0.5
+    process.endpoint_watch.generation = 41
+    return process
 
 
 def new_process(folder):
-    """A proxy that has just begun and asks at the socket that it finds; the end that it listens with."""
+    """Return a starting proxy that requests the state of an old process, and its end of the connection."""
     from helpers import proxy, told
 
-    run = told()
-    run.inherited_descriptor, run.restart_folder = 3, str(folder)
-    made = proxy(0, run=run)
-    made.endpoint_watch.request_watch = made.open_sockets = lambda: None
-    (folder / f"{made.hot_restart.tag}-1.sock").write_text("")
-    made.start()
-    path, factory = made.reactor.unixClients[-1][:2]
+    configuration = told()
+    configuration.inherited_descriptor, configuration.restart_folder = 3, str(folder)
+    process = proxy(0, run=configuration)
+    process.endpoint_watch.request_watch = process.open_sockets = lambda: None
+    (folder / f"{process.hot_restart.tag}-1.sock").write_text("")
+    process.start()
+    path, factory = process.reactor.unixClients[-1][:2]
     assert Path(path).parent == folder
-    end = factory.buildProtocol(None)
-    end.makeConnection(StringTransport())
-    return made, end
+    connection = factory.buildProtocol(None)
+    connection.makeConnection(StringTransport())
+    return process, connection
 
 
-def socket_name(made):
-    """The name of a process's socket, up to the process's number."""
-    return made.hot_restart.tag
+def socket_name(process):
+    """Return the name of the hot restart socket without the process number."""
+    return process.hot_restart.tag
 
 
-def hot_restart_answer(made):
-    """All that a process writes to one that has connected to its socket."""
+def exported_state(process):
+    """Return all that a process sends to a new process that connects to its socket."""
     from ivystack.net.hot_restart import StateServerFactory
 
-    end = StateServerFactory(made.hot_restart).buildProtocol(None)
-    end.makeConnection(StringTransport())
-    return end.transport.value()
+    connection = StateServerFactory(process.hot_restart).buildProtocol(None)
+    connection.makeConnection(StringTransport())
+    return connection.transport.value()
 
 
-def node_states(made):
+def server_states(process):
     from ivystack.model import ServerState
 
-    words = {ServerState.READY: "ready", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
-    return {name: words[server.state] for name, server in made.balancer.servers.items()}
+    names = {ServerState.READY: "ready", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
+    return {name: names[server.state] for name, server in process.balancer.servers.items()}
 
 
-def node(name, is_placeholder=False):
+def make_server(name, is_placeholder=False):
     from ivystack.model import Server
 
     return Server(name, is_placeholder=is_placeholder)
 
 
-def gossip_outcomes(endings):
+def gossip_outcomes(outcomes):
     from ivystack.balancing.gossip_codec import encode_outcomes
 
-    return encode_outcomes(endings)
+    return encode_outcomes(outcomes)
 
 
 def read_gossip_outcomes(data):
@@ -258,13 +268,13 @@
     return [(server_hash, int(outcome)) for server_hash, outcome in decode_outcomes(data)]
 
 
-def gossip_question(number):
+def gossip_order_request(number):
     from ivystack.balancing.gossip_codec import encode_order_request
 
     return encode_order_request(number)
 
 
-def read_gossip_question(data):
+def read_gossip_order_request(data):
     from ivystack.balancing.gossip_codec import decode_order_request
 
     return decode_order_request(data)
@@ -277,18 +287,18 @@
 
 
 def read_gossip_order(parts):
-    """The marks after each part."""
+    """Return the result of decoding after each part."""
     from ivystack.balancing.gossip_codec import decode_slot_order_part
 
     known = {}
     return [decode_slot_order_part(part, known) for part in parts]
 
 
-# --- What is recorded ---
+# --- The recorded data ---
 
 
-class Wire(StringTransport):
-    """Keeps what is written; its other side is at a given address."""
+class RecordingTransport(StringTransport):
+    """Records written bytes; its peer has a given address."""
 
     def __init__(self, host):
         super().__init__()
@@ -300,23 +310,23 @@
     def setTcpNoDelay(self, on):  # noqa: N802
         pass
 
-    def took(self):
+    def take_written(self):
         text = self.value()
         self.clear()
         return text
 
 
-def plain(what):
-    """As JSON can hold it: bytes become {"hex": ...}, tuples lists."""
-    if isinstance(what, bytes):
-        return {"hex": what.hex()}
-    if isinstance(what, list | tuple):
-        return [plain(one) for one in what]
-    if isinstance(what, dict):
-        return {key: plain(one) for key, one in what.items()}
-    if isinstance(what, msgspec.Struct):
-        return plain(msgspec.to_builtins(what, builtin_types=(bytes,)))
-    return what
+def to_json(value):
+    """Return a value as JSON: bytes become {"hex": ...}, tuples become lists."""
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, list | tuple):
+        return [to_json(element) for element in value]
+    if isinstance(value, dict):
+        return {key: to_json(element) for key, element in value.items()}
+    if isinstance(value, msgspec.Struct):
+        return to_json(msgspec.to_builtins(value, builtin_types=(bytes,)))
+    return value
 
 
 def recorded(name):
@@ -324,7 +334,7 @@
 
 
 def commands():
-    """Entries' data: client, number, part, name and arguments of a command; the last is a repeat."""
+    """Return the data of entries: client, number, part, name and arguments; the last one is a duplicate."""
     rows = [
         ("a/1", 1, "table", "set", ["k0", b"one", None]),
         ("a/1", 2, "duty", "take", ["slot-order", "a/0123456789abcdef"]),
@@ -340,12 +350,12 @@
 
 
 def member_writes():
-    """Entries, a tail that is replaced, a later snapshot with entries kept before it, and votes."""
+    """Return writes: entries, a replaced tail, a snapshot with entries retained before it, and votes."""
     data = [consensus_record("entry", 1, "d", text) for text in commands()]
     later = [consensus_record("entry", 3, "d", text) for text in commands()[4:]]
     first = consensus_record("snapshot", 1, 1, consensus_record("members", ("a/1", "b/1", "c/1"), ()), b"")
     members = consensus_record("members", ("a/1", "b/1"), ("d/4",))
-    after = consensus_record("snapshot", 4, 1, members, agreed_state(b"", commands()[:3])[1])
+    after = consensus_record("snapshot", 4, 1, members, apply_commands(b"", commands()[:3])[1])
     change = [consensus_record("entry", 4, "c", pack(members)), consensus_record("entry", 4, "n")]
     names = "number", "term", "voted", "first", "entries", "snapshot", "kept_from"
     rows = [
@@ -357,7 +367,7 @@
 
 
 def messages():
-    """One of each message at least, with empty and full fields."""
+    """Return at least one message of each type, with empty and full fields."""
     members = consensus_record("members", ("a/1", "b/1"), ("c/2",))
     entries = (
         consensus_record("entry", 2, "d", b"\x00data\xff"),
@@ -382,7 +392,7 @@
 
 
 def mesh_bodies():
-    """One body for each kind of message between proxies; the empty kind is the beat."""
+    """Return a body for each kind of mesh message; the empty kind is the heartbeat."""
     return {
         "": None,
         "raft": ("a/1", "b/1", messages()["entries"]),
@@ -396,97 +406,114 @@
 
 
 def mesh_steps():
-    """A connection from its greetings on: each step's writer, bytes, and what the other end hears."""
-    heard = []
-    ends = dict(zip("ab", mesh_pair(lambda *one: heard.append(one)), strict=True))
+    """Return the steps of a connection from the handshake on: sender, bytes, and the messages received."""
+    received = []
+    ends = dict(zip("ab", mesh_pair(lambda *message: received.append(message)), strict=True))
     steps = []
-    ends["b"].makeConnection(ends["b"].wire)
-    ends["a"].makeConnection(ends["a"].wire)
+    ends["b"].makeConnection(ends["b"].recorder)
+    ends["a"].makeConnection(ends["a"].recorder)
 
     def carry(name, writer):
-        data = ends[writer].wire.took()
+        data = ends[writer].recorder.take_written()
         ends["b" if writer == "a" else "a"].dataReceived(data)
-        steps.append({"step": name, "from": writer, "bytes": data.hex(), "heard": plain(heard)})
-        heard.clear()
+        steps.append({"step": name, "from": writer, "bytes": data.hex(), "heard": to_json(received)})
+        received.clear()
 
     carry("greeting of the caller", "a")
     carry("greeting of the called", "b")
     carry("first signed message", "a")
     for writer in "ab":
         for kind, body in mesh_bodies().items():
-            mesh_write(ends[writer], kind, body)
+            send_message(ends[writer], kind, body)
             carry(kind or "beat", writer)
     return steps
 
 
-def slots(count):
-    return [*(node(f"n{at:02}") for at in range(count - 1)), node("0a0b0c", is_placeholder=True)][:count]
+def make_slots(count):
+    return [
+        *(make_server(f"n{at:02}") for at in range(count - 1)),
+        make_server("0a0b0c", is_placeholder=True),
+    ][:count]
 
 
-ORDERS = 0, 3, 80, 81, 161  # nodes; the last part of 81 would be as long as outcomes are, and is made longer
+ORDERS = (
+    0,
+    3,
+    80,
+    81,
+    161,
+)  # servers; the last part of 81 would be as long as an outcomes datagram, so it is padded
 
 
-def gossip():
-    ended = [(node("n00"), 0), (node("n01"), 1), (node("0a0b0c", is_placeholder=True), 2), (node("näme"), 1)]
+def gossip_data():
+    ended = [
+        (make_server("n00"), 0),
+        (make_server("n01"), 1),
+        (make_server("0a0b0c", is_placeholder=True), 2),
+        (make_server("näme"), 1),
+    ]
     data = {"outcomes": gossip_outcomes(ended), "no outcomes": gossip_outcomes([])}
-    read = {name: plain(read_gossip_outcomes(text)) for name, text in data.items()}
-    orders = {str(count): gossip_order(slots(count)) for count in ORDERS}
+    read = {name: to_json(read_gossip_outcomes(text)) for name, text in data.items()}
+    orders = {str(count): gossip_order(make_slots(count)) for count in ORDERS}
     return {
         "outcomes": {name: {"bytes": data[name].hex(), "read": read[name]} for name in data},
-        "questions": {str(number): gossip_question(number).hex() for number in (0, 7, 65_535)},
+        "questions": {str(number): gossip_order_request(number).hex() for number in (0, 7, 65_535)},
         "orders": {
-            count: {"parts": [one.hex() for one in parts], "read": plain(read_gossip_order(parts))}
+            count: {"parts": [part.hex() for part in parts], "read": to_json(read_gossip_order(parts))}
             for count, parts in orders.items()
         },
     }
 
 
-def imported(folder, line):
-    """What a new process knows once it was told this, by what it would tell the next one."""
-    made, end = new_process(folder)
-    end.dataReceived(line)
-    return {"told again": sorted_nodes(hot_restart_answer(made)), "states": node_states(made)}
+def import_result(folder, line):
+    """Return what a new process has imported, by the state that it would send to the next process."""
+    process, connection = new_process(folder)
+    connection.dataReceived(line)
+    return {"told again": sort_nodes(exported_state(process)), "states": server_states(process)}
 
 
-def sorted_nodes(line):
-    """The line with nodes by name: they are written in an order of chance."""
+def sort_nodes(line):
+    """Return the line with the servers sorted by name, as their order is random."""
     assert line.endswith(b"\r\n") and line.count(b"\r\n") == 1
-    what = json.loads(line)
-    assert compact(what) == line.decode()  # no byte but that order is lost here
-    what["nodes"] = dict(sorted(what["nodes"].items()))
-    return compact(what)
+    state = json.loads(line)
+    assert compact_json(state) == line.decode()  # only that order is lost
+    state["nodes"] = dict(sorted(state["nodes"].items()))
+    return compact_json(state)
 
 
-def compact(what):
-    return json.dumps(what, separators=(",", ":"), ensure_ascii=False) + "\r\n"
+def compact_json(value):
+    return json.dumps(value, separators=(",", ":"), ensure_ascii=False) + "\r\n"
 
 
-def seal(kind, value):
-    """A stored record's digest."""
+def record_digest(kind, value):
+    """Return the digest of a stored record."""
     return blake2b(value, key=kind.encode(), digest_size=16).digest()
 
 
-def identity(folder):
-    """The record that ties a directory to its place: version, life, the marker's inode and change time."""
+def identity_record(folder):
+    """Return the record that ties a directory to its place.
+
+    It has the version, the incarnation, and the inode and change time of the marker file.
+    """
     with closing(sqlite3.connect(folder / "agreed.sqlite")) as base:
         value, sealed = base.execute("SELECT value, digest FROM kept WHERE name = 'identity'").fetchone()
-    assert sealed == seal("identity", value)
+    assert sealed == record_digest("identity", value)
     return msgspec.msgpack.decode(value)
 
 
-def settle(folder, life=None):
-    """Ties a copied directory to its new place, as the program never does."""
-    version, former, _, _ = identity(folder)
+def tie_to_place(folder, incarnation=None):
+    """Tie a copied directory to its new place, which the program itself never does."""
+    version, former, _, _ = identity_record(folder)
     about = (folder / "identity").stat()
-    value = pack((version, life or former, about.st_ino, about.st_ctime_ns))
+    value = pack((version, incarnation or former, about.st_ino, about.st_ctime_ns))
     with closing(sqlite3.connect(folder / "agreed.sqlite")) as base:
         with base:
-            row = value, seal("identity", value)
+            row = value, record_digest("identity", value)
             base.execute("UPDATE kept SET value = ?, digest = ? WHERE name = 'identity'", row)
 
 
-def content(folder):
-    """A directory's bytes, but for the record that is tied to its place and the library's own pages."""
+def directory_content(folder):
+    """Return a directory's content except the identity record and the layout of the database pages."""
     with closing(sqlite3.connect(folder / "agreed.sqlite")) as base:
         rows = {
             "tables": "SELECT name, sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name",
@@ -495,165 +522,167 @@
             "mode": "PRAGMA journal_mode",
         }
         found = {name: base.execute(text).fetchall() for name, text in rows.items()}
-    files = sorted(one.name for one in folder.iterdir())
-    return plain(
-        found | {"files": files} | {one: (folder / one).read_bytes() for one in ("tail", "identity")}
+    files = sorted(path.name for path in folder.iterdir())
+    return to_json(
+        found | {"files": files} | {name: (folder / name).read_bytes() for name in ("tail", "identity")}
     )
 
 
 @pytest.fixture
 def member(tmp_path):
-    """A copy of the recorded directory, tied to its new place."""
+    """Return a copy of the recorded directory that is tied to its new place."""
     folder = tmp_path / "copy"
     shutil.copytree(DATA / MEMBER, folder)
-    settle(folder)
+    tie_to_place(folder)
     return folder
 
 
 def record(folder):
-    """Writes all the data anew into a folder, from the code as it is."""
+    """Record all data again into a folder, with the current code."""
     folder.mkdir(parents=True, exist_ok=True)
 
-    def keep(name, what):
-        (folder / f"{name}.json").write_text(json.dumps(what, indent=1, ensure_ascii=False) + "\n")
+    def save(name, value):
+        (folder / f"{name}.json").write_text(json.dumps(value, indent=1, ensure_ascii=False) + "\n")
 
     directory, work = folder / MEMBER, folder / "work"
     for old in (directory, work):
         shutil.rmtree(old, ignore_errors=True)
     write_member(directory, member_writes())
-    settle(directory, LIFE)
+    tie_to_place(directory, MEMBER_INCARNATION)
     found = read_member(directory)
     later = [bytes.fromhex(data["hex"]) for _, kind, data in found["entries"] if kind == "d"]
-    answers, state = agreed_state(bytes.fromhex(found["snapshot"][3]["hex"]), later)
-    keep("member", {"read": found, "answers": answers, "state": state.hex()})
-    made = {name: (encode_consensus(what), plain(what)) for name, what in messages().items()}
-    keep("consensus", {name: {"bytes": data.hex(), "value": value} for name, (data, value) in made.items()})
-    keep("mesh", mesh_steps())
-    keep("gossip", gossip())
+    answers, state = apply_commands(bytes.fromhex(found["snapshot"][3]["hex"]), later)
+    save("member", {"read": found, "answers": answers, "state": state.hex()})
+    encoded = {name: (encode_consensus(message), to_json(message)) for name, message in messages().items()}
+    save(
+        "consensus", {name: {"bytes": data.hex(), "value": value} for name, (data, value) in encoded.items()}
+    )
+    save("mesh", mesh_steps())
+    save("gossip", gossip_data())
     work.mkdir()
-    answer = hot_restart_answer(old_process())
+    answer = exported_state(old_process())
     name = socket_name(old_process())
-    keep("handover", {"socket": name, "answer": sorted_nodes(answer), "imported": imported(work, answer)})
+    save("handover", {"socket": name, "answer": sort_nodes(answer), "imported": import_result(work, answer)})
     shutil.rmtree(work)
 
 
 # --- Tests ---
 
 
-def test_a_recorded_member_directory_is_read_whole(member):
+def test_a_recorded_member_directory_is_read_completely(member):
     assert read_member(member) == recorded("member")["read"]
-    assert read_member(member)["life"] == LIFE
-    assert content(member) == content_of_record(member.parent)  # reading has changed nothing
+    assert read_member(member)["life"] == MEMBER_INCARNATION
+    assert directory_content(member) == recorded_directory_content(member.parent)  # reading changes nothing
 
 
-def content_of_record(folder):
+def recorded_directory_content(folder):
     shutil.copytree(DATA / MEMBER, folder / "untouched")
-    return content(folder / "untouched")
+    return directory_content(folder / "untouched")
 
 
-def test_a_recorded_member_directory_in_another_place_is_taken_for_a_copy(tmp_path):
+def test_a_recorded_member_directory_in_another_place_is_rejected_as_a_copy(tmp_path):
     shutil.copytree(DATA / MEMBER, tmp_path / "copy")
     with pytest.raises(ValueError, match="^older$"):
         read_member(tmp_path / "copy")
 
 
 def test_the_same_writes_make_the_same_member_directory(tmp_path):
-    # The identity record holds a random life, an inode and a time, and the pages depend on the library: so
-    # all other records with their digests, the tables' text and the other files are compared.
+    # The identity record has a random incarnation, an inode and a time, and the pages depend on the SQLite
+    # version.  So all other records with their digests, the tables' SQL and the other files are compared.
     write_member(tmp_path / "new", member_writes())
-    assert content(tmp_path / "new") == content_of_record(tmp_path)
-    version, life, inode, changed = identity(tmp_path / "new")
+    assert directory_content(tmp_path / "new") == recorded_directory_content(tmp_path)
+    version, incarnation, inode, changed = identity_record(tmp_path / "new")
     about = (tmp_path / "new" / "identity").stat()
-    assert (version, len(life), inode, changed) == (1, 8, about.st_ino, about.st_ctime_ns)
+    assert (version, len(incarnation), inode, changed) == (1, 8, about.st_ino, about.st_ctime_ns)
 
 
 def test_recorded_entries_after_the_recorded_snapshot_lead_to_the_recorded_state():
     known = recorded("member")
     found = known["read"]
     later = [bytes.fromhex(data["hex"]) for _, kind, data in found["entries"] if kind == "d"]
-    answers, state = agreed_state(bytes.fromhex(found["snapshot"][3]["hex"]), later)
+    answers, state = apply_commands(bytes.fromhex(found["snapshot"][3]["hex"]), later)
     assert answers == known["answers"] and state.hex() == known["state"]
 
 
-def test_consensus_messages_are_written_and_read_as_recorded():
-    known, made = recorded("consensus"), messages()
-    assert {*known} == {*made}
-    assert {one["value"][0] for one in known.values()} == consensus_letters()
-    for name, one in known.items():
-        data = bytes.fromhex(one["bytes"])
-        assert encode_consensus(made[name]) == data, name
-        assert decode_consensus(data) == made[name], name
-        assert plain(decode_consensus(data)) == one["value"], name
+def test_consensus_messages_are_encoded_and_decoded_as_recorded():
+    known, created = recorded("consensus"), messages()
+    assert {*known} == {*created}
+    assert {entry["value"][0] for entry in known.values()} == consensus_tags()
+    for name, entry in known.items():
+        data = bytes.fromhex(entry["bytes"])
+        assert encode_consensus(created[name]) == data, name
+        assert decode_consensus(data) == created[name], name
+        assert to_json(decode_consensus(data)) == entry["value"], name
         assert encode_consensus(decode_consensus(data)) == data, name
 
 
-def test_frames_between_proxies_are_written_as_recorded():
+def test_mesh_frames_are_written_as_recorded():
     known = recorded("mesh")
-    for ours, theirs in zip(mesh_steps(), known, strict=True):
-        assert ours == theirs
+    for step, known_step in zip(mesh_steps(), known, strict=True):
+        assert step == known_step
     assert {step["step"] for step in known if step["from"] == "a"} >= {*mesh_bodies()} - {""} | {"beat"}
 
 
 @pytest.mark.parametrize("reader", ["a", "b"])
-def test_recorded_frames_are_heard_from_their_bytes_alone(reader):
-    heard = []
-    ends = mesh_pair(lambda *one: heard.append(one))
+def test_recorded_mesh_frames_are_decoded_byte_by_byte(reader):
+    received = []
+    ends = mesh_pair(lambda *message: received.append(message))
     end = ends["ab".index(reader)]
-    end.makeConnection(end.wire)
+    end.makeConnection(end.recorder)
     steps = [step for step in recorded("mesh") if step["from"] != reader]
     for byte in bytes.fromhex("".join(step["bytes"] for step in steps)):
         end.dataReceived(bytes([byte]))
-    assert plain(heard) == [one for step in steps for one in step["heard"]]
-    assert len(heard) == len(mesh_bodies()) - 1 and not end.wire.disconnecting
+    assert to_json(received) == [message for step in steps for message in step["heard"]]
+    assert len(received) == len(mesh_bodies()) - 1 and not end.recorder.disconnecting
 
 
-def test_a_recorded_frame_with_one_bit_changed_is_not_heard():
+def test_a_recorded_mesh_frame_with_one_bit_changed_is_rejected():
     steps = [step for step in recorded("mesh") if step["from"] == "a"]
     for at, step in enumerate(steps):
-        heard = []
-        end = mesh_pair(lambda *one, heard=heard: heard.append(one))[1]
-        end.makeConnection(end.wire)
+        received = []
+        end = mesh_pair(lambda *message, received=received: received.append(message))[1]
+        end.makeConnection(end.recorder)
         for before in steps[:at]:
             end.dataReceived(bytes.fromhex(before["bytes"]))
-        count, data = len(heard), bytearray.fromhex(step["bytes"])
+        count, data = len(received), bytearray.fromhex(step["bytes"])
         data[-1] ^= 1
         end.dataReceived(bytes(data))
-        assert len(heard) == count and end.wire.disconnected, step["step"]
+        assert len(received) == count and end.recorder.disconnected, step["step"]
 
 
-def test_the_old_process_answers_as_recorded():
+def test_the_old_process_sends_the_recorded_state():
     known = recorded("handover")
-    made = old_process()
-    assert sorted_nodes(hot_restart_answer(made)) == known["answer"]
-    assert socket_name(made) == known["socket"]
+    process = old_process()
+    assert sort_nodes(exported_state(process)) == known["answer"]
+    assert socket_name(process) == known["socket"]
 
 
-def test_a_new_process_takes_the_recorded_answer(tmp_path):
+def test_a_new_process_imports_the_recorded_state(tmp_path):
     known = recorded("handover")
-    made, end = new_process(tmp_path)
-    assert socket_name(made) == known["socket"]
-    assert end.transport.value() == b""  # the question is the connection itself
-    assert imported(tmp_path, known["answer"].encode()) == known["imported"]
-    other = known["answer"].replace('{"v":1,', '{"v":2,')
-    assert other != known["answer"]
-    nothing = imported(tmp_path, other.encode())
-    assert nothing["states"] == {} and json.loads(nothing["told again"])["slots"] == []
+    process, connection = new_process(tmp_path)
+    assert socket_name(process) == known["socket"]
+    assert connection.transport.value() == b""  # connecting requests the state; nothing is sent
+    assert import_result(tmp_path, known["answer"].encode()) == known["imported"]
+    other_version = known["answer"].replace('{"v":1,', '{"v":2,')
+    assert other_version != known["answer"]
+    rejected = import_result(tmp_path, other_version.encode())
+    assert rejected["states"] == {} and json.loads(rejected["told again"])["slots"] == []
 
 
-def test_gossip_is_written_and_read_as_recorded():
+def test_gossip_is_encoded_and_decoded_as_recorded():
     known = recorded("gossip")
-    assert gossip() == known
-    for one in known["outcomes"].values():
-        assert plain(read_gossip_outcomes(bytes.fromhex(one["bytes"]))) == one["read"]
+    assert gossip_data() == known
+    for entry in known["outcomes"].values():
+        assert to_json(read_gossip_outcomes(bytes.fromhex(entry["bytes"]))) == entry["read"]
     for number, data in known["questions"].items():
-        assert read_gossip_question(bytes.fromhex(data)) == int(number)
-        assert gossip_question(int(number)).hex() == data
-    for count, one in known["orders"].items():
-        parts = [bytes.fromhex(part) for part in one["parts"]]
-        assert plain(read_gossip_order(parts)) == one["read"]
-        assert gossip_order(slots(int(count))) == parts
-        assert all(len(part) <= 256 and read_gossip_question(part) is None for part in parts)
-        assert all(len(part) % 4 for part in parts)  # how an order is told from outcomes
+        assert read_gossip_order_request(bytes.fromhex(data)) == int(number)
+        assert gossip_order_request(int(number)).hex() == data
+    for count, entry in known["orders"].items():
+        parts = [bytes.fromhex(part) for part in entry["parts"]]
+        assert to_json(read_gossip_order(parts)) == entry["read"]
+        assert gossip_order(make_slots(int(count))) == parts
+        assert all(len(part) <= 256 and read_gossip_order_request(part) is None for part in parts)
+        assert all(len(part) % 4 for part in parts)  # distinguishes an order from outcomes
 
 
 if __name__ == "__main__":
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -1,4 +1,4 @@
-"""Narrow moments, each forced: where two events cross, in the order that does harm."""
+"""Races between two events, each forced into the order that does harm."""
 
 import json
 import os
@@ -27,32 +27,35 @@
 
 
 @pytest.fixture
-def moment():
-    made = []
+def start_proxy():
+    """Start proxies on real sockets with a controlled clock, and stop them at the end of the test."""
+    harnesses = []
 
     def start(*nodes, begun=True, **more):
-        made.append(Moment(**more))
-        return made[-1].start(*nodes) if begun else made[-1]
+        harnesses.append(Moment(**more))
+        return harnesses[-1].start(*nodes) if begun else harnesses[-1]
 
     yield start
-    for one in made:
-        one.stop()
+    for harness in harnesses:
+        harness.stop()
 
 
-def clients(of):
-    return [*of.proxy.client_server.connections.values()]
+def client_connections(harness):
+    return [*harness.proxy.client_server.connections.values()]
 
 
-# Clients that have left while their reqs waited: nothing of theirs is sent on.
+# Clients that disconnect while their requests wait: these requests must not be sent.
 
 
-def never_sent_on(of):
-    """All that waited is over; a node that comes now gets nothing."""
-    of.until(lambda: not of.proxy.request_handler.requests and not of.proxy.client_server.connections)
-    of.turn(of.proxy.endpoints.update, [Node("late").entry()], True)
-    of.pass_by(20_000)
-    proxy = of.proxy
-    assert of.turn(
+def assert_nothing_is_sent(harness):
+    """Assert that all requests have ended and that a server which is listed now receives no attempt."""
+    harness.until(
+        lambda: not harness.proxy.request_handler.requests and not harness.proxy.client_server.connections
+    )
+    harness.turn(harness.proxy.endpoints.update, [Node("late").entry()], True)
+    harness.pass_by(20_000)
+    proxy = harness.proxy
+    assert harness.turn(
         lambda: not proxy.server_pools.connections
         and not proxy.request_handler.in_flight
         and not proxy.client_server.request_ids
@@ -61,222 +64,233 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("state", ["read", "owed", "malformed", "stuck", "upload"])
-def test_a_client_that_leaves_while_it_is_not_read_is_noticed(moment, state, how):
-    # Guards nodes against work for nobody: its end lies behind bytes that are not read.
-    made = moment()
-    asking = made.client()
+def test_the_end_of_a_client_whose_input_is_not_read_is_detected(start_proxy, state, how):
+    # The client's end lies behind bytes that are not read; its requests must not cost the servers any work.
+    harness = start_proxy()
+    client = harness.client()
     if state == "owed":
-        asking.send(gets(ClientConnection.MAX_PENDING + 9))
-        made.until(lambda: len(made.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
+        client.send(gets(ClientConnection.MAX_PENDING + 9))
+        harness.until(lambda: len(harness.proxy.request_handler.requests) == ClientConnection.MAX_PENDING)
     elif state == "upload":
-        asking.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
-        made.until(lambda: made.proxy.request_handler.requests and clients(made)[0].upload.paused)
+        client.send(encode_command(b"OBJ.SET", b"7f", b"1", PAY, b"v" * 200_000)[:90_000])
+        harness.until(
+            lambda: harness.proxy.request_handler.requests and client_connections(harness)[0].upload.paused
+        )
     else:
-        asking.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
-        made.until(lambda: len(made.proxy.request_handler.requests) == 2)
-        if state == "stuck":  # the transport's call, where more is written than the client takes
-            made.turn(clients(made)[0].pauseProducing)
-    assert made.turn(lambda: clients(made)[0].paused) is (state != "read")
-    getattr(asking, how)()
-    never_sent_on(made)
+        client.send(gets(2) + (b"no command\r\n" if state == "malformed" else b""))
+        harness.until(lambda: len(harness.proxy.request_handler.requests) == 2)
+        if state == "stuck":  # as the transport does when its write buffer is full
+            harness.turn(client_connections(harness)[0].pauseProducing)
+    assert harness.turn(lambda: client_connections(harness)[0].paused) is (state != "read")
+    getattr(client, how)()
+    assert_nothing_is_sent(harness)
     if state != "read":
-        assert made.turn(
-            lambda: made.proxy.client_server.hang_up_monitor.connections
-            == made.proxy.client_server.hang_up_monitor.descriptors
+        assert harness.turn(
+            lambda: harness.proxy.client_server.hang_up_monitor.connections
+            == harness.proxy.client_server.hang_up_monitor.descriptors
             == {}
         )
 
 
-def test_three_hundred_that_leave_within_one_turn_are_all_noticed(moment):
-    # A burst, while the reactor is busy with something else.
-    made = moment()
-    asking = [made.client() for _ in range(300)]
-    for number, one in enumerate(asking):
-        one.send(gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
-    made.until(lambda: len(made.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
-    made.turn(lambda: [one.end() for one in asking])
-    never_sent_on(made)
+def test_the_ends_of_three_hundred_clients_within_one_reactor_turn_are_detected(start_proxy):
+    # All clients disconnect while the reactor is busy.
+    harness = start_proxy()
+    clients = [harness.client() for _ in range(300)]
+    for number, wire in enumerate(clients):
+        wire.send(gets(ClientConnection.MAX_PENDING + 1, b"%d." % number))
+    harness.until(lambda: len(harness.proxy.request_handler.requests) == 300 * ClientConnection.MAX_PENDING)
+    harness.turn(lambda: [wire.end() for wire in clients])
+    assert_nothing_is_sent(harness)
 
 
-def test_a_client_that_has_sent_all_and_still_reads_keeps_its_answers(moment):
-    # An end that is seen early must not take from a client what is on its way to it.
+def test_a_client_that_has_closed_its_sending_side_receives_its_answers(start_proxy):
+    # An end that is detected early must not discard answers that the client still reads.
     node = Node("n0")
-    made = moment(node)
-    asking = made.client()
-    asking.send(gets(1))
-    to_node = node.accept()
-    assert to_node.take()[0] == b"OBJ.GET"
-    made.turn(clients(made)[0].pauseProducing)
-    to_node.send(hit())
-    made.until(lambda: not made.proxy.request_handler.requests)
-    asking.socket.shutdown(socket.SHUT_WR)
-    assert asking.take() == b"v"
-
-
-def test_what_a_client_sent_behind_its_last_answer_is_not_taken_once_it_has_left(moment):
-    # All that it is owed is known but not taken yet; 8 more commands lie unread, and its end behind them.
-    made = moment()
-    asking = made.client()
-    made.until(lambda: made.proxy.client_server.connections)
-    (ours,) = clients(made)
-    made.turn(ours.pauseProducing)  # the transport's call: the client takes no more for now
-    asking.send(gets(8))
-    asking.socket.shutdown(socket.SHUT_WR)
-    made.until(lambda: ours.input_closed)
-    made.until(lambda: not made.proxy.client_server.connections)
-    assert made.turn(lambda: ours.commands_received) == 0 and ours.code == "client-left"
-
-
-def test_reqs_of_one_client_that_are_due_in_the_turn_of_its_end_are_not_sent_on():
-    # Ending the first one's attempt settles what is due, and the second one is due just then.
-    made = proxy(3)
-    asking = client(made)
-    asking.dataReceived(gets(2))
-    first, second = made.request_handler.active
-    seen, where = [], made.balancer.route
-    made.balancer.route = lambda req, now: seen.append((req, req.concluded)) or where(req, now)
-    made.balancer.retries.append(second)
-    asking.connectionLost(Failure(ConnectionDone()))
+    harness = start_proxy(node)
+    client = harness.client()
+    client.send(gets(1))
+    server_connection = node.accept()
+    assert server_connection.take()[0] == b"OBJ.GET"
+    harness.turn(client_connections(harness)[0].pauseProducing)
+    server_connection.send(hit())
+    harness.until(lambda: not harness.proxy.request_handler.requests)
+    client.socket.shutdown(socket.SHUT_WR)
+    assert client.take() == b"v"
+
+
+def test_unread_commands_of_a_disconnected_client_are_not_admitted(start_proxy):
+    # The connection is paused, as if the client read no answers; 8 commands and its end are not read yet.
+    harness = start_proxy()
+    client = harness.client()
+    harness.until(lambda: harness.proxy.client_server.connections)
+    (connection,) = client_connections(harness)
+    harness.turn(connection.pauseProducing)  # as the transport does when its write buffer is full
+    client.send(gets(8))
+    client.socket.shutdown(socket.SHUT_WR)
+    harness.until(lambda: connection.input_closed)
+    harness.until(lambda: not harness.proxy.client_server.connections)
+    assert harness.turn(lambda: connection.commands_received) == 0 and connection.code == "client-left"
+
+
+def test_requests_due_in_the_turn_in_which_their_client_disconnects_are_not_sent():
+    # Ending the attempt of the first request runs the due work, which includes a retry of the second.
+    instance = proxy(3)
+    connection = client(instance)
+    connection.dataReceived(gets(2))
+    first, second = instance.request_handler.active
+    routed, route = [], instance.balancer.route
+    instance.balancer.route = lambda request, now: (
+        routed.append((request, request.concluded)) or route(request, now)
+    )
+    instance.balancer.retries.append(second)
+    connection.connectionLost(Failure(ConnectionDone()))
     assert (
         first.concluded
         and second.concluded
-        and not made.request_handler.requests
-        and not made.request_handler.in_flight
+        and not instance.request_handler.requests
+        and not instance.request_handler.in_flight
     )
-    assert all(over for _, over in seen)
+    assert all(concluded for _, concluded in routed)
 
 
-def test_a_client_that_leaves_while_its_connection_to_a_node_does_not_come_up(moment):
-    # It comes up after the client has left: nothing is written to it.
+def test_nothing_is_sent_on_a_connection_established_after_the_client_has_disconnected(start_proxy):
+    # The server accepts the connection only after the client has disconnected.
     node = Node("n0")
     node.door.listen(0)
-    made = moment(begun=False)
-    made.run.connect_timeout_us = made.proxy.server_pools.connect_timeout = 1 << 40
-    full = []
-    for _ in range(4):  # its table of connections that nobody took yet is full: further ones do not come up
-        one = socket.socket()
-        one.setblocking(False)
-        one.connect_ex(node.door.getsockname())
-        full.append(one)
-    made.start(node)
-    asking = made.client()
-    asking.send(gets(1))
-    made.until(lambda: len(made.proxy.server_pools.connections) == 1)
-    assert made.turn(lambda: not made.proxy.server_pools.connections[0].is_connected)
-    asking.end()
-    made.until(lambda: not made.proxy.request_handler.requests and not made.proxy.request_handler.in_flight)
-    for one in full:
-        one.close()
+    harness = start_proxy(begun=False)
+    harness.run.connect_timeout_us = harness.proxy.server_pools.connect_timeout = 1 << 40
+    fillers = []
+    for _ in range(4):  # these fill the server's backlog, so that further connections are not established
+        filler = socket.socket()
+        filler.setblocking(False)
+        filler.connect_ex(node.door.getsockname())
+        fillers.append(filler)
+    harness.start(node)
+    client = harness.client()
+    client.send(gets(1))
+    harness.until(lambda: len(harness.proxy.server_pools.connections) == 1)
+    assert harness.turn(lambda: not harness.proxy.server_pools.connections[0].is_connected)
+    client.end()
+    harness.until(
+        lambda: not harness.proxy.request_handler.requests and not harness.proxy.request_handler.in_flight
+    )
+    for filler in fillers:
+        filler.close()
     node.door.listen(64)
-    for _ in full:
+    for _ in fillers:
         node.door.settimeout(0.05)
         try:
             node.accept()
         except TimeoutError:
             break
-    pools = made.proxy.server_pools
-    made.until(lambda: pools.connections and pools.connections[0].is_connected)
-    assert made.turn(lambda: made.proxy.server_pools.connections[0].attempts_sent) == 0
+    pools = harness.proxy.server_pools
+    harness.until(lambda: pools.connections and pools.connections[0].is_connected)
+    assert harness.turn(lambda: harness.proxy.server_pools.connections[0].attempts_sent) == 0
 
 
-def test_one_id_is_used_again_right_after_its_client_has_left(moment):
+def test_a_request_id_can_be_reused_right_after_its_client_has_disconnected(start_proxy):
     node = Node("n0")
-    made = moment(node)
-    first, second = made.client(), made.client()
+    harness = start_proxy(node)
+    first, second = harness.client(), harness.client()
     first.send(gets(1))
     node.accept().take()
     first.reset()
-    made.until(lambda: not made.proxy.request_handler.requests)
+    harness.until(lambda: not harness.proxy.request_handler.requests)
     second.send(gets(1))
-    to_node = node.accept()
-    to_node.take()
-    to_node.send(hit(b"second"))
+    server_connection = node.accept()
+    server_connection.take()
+    server_connection.send(hit(b"second"))
     assert second.take() == b"second"
 
 
-# The end of a proxy.
+# Shutdown of the proxy.
 
 
-def test_what_the_kernel_has_accepted_when_the_port_closes_is_served(moment):
-    # Guards clients that came within the last turn: a closed listening socket resets them.
-    made = moment()
-    came = []
+def test_connections_in_the_backlog_are_served_when_the_port_closes(start_proxy):
+    # Closing a listening socket would reset the clients that connected in the last turn of the reactor.
+    harness = start_proxy()
+    arrived = []
 
     def last_turn():
-        made.proxy.terminate()
+        harness.proxy.terminate()
         for _ in range(3 * ClientListener.ACCEPTS_PER_TURN):
-            came.append(made.client())
-            came[-1].send(encode_command(b"PING"))
-        made.proxy.stop_accepting()
+            arrived.append(harness.client())
+            arrived[-1].send(encode_command(b"PING"))
+        harness.proxy.stop_accepting()
 
-    made.turn(last_turn)
-    assert [one.take() for one in came] == ["-ERR draining"] * len(came)
+    harness.turn(last_turn)
+    assert [client.take() for client in arrived] == ["-ERR draining"] * len(arrived)
     with pytest.raises(ConnectionRefusedError):
-        made.client()
+        harness.client()
 
 
-def test_a_proxy_told_to_end_while_it_asks_the_old_process_opens_nothing(moment, tmp_path):
-    # Guards against a port that nobody closes: SIGTERM finds none, and the old process's word comes after it.
-    door = socket.create_server(("127.0.0.1", 0))
+def test_a_proxy_terminated_while_it_waits_for_the_old_process_opens_no_port(start_proxy, tmp_path):
+    # Guards against a port that is never closed: the old process's state arrives after SIGTERM, when no port
+    # was open yet.
+    listener = socket.create_server(("127.0.0.1", 0))
     run = told()
-    run.inherited_descriptor, run.restart_folder = os.dup(door.fileno()), str(tmp_path)
-    made = moment(run=run, begun=False)
+    run.inherited_descriptor, run.restart_folder = os.dup(listener.fileno()), str(tmp_path)
+    harness = start_proxy(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
-    old.bind(str(tmp_path / f"{made.proxy.hot_restart.tag}-1.sock"))
+    old.bind(str(tmp_path / f"{harness.proxy.hot_restart.tag}-1.sock"))
     old.listen()
-    made.start()
-    word = old.accept()[0]
-    made.turn(made.proxy.terminate)
-    word.close()
-    made.until(lambda: made.proxy.hot_restart.on_state is None)
-    assert made.proxy.port is None and not made.proxy.started
-    made.pass_by(1)
-    assert made.loop.stopped
+    harness.start()
+    connection = old.accept()[0]
+    harness.turn(harness.proxy.terminate)
+    connection.close()
+    harness.until(lambda: harness.proxy.hot_restart.on_state is None)
+    assert harness.proxy.port is None and not harness.proxy.started
+    harness.pass_by(1)
+    assert harness.loop.stopped
     os.close(run.inherited_descriptor)
 
 
-def test_sigterm_twice_and_with_an_attempt_that_no_node_answers(moment):
-    # The req that can't be repeated is waited for, to its own end, and answered once.
+def test_a_second_sigterm_has_no_effect_while_an_attempt_is_unanswered(start_proxy):
+    # The proxy waits for a request that can't be retried until its deadline, and answers it once.
     node = Node("n0")
-    made = moment(node)
-    asking = made.client()
-    asking.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
+    harness = start_proxy(node)
+    client = harness.client()
+    client.send(encode_command(b"OBJ.SET", b"7f", b"1", b"c=pay,t=t,d=2000", b"v"))
     node.accept().take()
-    made.turn(made.proxy.terminate)
-    made.pass_by(made.proxy.STOP_ACCEPTING_DELAY_US)
-    made.turn(made.proxy.terminate)
-    made.turn(made.proxy.start_draining)
-    assert not made.loop.stopped
-    made.pass_by(2_000_000)
-    assert asking.take() == "-ERR failed" and asking.take() is None
-    made.until(lambda: not made.proxy.client_server.connections)
-    made.pass_by(20_000)
-    assert made.loop.stopped
-
-
-def test_a_drain_that_is_told_after_sigterm_counts(moment):
+    harness.turn(harness.proxy.terminate)
+    harness.pass_by(harness.proxy.STOP_ACCEPTING_DELAY_US)
+    harness.turn(harness.proxy.terminate)
+    harness.turn(harness.proxy.start_draining)
+    assert not harness.loop.stopped
+    harness.pass_by(2_000_000)
+    assert client.take() == "-ERR failed" and client.take() is None
+    harness.until(lambda: not harness.proxy.client_server.connections)
+    harness.pass_by(20_000)
+    assert harness.loop.stopped
+
+
+def test_a_server_drained_after_sigterm_gets_no_attempts(start_proxy):
     agent, node, other = Agent(), Node("n0"), Node("n1")
-    made = moment(discovery=agent)
+    harness = start_proxy(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), other.entry(), whole=True)
-    made.until(lambda: len(made.proxy.balancer.servers) == 2)
-    asking = made.client()
-    asking.send(gets(1))
-    made.until(lambda: made.proxy.request_handler.requests)
-    made.turn(made.proxy.terminate)
+    harness.until(lambda: len(harness.proxy.balancer.servers) == 2)
+    client = harness.client()
+    client.send(gets(1))
+    harness.until(lambda: harness.proxy.request_handler.requests)
+    harness.turn(harness.proxy.terminate)
     agent.line(watch, 2, node.entry("DRAINING"), other.entry("DRAINING"))
-    made.until(lambda: all(one.state == ServerState.DRAINING for one in made.proxy.balancer.servers.values()))
-    late = made.client()
+    harness.until(
+        lambda: all(
+            server.state == ServerState.DRAINING for server in harness.proxy.balancer.servers.values()
+        )
+    )
+    late = harness.client()
     late.send(gets(1, b"late"))
-    made.until(lambda: len(made.proxy.request_handler.requests) == 2)
-    assert made.turn(
-        lambda: [len(active.request.attempts) for active in made.proxy.request_handler.requests.values()]
+    harness.until(lambda: len(harness.proxy.request_handler.requests) == 2)
+    assert harness.turn(
+        lambda: [len(active.request.attempts) for active in harness.proxy.request_handler.requests.values()]
     ) == [1, 0]
 
 
-def test_a_sighup_during_the_start_is_not_lost(tmp_path):
-    # Guards against old settings for ever: the configuration is replaced after it was read, before the signal
-    # has its handler.  The file is a pipe, so the test says when each reading ends.
+def test_a_sighup_during_the_start_reloads_the_configuration(tmp_path):
+    # Guards against a proxy that keeps the old settings: the file is replaced and SIGHUP sent after the first
+    # read, but before the signal handler is installed.  The file is a pipe, so the test controls each read.
     path, agents, listen = tmp_path / "config", [Agent(), Agent()], free_port()
     os.mkfifo(path)
     process = subprocess.Popen(
@@ -284,28 +298,28 @@
         stderr=subprocess.DEVNULL,
     )  # fmt: skip
 
-    def told(agent):
+    def configuration(agent):
         return json.dumps(
             {"listen": f"127.0.0.1:{listen}", "discovery": "{}:{}".format(*agent.address), "settings": {}}
         ).encode()
 
-    def reading():
-        """The pipe, once the program reads it."""
+    def wait_for_reader():
+        """Return the pipe once the program has opened it for reading."""
         for _ in range(1000):
             try:
                 return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
             except OSError:
                 time.sleep(0.01)
-        raise AssertionError("it is not read again")
+        raise AssertionError("the configuration is not read again")
 
     try:
         for number, agent in enumerate(agents):
-            pipe = reading()
+            pipe = wait_for_reader()
             if number == 0:
                 process.send_signal(signal.SIGHUP)
-                os.mkfifo(tmp_path / "next")  # a pipe of its own for the second reading
+                os.mkfifo(tmp_path / "next")  # another pipe for the second read
                 os.replace(tmp_path / "next", path)
-            os.write(pipe, told(agent))
+            os.write(pipe, configuration(agent))
             os.close(pipe)
         assert agents[1].call()[1] == 0
     finally:
@@ -313,279 +327,291 @@
         process.wait()
 
 
-def test_a_sighup_ends_a_command_that_is_no_proxy(tmp_path):
+def test_a_sighup_ends_a_command_other_than_serve(tmp_path):
     os.mkfifo(tmp_path / "config")
     process = subprocess.Popen(
         [sys.executable, "-B", "-m", "ivystack", "check-config", str(tmp_path / "config")],
         stderr=subprocess.DEVNULL,
     )  # fmt: skip
-    with open(tmp_path / "config", "w"):  # it reads
+    with open(tmp_path / "config", "w"):  # the command reads it
         process.send_signal(signal.SIGHUP)
         assert process.wait(10) == -signal.SIGHUP
 
 
-# The list of nodes.
+# The endpoint list.
 
 
-def test_a_spoilt_entry_is_asked_for_again_once_and_the_rest_is_taken(moment):
-    # Guards against news lost for good: the version goes on, so nobody would ever tell it again.
+def test_after_an_invalid_entry_the_complete_list_is_requested_once_and_the_rest_is_applied(start_proxy):
+    # Guards against an update that is lost for good: the generation has advanced, so discovery would not send
+    # the entry again.
     agent, nodes = Agent(), [Node("n0"), Node("n1")]
-    made = moment(discovery=agent)
+    harness = start_proxy(discovery=agent)
     watch, since = agent.call()
     agent.line(watch, 1, *(node.entry() for node in nodes), whole=True)
-    made.until(lambda: len(made.proxy.balancer.servers) == 2)
-    spoilt = nodes[0].entry("DRAINING", startedAtMs="x")
-    agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"))
-    made.until(lambda: made.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
+    harness.until(lambda: len(harness.proxy.balancer.servers) == 2)
+    invalid = nodes[0].entry("DRAINING", startedAtMs="x")
+    agent.line(watch, 2, invalid, nodes[1].entry("DRAINING"))
+    harness.until(lambda: harness.proxy.balancer.servers["n1"].state == ServerState.DRAINING)
+    harness.until(lambda: not harness.proxy.endpoint_watch.is_streaming)
+    harness.pass_by(harness.proxy.settings.poll_pauses[1] * 2)
     watch, since = agent.call()
-    assert since == 0  # the whole list
-    agent.line(watch, 2, spoilt, nodes[1].entry("DRAINING"), whole=True)  # spoilt at its source: told once
+    assert since == 0  # the complete list
+    # The entry is invalid at its source, so it causes no further request.
+    agent.line(watch, 2, invalid, nodes[1].entry("DRAINING"), whole=True)
     agent.line(watch, 3, nodes[1].entry())
-    made.until(lambda: made.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
-    assert made.turn(
-        lambda: made.proxy.endpoint_watch.is_streaming and made.proxy.endpoint_watch.is_incomplete
+    harness.until(lambda: harness.proxy.balancer.servers["n1"].state != ServerState.DRAINING)
+    assert harness.turn(
+        lambda: harness.proxy.endpoint_watch.is_streaming and harness.proxy.endpoint_watch.is_incomplete
     )
     agent.line(watch, 4, nodes[0].entry("DRAINING"), nodes[1].entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
-    assert not made.proxy.endpoint_watch.is_incomplete and made.proxy.endpoint_watch.generation == 4
+    harness.until(lambda: harness.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
+    assert not harness.proxy.endpoint_watch.is_incomplete and harness.proxy.endpoint_watch.generation == 4
 
 
-def test_a_drain_counts_though_its_address_is_spoilt(moment):
+def test_a_draining_entry_with_an_invalid_address_is_applied(start_proxy):
     agent, node = Agent(), Node("n0")
-    made = moment(discovery=agent)
+    harness = start_proxy(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
+    harness.until(lambda: harness.proxy.balancer.servers)
     agent.line(watch, 2, node.entry("DRAINING", hostPort="nowhere"))
-    made.until(lambda: made.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
+    harness.until(lambda: harness.proxy.balancer.servers["n0"].state == ServerState.DRAINING)
 
 
-def test_a_watch_that_ends_within_a_line_tells_nothing_of_it_and_is_opened_anew(moment):
+def test_a_watch_that_ends_within_a_line_ignores_it_and_is_requested_again(start_proxy):
     agent, nodes = Agent(), [Node("n0"), Node("n1")]
-    made = moment(discovery=agent)
+    harness = start_proxy(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, nodes[0].entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
-    # One line whole, half of the next, and the end, in one read.
-    whole = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
-    watch.sendall(b"%x\r\n%b\r\n" % (len(whole), whole))
+    harness.until(lambda: harness.proxy.balancer.servers)
+    # A complete line, half of the next, and the end of the stream, in one read.
+    data = b'{"generation":2,"reset":false,"instances":[]}\n{"generation":3,"reset":fa'
+    watch.sendall(b"%x\r\n%b\r\n" % (len(data), data))
     watch.close()
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)
-    made.pass_by(made.proxy.settings.poll_pauses[1] * 2)
+    harness.until(lambda: not harness.proxy.endpoint_watch.is_streaming)
+    harness.pass_by(harness.proxy.settings.poll_pauses[1] * 2)
     assert agent.call()[1] == 2
 
 
-def test_no_pause_between_calls_comes_near_the_grace_of_a_drain():
-    # What the agent gets at its return counts as told at once: the next call comes well within the grace.
+def test_pauses_between_requests_stay_below_half_the_grace_period_of_a_drain():
+    # A drain that discovery announces as it returns must be known well within the grace period.
     for grace in (1_000, 600, 250, 40):
-        made = InstanceConfiguration(1, {"rules": {"stop_sending_within": grace * 1_000_000}})
-        pauses = [made.poll_backoff.record_failure(0) for _ in range(300)]
+        settings = InstanceConfiguration(1, {"rules": {"stop_sending_within": grace * 1_000_000}})
+        pauses = [settings.poll_backoff.record_failure(0) for _ in range(300)]
         assert max(pauses) < grace * 1_000 / 2, grace
-    asked = InstanceConfiguration(
+    polled = InstanceConfiguration(
         1, {"discovery": "ask", "rules": {"ask_within": 10**10, "stop_sending_within": 10**9}}
     )
-    assert asked.poll_pauses == (750_000, 6_000_000)  # one service for all: its calls cost the fleet
+    assert polled.poll_pauses == (750_000, 6_000_000)  # longer, because all proxies poll one service
 
 
-# Attempts and connections to nodes.
+# Attempts and connections to servers.
 
 
-def test_with_one_stream_a_connection_from_now_on_no_other_attempt_is_torn_down(moment):
-    # SIGHUP takes a connection's streams to one while it carries two: one client leaves, the other is a write
-    # that can't be repeated and has nothing to do with it.
+def test_a_reload_to_one_stream_per_connection_does_not_abort_pipelined_attempts(start_proxy):
+    # A reload sets one stream per connection while a connection carries two attempts.  The first one's client
+    # disconnects; the second is a write that can't be retried and must not be affected.
     node = Node("n0")
-    patient = [one | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for one in METHODS]
-    made = moment(node, run=told(methods=patient, streams_per_conn=10, may_duplicate=True))
-    asking = [made.client() for _ in range(made.proxy.server_pools.PIPELINE_FROM)]
-    for number, one in enumerate(asking):
-        one.send(gets(1, b"%d." % number))
-        made.until(lambda number=number: len(made.proxy.request_handler.requests) == number + 1)
-    wires = [node.accept() for _ in asking]
+    long_deadlines = [entry | {"latency_budget": 60 * 10**9, "give_up": 60 * 10**9} for entry in METHODS]
+    harness = start_proxy(node, run=told(methods=long_deadlines, streams_per_conn=10, may_duplicate=True))
+    clients = [harness.client() for _ in range(harness.proxy.server_pools.PIPELINE_FROM)]
+    for number, wire in enumerate(clients):
+        wire.send(gets(1, b"%d." % number))
+        harness.until(lambda number=number: len(harness.proxy.request_handler.requests) == number + 1)
+    wires = [node.accept() for _ in clients]
     for wire in wires:
         wire.take()
-    paying = made.client()
-    paying.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
-    links = made.proxy.server_pools.connections
-    made.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
-    shared = made.turn(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
-    reading, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
+    writer = harness.client()
+    writer.send(encode_command(b"OBJ.SET", b"7f", b"pay", PAY, b"v"))
+    links = harness.proxy.server_pools.connections
+    harness.until(lambda: any(len(link.in_flight) == 2 for link in links.values()))
+    shared = harness.turn(lambda: next(link for link in links.values() if len(link.in_flight) == 2))
+    read_id, port = shared.in_flight[0].frame.request_id, shared.transport.getHost().port
     wire = next(wire for wire in wires if wire.socket.getpeername()[1] == port)
     assert wire.take()[0] == b"OBJ.SET"
-    made.turn(made.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
-    next(one for number, one in enumerate(asking) if b"%d.0" % number in reading).end()
-    made.until(lambda: len(made.proxy.request_handler.in_flight) == len(asking))
-    before = made.turn(lambda: made.proxy.deadlines.scheduled)
-    made.pass_by(made.proxy.server_pools.ABANDONED_TIMEOUT)
-    assert made.turn(lambda: made.proxy.deadlines.scheduled) - before < 20  # no round after round of nothing
+    harness.turn(harness.proxy.server_pools.configure, PoolSettings(10_000_000, 250_000, 1))
+    next(wire for number, wire in enumerate(clients) if b"%d.0" % number in read_id).end()
+    harness.until(lambda: len(harness.proxy.request_handler.in_flight) == len(clients))
+    before = harness.turn(lambda: harness.proxy.deadlines.scheduled)
+    harness.pass_by(harness.proxy.server_pools.ABANDONED_TIMEOUT)
+    # The timeout must not be rescheduled in a loop.
+    assert harness.turn(lambda: harness.proxy.deadlines.scheduled) - before < 20
     wire.send(hit(b"late") + hit(b"receipt"))
-    assert paying.take() == b"receipt"
+    assert writer.take() == b"receipt"
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_kept_connection_that_its_node_has_ended_takes_no_effect_twice(moment, how):
-    # The end is in the kernel, not read yet, when the write goes out.  After an orderly end the kernel takes
-    # the bytes, and for all we know it has run.  After a reset it takes none: it goes out once more.
+def test_a_write_on_a_connection_that_the_server_has_closed_is_executed_at_most_once(start_proxy, how):
+    # The end of the connection is in the kernel but not read yet when the write is sent.  After an orderly
+    # close the kernel accepts the bytes, so the write may have been executed.  After a reset it accepts none,
+    # so the write is sent again.
     node = Node("n0")
-    made = moment(node)
-    asking = made.client()
-    asking.send(gets(1))
-    kept = node.accept()
-    kept.take()
-    kept.send(hit())
-    assert asking.take() == b"v"
-    made.until(lambda: made.proxy.server_pools.idle_connections)
+    harness = start_proxy(node)
+    client = harness.client()
+    client.send(gets(1))
+    idle = node.accept()
+    idle.take()
+    idle.send(hit())
+    assert client.take() == b"v"
+    harness.until(lambda: harness.proxy.server_pools.idle_connections)
 
     def turn():
-        getattr(kept, how)()
-        clients(made)[0].dataReceived(encode_command(b"OBJ.SET", b"7f", b"2", PAY, b"v"))
+        getattr(idle, how)()
+        client_connections(harness)[0].dataReceived(encode_command(b"OBJ.SET", b"7f", b"2", PAY, b"v"))
 
-    made.turn(turn)
+    harness.turn(turn)
     if how == "reset":
-        again = node.accept()
-        assert again.take()[2] == b"2"
-        again.send(hit(b"receipt"))
-    assert asking.take() == (b"receipt" if how == "reset" else "-ERR failed")
-    assert made.turn(
-        lambda: not made.proxy.request_handler.in_flight and not made.proxy.request_handler.requests
+        second = node.accept()
+        assert second.take()[2] == b"2"
+        second.send(hit(b"receipt"))
+    assert client.take() == (b"receipt" if how == "reset" else "-ERR failed")
+    assert harness.turn(
+        lambda: not harness.proxy.request_handler.in_flight and not harness.proxy.request_handler.requests
     )
 
 
-def test_an_attempt_that_waits_for_a_connection_is_let_go_when_its_node_drains(moment):
-    # The connection comes up only after the drain was told: nothing is written to it.
+def test_an_attempt_that_waits_for_a_connection_is_rerouted_when_its_server_drains(start_proxy):
+    # The connection is established after the drain was announced: nothing is written to it.
     node, other = Node("n0"), Node("n1")
-    made = moment(node, other)
-    asking = made.client()
-
-    def turn():  # both within one turn: the connection is not up yet
-        made.client_side = clients(made)[0]
-        made.client_side.dataReceived(gets(1))
-        first = next(iter(made.proxy.request_handler.in_flight.values())).pool
-        left = next(one for one in (node, other) if one.name == first.name)
-        made.proxy.endpoints.update([left.entry("DRAINING")], False)
-        return left
-
-    made.until(lambda: made.proxy.client_server.connections)
-    left = made.turn(turn)
-    stays = other if left is node else node
-    to_node = stays.accept()
-    to_node.take()
-    to_node.send(hit())
-    assert asking.take() == b"v"
-    links = made.proxy.server_pools.connections
-    made.until(lambda: all(link.pool.name == stays.name for link in links.values()))
-    wire = left.accept()
-    assert wire.take() is None  # ended by us with nothing on it
-
-
-def test_an_answer_and_a_reset_in_one_read_are_an_answer(moment):
+    harness = start_proxy(node, other)
+    client = harness.client()
+
+    def turn():  # both in one turn of the reactor, before the connection is established
+        harness.client_side = client_connections(harness)[0]
+        harness.client_side.dataReceived(gets(1))
+        first = next(iter(harness.proxy.request_handler.in_flight.values())).pool
+        draining = next(candidate for candidate in (node, other) if candidate.name == first.name)
+        harness.proxy.endpoints.update([draining.entry("DRAINING")], False)
+        return draining
+
+    harness.until(lambda: harness.proxy.client_server.connections)
+    draining = harness.turn(turn)
+    ready = other if draining is node else node
+    server_connection = ready.accept()
+    server_connection.take()
+    server_connection.send(hit())
+    assert client.take() == b"v"
+    links = harness.proxy.server_pools.connections
+    harness.until(lambda: all(link.pool.name == ready.name for link in links.values()))
+    wire = draining.accept()
+    assert wire.take() is None  # closed by the proxy without any data
+
+
+def test_an_answer_followed_by_a_reset_ends_the_attempt(start_proxy):
     node = Node("n0")
-    made = moment(node)
-    asking = made.client()
-    asking.send(gets(1))
-    to_node = node.accept()
-    to_node.take()
+    harness = start_proxy(node)
+    client = harness.client()
+    client.send(gets(1))
+    server_connection = node.accept()
+    server_connection.take()
 
     def turn():
-        to_node.send(hit())
-        to_node.reset()
+        server_connection.send(hit())
+        server_connection.reset()
 
-    made.turn(turn)
-    assert asking.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have thrown the answer away
-    assert made.turn(lambda: not made.proxy.request_handler.in_flight)
+    harness.turn(turn)
+    assert client.take() in (b"v", "-BUSY", "-ERR failed")  # the kernel may have discarded the answer
+    assert harness.turn(lambda: not harness.proxy.request_handler.in_flight)
 
 
 @pytest.mark.parametrize("streams", [1, 10])
-def test_an_answer_in_the_turn_of_its_deadline_is_nobodys_and_never_the_next_ones(moment, streams):
+def test_a_late_answer_is_never_taken_for_the_answer_of_the_next_request(start_proxy, streams):
     node = Node("n0")
-    made = moment(node, streams_per_conn=streams, may_duplicate=True)
-    asking = made.client()
-    asking.send(gets(1))
-    to_node = node.accept()
-    to_node.take()
-
-    def turn():  # the answer is in the kernel when the deadline is due
-        to_node.send(hit(b"late"))
-        made.at += 1_000_000
-        made.proxy.deadlines.run_due()
-
-    made.turn(turn)
-    assert asking.take() == "-BUSY"
-    asking.send(gets(1, b"next"))
-    links = made.proxy.server_pools.connections
-    made.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
-    if made.turn(lambda: len(made.proxy.server_pools.connections)) > 1 or to_node.take() is None:
-        to_node = node.accept()
-        to_node.take()
-    to_node.send(hit(b"own"))
-    assert asking.take() == b"own"
-
-
-def test_an_answer_in_the_turn_in_which_its_client_goes_ends_all_once(moment):
+    harness = start_proxy(node, streams_per_conn=streams, may_duplicate=True)
+    client = harness.client()
+    client.send(gets(1))
+    server_connection = node.accept()
+    server_connection.take()
+
+    def turn():  # the answer is in the kernel when the deadline expires
+        server_connection.send(hit(b"late"))
+        harness.at += 1_000_000
+        harness.proxy.deadlines.run_due()
+
+    harness.turn(turn)
+    assert client.take() == "-BUSY"
+    client.send(gets(1, b"next"))
+    links = harness.proxy.server_pools.connections
+    harness.until(lambda: any(link.in_flight and link.in_flight[-1].frame for link in links.values()))
+    if (
+        harness.turn(lambda: len(harness.proxy.server_pools.connections)) > 1
+        or server_connection.take() is None
+    ):
+        server_connection = node.accept()
+        server_connection.take()
+    server_connection.send(hit(b"own"))
+    assert client.take() == b"own"
+
+
+def test_an_answer_in_the_turn_in_which_its_client_disconnects_ends_everything_once(start_proxy):
     node = Node("n0")
-    made = moment(node)
+    harness = start_proxy(node)
     for how in ("end", "reset"):
-        asking = made.client()
-        asking.send(gets(1))
-        to_node = node.accept()
-        to_node.take()
-
-        def turn(asking=asking, to_node=to_node, how=how):
-            to_node.send(hit())
-            getattr(asking, how)()
-
-        made.turn(turn)
-        made.until(
-            lambda: not made.proxy.client_server.connections
-            and not made.proxy.request_handler.in_flight
-            and not made.proxy.request_handler.requests
+        client = harness.client()
+        client.send(gets(1))
+        server_connection = node.accept()
+        server_connection.take()
+
+        def turn(client=client, server_connection=server_connection, how=how):
+            server_connection.send(hit())
+            getattr(client, how)()
+
+        harness.turn(turn)
+        harness.until(
+            lambda: not harness.proxy.client_server.connections
+            and not harness.proxy.request_handler.in_flight
+            and not harness.proxy.request_handler.requests
         )
-        assert not made.turn(lambda: made.proxy.client_server.request_ids)
-        made.turn(made.proxy.server_pools.close_idle, made.proxy.server_pools.pools["n0"], "done")
+        assert not harness.turn(lambda: harness.proxy.client_server.request_ids)
+        harness.turn(harness.proxy.server_pools.close_idle, harness.proxy.server_pools.pools["n0"], "done")
 
 
-def test_a_node_that_goes_from_the_list_finishes_what_it_has_and_gets_nothing_more(moment):
+def test_an_unlisted_server_answers_its_attempts_and_gets_no_more(start_proxy):
     agent, node = Agent(), Node("n0")
-    made = moment(discovery=agent)
+    harness = start_proxy(discovery=agent)
     watch, _ = agent.call()
     agent.line(watch, 1, node.entry(), whole=True)
-    made.until(lambda: made.proxy.balancer.servers)
-    asking = made.client()
-    asking.send(gets(1))
-    to_node = node.accept()
-    to_node.take()
+    harness.until(lambda: harness.proxy.balancer.servers)
+    client = harness.client()
+    client.send(gets(1))
+    server_connection = node.accept()
+    server_connection.take()
     agent.line(watch, 2, whole=True)
-    made.until(lambda: made.proxy.endpoint_watch.generation == 2)
-    to_node.send(hit())
-    assert asking.take() == b"v" and to_node.take() is None
+    harness.until(lambda: harness.proxy.endpoint_watch.generation == 2)
+    server_connection.send(hit())
+    assert client.take() == b"v" and server_connection.take() is None
 
 
-def test_a_move_of_discovery_in_its_pause_in_a_call_and_to_an_address_that_refuses(moment):
+def test_the_discovery_address_can_change_in_a_pause_during_a_request_and_after_a_refusal(start_proxy):
     first, second = Agent(), Agent()
-    made = moment(discovery=first)
+    harness = start_proxy(discovery=first)
     watch, _ = first.call()
     first.line(watch, 7, Node("n0").entry(), whole=True)
-    made.until(lambda: made.proxy.endpoint_watch.generation == 7)
+    harness.until(lambda: harness.proxy.endpoint_watch.generation == 7)
     watch.close()
-    made.until(lambda: not made.proxy.endpoint_watch.is_streaming)  # the pause: time stands still
-    made.turn(made.proxy.endpoint_watch.change_address, second.address)
+    # In the pause before the next request, as the clock does not advance.
+    harness.until(lambda: not harness.proxy.endpoint_watch.is_streaming)
+    harness.turn(harness.proxy.endpoint_watch.change_address, second.address)
     watch, since = second.call()
     assert since == 7
-    made.until(lambda: made.proxy.endpoint_watch.is_streaming)
+    harness.until(lambda: harness.proxy.endpoint_watch.is_streaming)
     with socket.create_server(("127.0.0.1", 0)) as free:
-        nowhere = free.getsockname()
-    made.turn(made.proxy.endpoint_watch.change_address, nowhere)
-    made.until(lambda: made.proxy.endpoint_watch.call is None and not made.proxy.endpoint_watch.is_streaming)
-    second.line(watch, 9, Node("n0").entry("DRAINING"))  # nobody listens there any more
-    hung = socket.create_server(("127.0.0.1", 0))
-    made.turn(made.proxy.endpoint_watch.change_address, hung.getsockname())
-    late = hung.accept()[0]
+        refusing = free.getsockname()
+    harness.turn(harness.proxy.endpoint_watch.change_address, refusing)
+    harness.until(
+        lambda: harness.proxy.endpoint_watch.call is None and not harness.proxy.endpoint_watch.is_streaming
+    )
+    second.line(watch, 9, Node("n0").entry("DRAINING"))  # the watch no longer reads from this address
+    hanging = socket.create_server(("127.0.0.1", 0))
+    harness.turn(harness.proxy.endpoint_watch.change_address, hanging.getsockname())
+    late = hanging.accept()[0]
     late.recv(65_536)
-    # Amid the call, whose answer comes too late.
-    made.turn(made.proxy.endpoint_watch.change_address, first.address)
+    # The address changes during the request, whose response comes too late.
+    harness.turn(harness.proxy.endpoint_watch.change_address, first.address)
     watch, since = first.call()
     assert since == 7
     late.close()
     first.line(watch, 8, Node("n1").entry())
-    made.until(lambda: made.proxy.endpoint_watch.generation == 8 and len(made.proxy.balancer.servers) == 2)
+    harness.until(
+        lambda: harness.proxy.endpoint_watch.generation == 8 and len(harness.proxy.balancer.servers) == 2
+    )
