--- a/ivystack/mesh/__init__.py
+++ b/ivystack/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Long-lived authenticated links between proxies.  No client request ever waits for one."""
+"""Long-lived authenticated links between proxies. No client request ever waits for a link."""
--- a/ivystack/mesh/exceptions.py
+++ b/ivystack/mesh/exceptions.py
@@ -1,11 +1,11 @@
-"""Errors raised by this package."""
+"""Errors raised by the mesh package."""
 
 from __future__ import annotations
 
 
 class MeshError(Exception):
-    """Base of the errors raised by this package."""
+    """Base class of the errors raised by the mesh package."""
 
 
 class KeyFileError(MeshError, ValueError):
-    """The key file cannot be used; says in one line why."""
+    """The key file cannot be used; the message is one line with the reason."""
--- a/ivystack/mesh/link.py
+++ b/ivystack/mesh/link.py
@@ -1,7 +1,7 @@
-"""One connection between two proxies: handshake, signed messages, heartbeats.
+"""A connection between two proxies: handshake, signed messages and heartbeats.
 
-Only messages that are signed for this very connection, direction and position are handed on, and what is held
-for a slow peer is bounded.
+A received message is passed on only if its signature is valid for this connection, this direction and this
+position in the sequence of messages. The bytes queued for a slow peer are bounded.
 """
 
 from __future__ import annotations
@@ -40,35 +40,36 @@
     from ..net.deadlines import Deadline
     from .mesh import Mesh
 
-HEARTBEAT_INTERVAL = 500_000  # microseconds between heartbeats where nothing else is sent
-SILENCE_TIMEOUT = 2_000_000  # microseconds without a byte after which the link is closed: four heartbeats
-HANDSHAKE_TIMEOUT = 2_000_000  # microseconds for both handshakes
-READ_BYTES = 65_536  # read at once: bounds the time until other connections get their turn
-FRAME_OVERHEAD = 256  # bytes: a frame may be so much longer than its message
+HEARTBEAT_INTERVAL = 500_000  # microseconds between heartbeats while no other message is queued
+SILENCE_TIMEOUT = 2_000_000  # microseconds without a received byte before the link is closed: four heartbeats
+HANDSHAKE_TIMEOUT = 2_000_000  # microseconds for the handshakes of both sides
+READ_BYTES = 65_536  # read at once; bounds the delay of other connections
+FRAME_OVERHEAD = 256  # bytes by which a frame may be longer than its message
 
 
 class Link(Int32StringReceiver):
-    """The protocol of one connection, on either side.
+    """The protocol of a connection, for dialer and acceptor.
 
-    A link is `authenticated` once the peer's handshake is verified, and `established` once the peer has
-    proved that it is no replay: for the dialer by that handshake, for the acceptor by a first message.
+    A link is `authenticated` once the peer's handshake is verified. It is `established` once the peer has
+    proved that the connection is not a replay. For the dialer the handshake is this proof, because it covers
+    the dialer's nonce; for the acceptor the proof is the first message.
     """
 
     MAX_LENGTH = MAX_MESSAGE_BYTES + FRAME_OVERHEAD
     transport: Any
 
     def __init__(self, mesh: Mesh, peer: str | None) -> None:
-        """Create one side of a link; `peer` is the proxy that was dialed, None at the acceptor."""
+        """Create one side of a link; `peer` is the name of the dialed proxy, None for the acceptor."""
         self.mesh, self.peer, self.is_dialer = mesh, peer or "", peer is not None
         self.incarnation = ""  # the peer's
         self.own_nonce, self.peer_nonce = secrets.token_bytes(NONCE_BYTES), b""
-        self.key_id: str | None = None  # of the key that the peer signs with
+        self.key_id: str | None = None  # id of the key that signed the peer's handshake
         self.authenticated = False
         self.established = False
-        self.sent = self.received = 0  # messages, and so the number of the next one
+        self.sent = self.received = 0  # number of messages, and so the sequence number of the next message
         self.queue = SendQueue()
-        self.paused = False  # the transport takes no more for now
-        self.code: str | None = None  # why the link ended
+        self.paused = False  # the transport accepts no data at present
+        self.code: str | None = None  # reason for the close of the link
         self.last_received_at = 0
         self.timer: Deadline | None = None
 
@@ -86,11 +87,11 @@
     def _send_handshake(self) -> None:
         mesh = self.mesh
         body = encode(Handshake(VERSION, mesh.name, self.peer, mesh.incarnation, self.own_nonce))
-        # The caller does not know the peer's nonce yet; the called side signs it with its answer.
+        # The dialer does not know the peer's nonce yet. The acceptor's signature covers the dialer's nonce.
         self.sendString(mesh.keys.sign(HANDSHAKE_TAG, self.peer_nonce, body) + body)
 
     def handshake_timeout(self) -> None:
-        """Close the link if it is not established by now."""
+        """Close the link if it is not established yet."""
         if not self.established:
             self.close(DropCode.NO_HANDSHAKE)
 
@@ -115,10 +116,11 @@
         if not self.is_dialer:
             return self._send_handshake()
         self._establish()
-        return self.send(HEARTBEAT_KIND, None)  # signed over both nonces: proves that we are no replay
+        # The signature of the first message covers both nonces: it proves that this connection is no replay.
+        return self.send(HEARTBEAT_KIND, None)
 
     def _is_expected(self, handshake: Handshake) -> bool:
-        """Return whether the peer is the one that was called, or means us."""
+        """Return whether the peer is the dialed proxy or, for an acceptor, has dialed this proxy."""
         if self.is_dialer:
             return handshake.sender == self.peer
         return handshake.recipient == self.mesh.name
@@ -131,7 +133,7 @@
         self.mesh.established(self)
 
     def heartbeat(self) -> None:
-        """Close a link whose peer has gone silent, else show that we are alive."""
+        """Close the link if the peer is silent; otherwise send a heartbeat if no message is queued."""
         now = self.mesh.now()
         if now - self.last_received_at > SILENCE_TIMEOUT:
             return self.close(DropCode.SILENT)
@@ -145,7 +147,7 @@
         self.send_encoded(encode((kind, body)))
 
     def send_encoded(self, message: bytes) -> None:
-        """Queue an encoded message and write what the transport takes."""
+        """Queue an encoded message, and send queued messages while the transport accepts data."""
         for _ in range(self.queue.append(message)):
             self.mesh.count_drop(DropCode.QUEUE_FULL, self.peer)
         self._flush()
@@ -158,7 +160,7 @@
             self.sendString(signature + message)
 
     def _binding(self, from_dialer: bool, number: int) -> tuple[bytes, ...]:
-        """Return what a signature covers before the message: this connection, its direction, its number."""
+        """Return what a signature covers besides the message: nonces, direction and sequence number."""
         nonces = (self.own_nonce, self.peer_nonce) if self.is_dialer else (self.peer_nonce, self.own_nonce)
         direction = FROM_DIALER if from_dialer else FROM_ACCEPTOR
         return MESSAGE_TAG, *nonces, direction, number.to_bytes(8, "big")
@@ -205,13 +207,13 @@
         self.close(DropCode.TOO_LONG)
 
     def stop(self) -> None:
-        """Close the connection once what was written is out."""
+        """Close the connection after all written data is sent."""
         self.code = self.code or DropCode.STOPPING
-        self.transport.unregisterProducer()  # a paused one would keep the transport from closing
+        self.transport.unregisterProducer()  # a paused producer would keep the transport from closing
         self.transport.loseConnection()
 
     def close(self, code: str) -> None:
-        """Close the connection at once; the first code counts."""
+        """Close the connection at once; a code that is set already is kept."""
         self.code = self.code or code
         self.transport.abortConnection()
 
--- a/ivystack/mesh/protocol.py
+++ b/ivystack/mesh/protocol.py
@@ -1,8 +1,9 @@
-"""The mesh's wire format: handshake, messages, and the codes for what was dropped.
+"""The wire format of the mesh: handshake, messages, and the codes of drops and closed links.
 
-Each frame is a signature and a msgpack body, with a 32 bit length before them.  Both sides send a `Handshake`
-first; the called side's covers the caller's nonce.  Each later message is an array of kind and body, signed
-over both nonces, its direction and its number, so that it counts on this connection and in this order alone.
+Each frame is a 32-bit length, a signature and a MessagePack body. Both sides send a `Handshake` first; the
+acceptor's signature covers the dialer's nonce. Each later message is an array of kind and body. Its signature
+covers both nonces, the direction and the sequence number, so that the message is valid only on its connection
+and in its position.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 import msgspec
 from msgspec import Meta, Struct
 
-VERSION = 1  # of the handshake and of what follows it
-MAX_MESSAGE_BYTES = 262_144  # a snapshot of the replicated state fits, and its digest takes 0.3 ms
+VERSION = 1  # version of the handshake and of the messages
+MAX_MESSAGE_BYTES = 262_144  # fits a snapshot of the replicated state; a digest of this length takes 0.3 ms
 NONCE_BYTES = 16
-NAME_PATTERN = r"^[\w.:-]{1,64}$"  # of a proxy: the name stands in logs and in ids
-HEARTBEAT_KIND = ""  # a message without a handler: it shows that the sender is alive
+NAME_PATTERN = r"^[\w.:-]{1,64}$"  # pattern of proxy names, which are used in logs and ids
+HEARTBEAT_KIND = ""  # has no handler; shows that the sender is alive
 
-# What a signature covers first, by the kind of frame.
+# First bytes that a signature covers, by kind of frame.
 HANDSHAKE_TAG, MESSAGE_TAG = b"hello", b"say"
 FROM_DIALER, FROM_ACCEPTOR = b">", b"<"
 
@@ -28,12 +29,12 @@
 
 
 class Handshake(Struct, array_like=True):
-    """The first frame of each side, as an array in the order of these fields."""
+    """The first frame of each side, encoded as an array in the order of these fields."""
 
     version: int
     sender: ProxyName
     recipient: str
-    incarnation: Incarnation  # of the sender's process: in a hot restart two processes have one name
+    incarnation: Incarnation  # of the sender's process; in a hot restart two processes share a name
     nonce: bytes
 
 
@@ -43,12 +44,12 @@
 
 
 class DropCode(StrEnum):
-    """Why a link was closed or a message dropped; the value is the `code=` in logs and operators' JSON."""
+    """The reason for a closed link or a dropped message; the value is the `code=` in logs and JSON status."""
 
     NO_HANDSHAKE = "no-greeting"
     BAD_KEY = "bad-key"
     BAD_DIGEST = "bad-digest"
-    WRONG_ADDRESS = "not-its-address"  # it has a member's name, but not that member's address
+    WRONG_ADDRESS = "not-its-address"  # the peer has a member's name, but not that member's address
     WRONG_NAME = "other-name"
     UNREADABLE = "unreadable"
     TOO_LONG = "too-long"
@@ -66,11 +67,11 @@
 
 
 def version_code(version: int) -> str:
-    """Return the `code=` of a link that was closed because the peer has another version."""
+    """Return the `code=` of a link that was closed because the peer has another protocol version."""
     return f"version-{version}"
 
 
-# Ends that strangers can bring about at will: counted, and logged once a period for all of them.
+# Closes that unauthenticated peers can cause at will. They are counted and logged once per period in total.
 UNLOGGED_CODES = frozenset(
     [
         DropCode.NO_HANDSHAKE,
--- a/ivystack/mesh/send_queue.py
+++ b/ivystack/mesh/send_queue.py
@@ -1,14 +1,14 @@
-"""Messages that wait for a slow peer, bounded in bytes."""
+"""The queue of messages for a slow peer, bounded in bytes."""
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_QUEUED_BYTES = 1 << 20  # what one slow peer may cost in memory
+MAX_QUEUED_BYTES = 1 << 20  # memory limit for each slow peer
 
 
 class SendQueue:
-    """A queue of encoded messages; beyond its bound the oldest are dropped."""
+    """A queue of encoded messages; above its limit the oldest messages are dropped."""
 
     def __init__(self) -> None:
         self.messages: deque[bytes] = deque()
@@ -18,7 +18,7 @@
         return bool(self.messages)
 
     def append(self, message: bytes) -> int:
-        """Add a message; return how many old ones were dropped for it."""
+        """Add a message; return the number of messages that were dropped to make space."""
         self.messages.append(message)
         self.size += len(message)
         dropped = 0
