--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus: schedules in virtual time, mutations, the core, requests to a replica, real processes."""
+"""Tests of consensus: simulated schedules, mutations, the core, requests to a replica, real processes."""
 
 import os
 import subprocess
@@ -36,31 +36,33 @@
 GROUP = Configuration(VOTERS)
 
 
-def test_three_hundred_schedules_with_every_fault_hold():
+def test_three_hundred_schedules_with_all_kinds_of_faults_violate_no_property():
     with ProcessPoolExecutor() as pool:
         assert [failure for failure in pool.map(run_schedule, range(300), chunksize=10) if failure] == []
 
 
-def test_every_mutation_is_found():
+def test_every_mutation_is_detected():
     assert len(MUTATIONS) >= 12
     with ProcessPoolExecutor() as pool:
-        finds = pool.map(first_failing_seed, MUTATIONS.values(), [range(400)] * len(MUTATIONS))
-        seeds = dict(zip(MUTATIONS, finds, strict=True))
+        first_seeds = pool.map(first_failing_seed, MUTATIONS.values(), [range(400)] * len(MUTATIONS))
+        seeds = dict(zip(MUTATIONS, first_seeds, strict=True))
     assert [name for name, seed in seeds.items() if seed is None] == []
 
 
-def test_schedules_are_played_from_the_command_line():
+def test_schedules_can_be_run_from_the_command_line():
     code, output, _ = ivy("rig", "schedules", "--seed", "5", "--count", "16")
     assert code == 0 and output.startswith("HOLDS 16 schedules")
     assert ivy("rig", "schedules", "--count", "0")[0] == 2
 
 
-# Scripted schedules.
+# --- Scripted schedules ---
 
 
-def new_core(module=core_module, ident="b/1", entries=(), config=GROUP, index=1, term=1, now=10_000 * MS):
+def new_core(
+    module=core_module, replica_id="b/1", entries=(), config=GROUP, index=1, term=1, now=10_000 * MS
+):
     return module.Core(
-        ident,
+        replica_id,
         now,
         Random(1),
         50 * MS,
@@ -73,7 +75,7 @@
 
 
 def messages_once_written(core, now=10_000 * MS):
-    """Return the messages that leave once everything is durable."""
+    """Write all batches and return the messages that the core then releases."""
     messages = []
     while True:
         ready = core.take_ready(now)
@@ -85,7 +87,8 @@
 
 def vote_is_saved(module):
     core = new_core(module)
-    core.receive(10_000 * MS, "a/1", RequestVote(2, 0, 0))  # a shorter log: no vote, but a new term
+    # A candidate with a shorter log gets no vote, but its term is adopted.
+    core.receive(10_000 * MS, "a/1", RequestVote(2, 0, 0))
     assert not [m for _, m in messages_once_written(core) if m.granted]
     core.receive(10_000 * MS, "c/1", RequestVote(2, 1, 1))
     ready = core.take_ready(10_000 * MS)
@@ -138,79 +141,77 @@
 
 
 @pytest.mark.parametrize("name", SCRIPTED_MUTATIONS)
-def test_a_scripted_schedule_holds_and_shows_its_mutation(name):
+def test_a_scripted_schedule_passes_and_detects_its_mutation(name):
     SCRIPTS[name](core_module)
     with pytest.raises(AssertionError):
         SCRIPTS[name](mutated_core(SCRIPTED_MUTATIONS[name]))
 
 
 def new_leader():
-    """Return a leader of three replicas with both followers up to date."""
-    core = new_core(ident="a/1")
+    """Return the core of a leader whose two followers have the complete log."""
+    core = new_core(replica_id="a/1")
     core.campaign(10_000 * MS, pre_vote=False)
     messages_once_written(core)
     core.receive(10_000 * MS, "b/1", VoteReply(2, True))
     messages_once_written(core)
     assert core.role == Role.LEADER
-    for one in ("b/1", "c/1"):
-        core.receive(10_000 * MS, one, AppendEntriesReply(2, True, 2, core.round, 2))
+    for follower in ("b/1", "c/1"):
+        core.receive(10_000 * MS, follower, AppendEntriesReply(2, True, 2, core.round, 2))
     messages_once_written(core)
     assert core.commit_index == 2
     return core
 
 
-def test_a_follower_that_lost_acknowledged_entries_withdraws_and_votes_no_more():
+def test_a_follower_that_lost_acknowledged_entries_withdraws_and_no_longer_votes():
     core = new_leader()
     core.tick(10_060 * MS)
-    core.receive(
-        10_060 * MS, "b/1", AppendEntriesReply(2, False, 0, core.round, 1)
-    )  # it had acknowledged entry 2
+    # The follower had acknowledged entry 2.
+    core.receive(10_060 * MS, "b/1", AppendEntriesReply(2, False, 0, core.round, 1))
     assert ("b/1", DataLossDetected(2)) in messages_once_written(
         core, 10_060 * MS
     ) and "b/1" not in core.progress
-    follower = new_core(ident="b/1", term=2)
+    follower = new_core(replica_id="b/1", term=2)
     follower.receive(10_000 * MS, "a/1", AppendEntries(2, 1, 1, (), 1, 1))
     follower.receive(10_000 * MS, "a/1", DataLossDetected(2))
     follower.receive(10_000 * MS, "c/1", RequestVote(9, 9, 9))
     assert follower.take_ready(10_000 * MS).withdrawn and follower.term == 2
 
 
-def test_leadership_is_transferred_at_once_and_no_entry_is_accepted_meanwhile():
+def test_leadership_is_transferred_at_once_and_the_leader_accepts_no_entry_meanwhile():
     core = new_leader()
     assert core.transfer_leadership(10_060 * MS) and core.propose(b"x") is None
-    to, timeout_now = messages_once_written(core)[-1]
-    other = new_core(ident=to, term=2, entries=[Entry(2, "n")])
-    other.receive(
-        10_100 * MS, "a/1", AppendEntries(2, 2, 2, (), 2, 1)
-    )  # it has a leader, and campaigns all the same
+    target, timeout_now = messages_once_written(core)[-1]
+    other = new_core(replica_id=target, term=2, entries=[Entry(2, "n")])
+    # A recent message of the leader does not prevent the candidacy.
+    other.receive(10_100 * MS, "a/1", AppendEntries(2, 2, 2, (), 2, 1))
     other.receive(10_100 * MS, "a/1", timeout_now)
     requests = [m for _, m in messages_once_written(other) if isinstance(m, RequestVote)]
     assert requests and all(m.leadership_transfer and not m.pre_vote for m in requests)
-    core.receive(10_100 * MS, to, requests[0])
-    assert core.role == Role.FOLLOWER and core.voted_for == to
+    core.receive(10_100 * MS, target, requests[0])
+    assert core.role == Role.FOLLOWER and core.voted_for == target
 
 
-def test_a_partitioned_replica_disrupts_no_leader():
+def test_a_partitioned_replica_does_not_disrupt_the_leader():
     core = new_leader()
     core.receive(10_050 * MS, "c/1", RequestVote(99, 9, 9, True))
     core.receive(10_050 * MS, "c/1", RequestVote(99, 9, 9))
     assert core.role == Role.LEADER and core.term == 2
 
 
-# Requests to a replica.
+# --- Requests to a replica ---
 
 
 class FakeMesh:
-    """The part of a mesh that a replica uses, with one requester's link; keeps the replies."""
+    """A mesh with the link of one requester; records replies and drop codes."""
 
     incarnation = "0" * 16
 
     def __init__(self):
-        self.handlers, self.counted, self.replies = {}, [], []
+        self.handlers, self.drop_codes, self.replies = {}, [], []
         self.current_link = type("Link", (), {"incarnation": "f" * 16})
 
     def count_drop(self, code, peer):
-        self.counted.append(code)
+        self.drop_codes.append(code)
 
     def reply(self, link, kind, body):
         self.replies.append(body)
@@ -219,9 +220,9 @@
         return True
 
 
-def test_a_leader_rejects_commands_that_are_too_large_unknown_or_in_anothers_name():
-    # An entry beyond a message's bound reaches no follower, nor do heartbeats with it; a session that
-    # anybody could use up would let a command be executed twice.
+def test_a_leader_rejects_commands_that_are_too_large_unknown_or_of_another_client():
+    # An entry that exceeds the message limit reaches no follower, nor does a heartbeat that carries it.
+    # If a proxy could use up the sessions of other clients, a retried command would be executed twice.
     mesh = FakeMesh()
     env = Environment(None, None, lambda: 10_060 * MS, Random(1), mesh)
     replica = Replica(env, "a", ["a"], None, StateMachine(), Timing(MS, MS))
@@ -235,7 +236,7 @@
     )):  # fmt: skip
         replica.receive_request("z", (number, "do", fields))
         assert mesh.replies[-1] == Reply(number, True, None) and replica.core.log.last_index == last
-    assert mesh.counted == ["not-allowed"] * 6
+    assert mesh.drop_codes == ["not-allowed"] * 6
     replica.receive_request("z", (9, "do", [client, 1, "table", "set", ["k", bytes(16_000), None]]))
     assert replica.core.log.last_index == last + 1 and len(mesh.replies) == 6
     for number in range(2 * MAX_PENDING_PER_PROXY):
@@ -243,19 +244,24 @@
     assert len(replica.pending.queries) == MAX_PENDING_PER_PROXY - 1 and mesh.replies[-1].accepted is False
 
 
-# Real processes.
+# --- Real processes ---
 
 
-def playing(name, *words):
+def start_scenario(name, *arguments):
     return subprocess.Popen(
-        [sys.executable, "-B", "-m", "ivystack", "rig", "play", name, "--quiet", *words],
+        [sys.executable, "-B", "-m", "ivystack", "rig", "play", name, "--quiet", *arguments],
         stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
         env=os.environ | {"PYTHONPATH": str(PACKAGE.parent)},
     )  # fmt: skip
 
 
-def test_real_groups_survive_dead_leaders_lost_disks_and_membership_changes():
-    scenes = [("leader-killed", "--seconds", "10"), ("majority-lost",), ("disk-lost",), ("members-changed",)]
-    outputs = {scene[0]: process.communicate(timeout=120)[0] for scene, process in
-               [(scene, playing(*scene)) for scene in scenes]}  # fmt: skip
+def test_real_groups_survive_killed_leaders_lost_disks_and_membership_changes():
+    scenarios = [
+        ("leader-killed", "--seconds", "10"),
+        ("majority-lost",),
+        ("disk-lost",),
+        ("members-changed",),
+    ]
+    outputs = {scenario[0]: process.communicate(timeout=120)[0] for scenario, process in
+               [(scenario, start_scenario(*scenario)) for scenario in scenarios]}  # fmt: skip
     assert [text for text in outputs.values() if not text.startswith("HOLDS")] == []
--- a/tests/test_consensus_state_machine.py
+++ b/tests/test_consensus_state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine, and the check of histories of its table."""
+"""Tests of the replicated state machine, and of the check whether table histories are linearizable."""
 
 from math import inf
 
@@ -11,16 +11,16 @@
 from ivystack.rig.linear import Op
 
 
-def test_a_retried_command_is_executed_once_and_a_snapshot_keeps_that():
+def test_a_retried_command_is_executed_once_also_after_a_snapshot():
     machine = StateMachine()
 
     def execute(client, number, *args):
         return machine.apply(encode([client, number, "table", "set", list(args)]))
 
     assert execute("x", 1, "a", b"1", None) == [True, 1] == execute("x", 1, "a", b"1", None)
-    other = StateMachine()
-    other.load(machine.dump())
-    machine = other
+    restored = StateMachine()
+    restored.load(machine.dump())
+    machine = restored
     assert execute("x", 1, "a", b"1", None) == [True, 1] and machine.query("table", "get", ["a"]) == [b"1", 1]
     for number in range(2, 2 + ANSWERS_PER_SESSION):
         execute("x", number, "a", b"%d" % number, None)
@@ -31,7 +31,7 @@
     assert len(machine.answers) == MAX_SESSIONS and len(machine.dump()) < 200_000
 
 
-def test_the_table_is_bounded_and_an_unknown_entry_stops_the_state_machine():
+def test_the_table_is_bounded_and_the_state_machine_rejects_unknown_entries():
     table = KeyValueTable()
     assert table.execute("set", ["k", bytes(KeyValueTable.MAX_VALUE_BYTES + 1), None]) == [False, 0]
     assert sum(table.execute("set", [f"k{n}", bytes(1000), None])[0] for n in range(1000)) <= 66
@@ -49,17 +49,17 @@
         assert not machine.accepts(fields)
 
 
-def test_a_history_without_a_linearization_is_found_behind_many_good_operations():
-    good, at, version = [], 0, 0
+def test_a_history_without_a_linearization_is_detected_after_many_valid_operations():
+    valid, at, version = [], 0, 0
     for number in range(200):
         version += 1
-        good.append(("k", Op(at, at + 5, ("set", b"%d" % number, None), [True, version])))
-        good.append(("k", Op(at + 6, at + 7, ("get",), [b"%d" % number, version])))
+        valid.append(("k", Op(at, at + 5, ("set", b"%d" % number, None), [True, version])))
+        valid.append(("k", Op(at + 6, at + 7, ("get",), [b"%d" % number, version])))
         at += 10
-    assert agreed(good) == []
+    assert agreed(valid) == []
     stale = ("k", Op(at, at + 1, ("get",), [b"198", 199]))
-    lost = ("k", Op(at, inf, ("set", b"x", None)))
-    assert [b.rule for b in agreed([*good, stale])] == ["linearizable"]
-    assert agreed([*good, lost]) == []
-    both = [("k", Op(at, at + 2, ("set", value, 200), [True, 201])) for value in (b"y", b"z")]
-    assert [b.rule for b in agreed([*good, *both])] == ["linearizable"]
+    unanswered = ("k", Op(at, inf, ("set", b"x", None)))
+    assert [breach.rule for breach in agreed([*valid, stale])] == ["linearizable"]
+    assert agreed([*valid, unanswered]) == []
+    conflicting = [("k", Op(at, at + 2, ("set", value, 200), [True, 201])) for value in (b"y", b"z")]
+    assert [breach.rule for breach in agreed([*valid, *conflicting])] == ["linearizable"]
--- a/tests/test_consensus_storage.py
+++ b/tests/test_consensus_storage.py
@@ -1,4 +1,4 @@
-"""Consensus storage: what is written is read back, and any damage, copy or failed write is reported."""
+"""Tests of consensus storage: stored state is read back; damage, copies and failed writes are reported."""
 
 import os
 import shutil
@@ -19,11 +19,11 @@
 
 
 class RecordingStorage:
-    """Storage in a directory; keeps what its thread reports."""
+    """Storage in a directory; records what the writer thread reports."""
 
     def __init__(self, directory):
         self.written, self.failures = [], []
-        self.storage = Storage(directory, lambda call, *values: call(*values), self.failures.append)
+        self.storage = Storage(directory, lambda function, *args: function(*args), self.failures.append)
 
     def save(self, *batches):
         self.storage.start()
@@ -36,9 +36,9 @@
     recording = RecordingStorage(directory)
     incarnation = recording.storage.open().incarnation
     entries = [Entry(1, EntryKind.DATA, b"entry %d" % n) for n in range(count)]
-    first = Snapshot(1, 1, Configuration(VOTERS), b"state")
+    snapshot = Snapshot(1, 1, Configuration(VOTERS), b"state")
     recording.save(
-        WriteBatch(1, 1, "a/1", 2, entries[:9], first, 1), WriteBatch(2, 3, "b/1", 6, entries[9:], None, 1)
+        WriteBatch(1, 1, "a/1", 2, entries[:9], snapshot, 1), WriteBatch(2, 3, "b/1", 6, entries[9:], None, 1)
     )
     assert recording.written == [1, 2] and not recording.failures
     return incarnation, entries[:4] + entries[9:]
@@ -70,24 +70,27 @@
     write_entries(tmp_path / "s")
     connection = sqlite3.connect(tmp_path / "s" / DATABASE_FILE)
     connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    rows = [("entry", "at", at) for (at,) in connection.execute("SELECT at FROM entry")]
+    rows = [("entry", "at", index) for (index,) in connection.execute("SELECT at FROM entry")]
     rows += [("kept", "name", name) for (name,) in connection.execute("SELECT name FROM kept")]
     assert ("kept", "name", "identity") in rows
-    for table, key, one in rows:
-        ((value,),) = connection.execute(f"SELECT value FROM {table} WHERE {key} = ?", (one,)).fetchall()
+    for table, key, row_id in rows:
+        ((value,),) = connection.execute(f"SELECT value FROM {table} WHERE {key} = ?", (row_id,)).fetchall()
         for damaged in (bytes([value[0] ^ 1]) + value[1:], value[:-1], None):
             if damaged is None:
-                (kept,) = connection.execute(f"SELECT * FROM {table} WHERE {key} = ?", (one,)).fetchall()
-                connection.execute(f"DELETE FROM {table} WHERE {key} = ?", (one,))
+                (stored_row,) = connection.execute(
+                    f"SELECT * FROM {table} WHERE {key} = ?", (row_id,)
+                ).fetchall()
+                connection.execute(f"DELETE FROM {table} WHERE {key} = ?", (row_id,))
             else:
-                connection.execute(f"UPDATE {table} SET value = ? WHERE {key} = ?", (damaged, one))
+                connection.execute(f"UPDATE {table} SET value = ? WHERE {key} = ?", (damaged, row_id))
             connection.commit()
-            lost = one == "identity" and damaged is None  # as if its creation was interrupted
-            assert fault_code(tmp_path / "s") == ("lost" if lost else "spoilt"), (table, one)
+            # Without the identity record the directory looks as after an interrupted creation.
+            incomplete = row_id == "identity" and damaged is None
+            assert fault_code(tmp_path / "s") == ("lost" if incomplete else "spoilt"), (table, row_id)
             if damaged is None:
-                connection.execute(f"INSERT INTO {table} VALUES (?, ?, ?)", kept)
+                connection.execute(f"INSERT INTO {table} VALUES (?, ?, ?)", stored_row)
             else:
-                connection.execute(f"UPDATE {table} SET value = ? WHERE {key} = ?", (value, one))
+                connection.execute(f"UPDATE {table} SET value = ? WHERE {key} = ?", (value, row_id))
             connection.commit()
     connection.close()
     assert len(reopen(tmp_path / "s").entries) == 15
@@ -122,20 +125,20 @@
     reopen(tmp_path / "t")
     (tmp_path / "plain").write_text("")
     assert fault_code(tmp_path / "plain") == "unwritable"
-    aside = RecordingStorage(tmp_path / "t").storage.set_aside("older")
-    assert aside.is_dir() and not reopen(tmp_path / "t").was_member
+    moved_to = RecordingStorage(tmp_path / "t").storage.set_aside("older")
+    assert moved_to.is_dir() and not reopen(tmp_path / "t").was_member
 
 
-def test_a_copy_is_detected_where_every_file_has_its_former_inode_number(tmp_path):
-    # A restore in place: files removed and written again in their order get the same numbers.
+def test_a_copy_is_detected_even_if_every_file_has_its_former_inode_number(tmp_path):
+    # A restore in place: files removed and written again in the same order get the same inode numbers.
     for _ in range(10):
         write_entries(tmp_path / "s")
-        kept = sorted((tmp_path / "s").iterdir(), key=lambda file: file.stat().st_ino)
-        texts = [(file, file.read_bytes()) for file in kept]
+        files = sorted((tmp_path / "s").iterdir(), key=lambda file: file.stat().st_ino)
+        contents = [(file, file.read_bytes()) for file in files]
         shutil.rmtree(tmp_path / "s")
         (tmp_path / "s").mkdir()
-        for file, text in texts:
-            file.write_bytes(text)
+        for file, content in contents:
+            file.write_bytes(content)
         assert fault_code(tmp_path / "s") == "older"
         shutil.rmtree(tmp_path / "s")
 
@@ -162,44 +165,49 @@
 
 
 def test_a_truncated_corrupt_or_stale_log_of_a_killed_process_is_never_opened_silently(tmp_path):
-    # At a damaged page SQLite drops the rest of its log without an error.
-    whole = tmp_path / "s"
+    # SQLite treats a damaged page as the end of its write-ahead log and reports no error.
+    directory = tmp_path / "s"
     environ = os.environ | {"PYTHONPATH": os.pathsep.join([str(PACKAGE.parent), os.path.dirname(__file__)])}
-    subprocess.run([sys.executable, "-c", WRITER_SCRIPT, str(whole)], check=True, env=environ)
-    assert len(reopen(whole).entries) == 20  # and SQLite has moved its log into the file
-    shutil.rmtree(whole)
-    subprocess.run([sys.executable, "-c", WRITER_SCRIPT, str(whole)], check=True, env=environ)
-    log, file, tail = (whole / name for name in (DATABASE_FILE + "-wal", DATABASE_FILE, COUNTER_FILE))
-    kept = {path: path.read_bytes() for path in (log, file, tail)}
-
-    def code_with(path, text):
-        for one, before in kept.items():
-            one.write_bytes(text if one is path else before)
-        return fault_code(whole)
-
-    text = kept[log]
-    for at in range(32, len(text) - 4096, len(text) // 12):
-        assert code_with(log, text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) in ("older", "spoilt"), at
-        assert code_with(log, text[:at]) in ("older", "spoilt", "lost"), at
+    subprocess.run([sys.executable, "-c", WRITER_SCRIPT, str(directory)], check=True, env=environ)
+    # SQLite moves its write-ahead log into the database file when the directory is opened.
+    assert len(reopen(directory).entries) == 20
+    shutil.rmtree(directory)
+    subprocess.run([sys.executable, "-c", WRITER_SCRIPT, str(directory)], check=True, env=environ)
+    log, database, counter = (
+        directory / name for name in (DATABASE_FILE + "-wal", DATABASE_FILE, COUNTER_FILE)
+    )
+    originals = {path: path.read_bytes() for path in (log, database, counter)}
+
+    def code_with(path, content):
+        for other, original in originals.items():
+            other.write_bytes(content if other is path else original)
+        return fault_code(directory)
+
+    content = originals[log]
+    for position in range(32, len(content) - 4096, len(content) // 12):
+        assert code_with(
+            log, content[:position] + bytes([content[position] ^ 1]) + content[position + 1 :]
+        ) in ("older", "spoilt"), position
+        assert code_with(log, content[:position]) in ("older", "spoilt", "lost"), position
     assert code_with(log, b"") in ("older", "spoilt", "lost")
-    assert code_with(tail, bytes(2 * COUNTER_SLOT_BYTES)) == "spoilt" == code_with(tail, b"")
-    log.write_bytes(kept[log])
-    one = bytearray(kept[tail])
-    one[20 % 2 * COUNTER_SLOT_BYTES] ^= 1  # a torn write damages the slot before the last commit's at most
-    for path, before in kept.items():
-        path.write_bytes(bytes(one) if path is tail else before)
-    assert len(reopen(whole).entries) == 20
+    assert code_with(counter, bytes(2 * COUNTER_SLOT_BYTES)) == "spoilt" == code_with(counter, b"")
+    log.write_bytes(originals[log])
+    torn = bytearray(originals[counter])
+    torn[20 % 2 * COUNTER_SLOT_BYTES] ^= 1  # a torn write damages at most the older slot
+    for path, original in originals.items():
+        path.write_bytes(bytes(torn) if path is counter else original)
+    assert len(reopen(directory).entries) == 20
 
 
 def test_a_failed_write_is_final_and_later_batches_are_not_acknowledged(tmp_path):
     recording = RecordingStorage(tmp_path / "s")
     recording.storage.open()
     recording.storage.start()
-    good = WriteBatch(1, 1, "", 2, [Entry(1, EntryKind.DATA, b"x")], None, 1)
-    recording.storage.save(good, recording.written.append)
+    first_batch = WriteBatch(1, 1, "", 2, [Entry(1, EntryKind.DATA, b"x")], None, 1)
+    recording.storage.save(first_batch, recording.written.append)
     while not recording.written:
         pass
-    os.rename(tmp_path / "s", tmp_path / "gone")  # removed under it, and another created there
+    os.rename(tmp_path / "s", tmp_path / "gone")  # replaced by another directory while it is open
     RecordingStorage(tmp_path / "s").storage.open()
     for number in (2, 3):
         recording.storage.save(
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import Transport, entries, proxy
-from test_consensus import playing
+from test_consensus import start_scenario
 from test_rig import PACKAGE, altered, ivy
 
 from ivystack.balancing.gossip_codec import server_hash
@@ -323,7 +323,7 @@
     scenes = ["holder-killed", "holder-stopped", "holder-cut", "herd-order", "liar", "two-of-one"]
     scenes.append("node-trials")
     output = {scene: process.communicate(timeout=120)[0] for scene, process in
-            [(scene, playing(scene)) for scene in scenes]}  # fmt: skip
+            [(scene, start_scenario(scene)) for scene in scenes]}  # fmt: skip
     assert [text for text in output.values() if not text.startswith("HOLDS")] == []
 
 
