--- a/ivystack/consensus/client.py
+++ b/ivystack/consensus/client.py
@@ -26,7 +26,7 @@
 MAX_PENDING = 64  # requests; half of what a replica accepts from one proxy
 COMMAND_WINDOW = ANSWERS_PER_SESSION  # commands in flight, counted from the oldest pending one
 REPLY_TIMEOUT = 1_000_000  # microseconds without a reply before the request is sent to another member
-RETRY_DELAY = 50_000  # microseconds before a request is retried; random jitter may double the delay
+RETRY_DELAY = 50_000  # microseconds before a retry without a known leader, up to twice as long at random
 REDIRECT_DELAY = RETRY_DELAY // 10  # used if a member has named the leader
 
 Callback = Callable[[bool, Any], None]
--- a/ivystack/consensus/records.py
+++ b/ivystack/consensus/records.py
@@ -75,4 +75,4 @@
     acked_round: int = 0  # the latest heartbeat round that the follower has answered
     match_round: int = 0  # the leader's round when `match_index` last increased
     probing: bool = True  # send one message at a time until the follower accepts one
-    sent_commit: int = -1  # the commit index in the last message to the follower
+    sent_commit: int = -1  # the commit index that was last sent to the follower
--- a/ivystack/consensus/simulated_replica.py
+++ b/ivystack/consensus/simulated_replica.py
@@ -72,7 +72,7 @@
 
 
 def entry_digest_input(index: int, entry: Entry) -> bytes:
-    """Return the bytes that the state digest covers: index, term, kind and data of an entry."""
+    """Return the digested form of an entry: index, term, kind and data, separated by spaces."""
     return b"%d %d %b %b" % (index, entry.term, entry.kind.encode(), entry.data)
 
 
--- a/ivystack/consensus/storage_files.py
+++ b/ivystack/consensus/storage_files.py
@@ -52,7 +52,7 @@
 
 
 def digest(name: str, value: bytes) -> bytes:
-    """Return the digest of a record, keyed by its name, so that records can't be exchanged unnoticed."""
+    """Return the digest of a record, keyed by its name; it does not match under another name."""
     return blake2b(value, key=name.encode(), digest_size=16).digest()
 
 
