--- a/ivystack/duties/health_check_exchange.py
+++ b/ivystack/duties/health_check_exchange.py
@@ -1,6 +1,7 @@
-"""Messages of the health check duty: who asks for checks, and how their results reach every proxy.
+"""Messages of the health check duty: requests for checks, and the results for every proxy.
 
-Not every proxy has a link to the holder, but each has one to every member of the group, so members relay.
+Members of the group relay these messages, because not every proxy has a link to the holder, but every proxy
+has links to all members.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from .protocol import MAX_SERVERS_PER_MESSAGE, DutyName, HealthCheckResults, MessageKind, ServersDown
 
 DUTY = DutyName.HEALTH_CHECKS.value
-REQUEST_INTERVAL = 1_000_000  # microseconds between our requests for checks
+REQUEST_INTERVAL = 1_000_000  # microseconds between the requests for checks of a proxy
 
 
 class HealthCheckExchange:
-    """Runs the duty as its holder; otherwise requests checks, relays messages and applies results."""
+    """Runs the checks as the holder; otherwise requests checks, relays messages and applies results."""
 
     def __init__(
         self,
@@ -34,20 +35,21 @@
         now: Callable[[], int],
         holder_name: Callable[[], str],
     ) -> None:
-        """Register for the duty's messages.
+        """Register the handlers of the duty's messages with the mesh.
 
-        :param now: the clock, in microseconds.
-        :param holder_name: gives the proxy that holds the duty as last announced, empty if none is known.
+        :param now: returns the current time in microseconds.
+        :param holder_name: returns the name of the proxy that holds the duty according to the last
+            announcement, empty if no holder is known.
         """
         self.duty, self.mesh, self.holder, self.fencing = duty, mesh, holder, fencing
         self.now, self.holder_name = now, holder_name
-        self.is_member = False  # whether this process belongs to the consensus group, and so relays
-        self.next_request = 0
+        self.is_member = False  # whether this process is a member of the consensus group and relays messages
+        self.next_request = 0  # earliest time of the next request for checks, in microseconds
         mesh.handlers[MessageKind.SERVERS_DOWN.value] = self.servers_down_received
         mesh.handlers[MessageKind.HEALTH_CHECK_RESULTS.value] = self.results_received
 
     def tick(self, now: int) -> None:
-        """Check and announce as the holder, or request checks of what is down here."""
+        """Run checks and announce results as the holder, or request checks of unhealthy servers."""
         token = self.holder.held_token(DUTY, now)
         if token:
             self.duty.run_checks(now, lambda: self._holds(token))
@@ -62,29 +64,31 @@
         return self.holder.held_token(DUTY, self.now()) == token
 
     def _request_checks(self, down: ServersDown) -> None:
-        """Tell the holder which servers are down here, by a link or through the members."""
+        """Send the names of unhealthy servers to the holder, directly or through the members."""
         holder = self.holder_name()
         if holder and not self.mesh.send(holder, MessageKind.SERVERS_DOWN.value, down):
             for peer in self.mesh.members:
                 self.mesh.send(peer, MessageKind.SERVERS_DOWN.value, down)
 
     def servers_down_received(self, sender: str, body: Any) -> None:
-        """Note a request for checks as the holder, or relay it to the holder as a member.
+        """Record a request for checks as the holder, or relay it to the holder as a member.
 
-        :raises msgspec.ValidationError: the body is not a list of names.
+        :raises msgspec.ValidationError: the body is not a list of server names.
         """
         names = msgspec.convert(body, ServersDown)
         if self.holder.held_token(DUTY, self.now()):
-            self.duty.request(names, self.now())
+            self.duty.record_request(names, self.now())
         elif self.is_member and sender not in self.mesh.members:
             down = names[:MAX_SERVERS_PER_MESSAGE]
             self.mesh.send(self.holder_name(), MessageKind.SERVERS_DOWN.value, down)
 
     def _announce(self, received_from: str | None, results: HealthCheckResults) -> None:
-        """Apply results here and send them on.
+        """Apply results here and send them to other proxies.
 
-        The holder (`received_from` None) sends them on every link.  A member relays them to proxies outside
-        the group: the members have them from the holder or from another member.
+        The holder sends its results on every link.  A member relays received results only to proxies outside
+        the group, because the members get them from the holder or from another member.
+
+        :param received_from: the peer that sent the results; None if this process is the holder.
         """
         unreachable = sum(not reached for reached in results.reached.values())
         message = "duty: health checks done duty={} token={} reached={} unreachable={}"
@@ -95,9 +99,9 @@
                 self.mesh.send(peer, MessageKind.HEALTH_CHECK_RESULTS.value, results)
 
     def results_received(self, sender: str, body: Any) -> None:
-        """Apply results of the holder, received directly or through a member, under the announced token.
+        """Apply the holder's results, received directly or through a member, if their token is accepted.
 
-        :raises msgspec.ValidationError: the body has another shape.
+        :raises msgspec.ValidationError: the body does not hold health check results.
         """
         results = msgspec.convert(body, HealthCheckResults)
         holder = self.holder_name()
@@ -106,5 +110,5 @@
         if len(results.reached) > MAX_SERVERS_PER_MESSAGE or not self.fencing.accept(DUTY, results.token):
             return None
         if self.is_member and sender == holder and holder not in self.mesh.members:
-            return self._announce(sender, results)  # it has links to the members alone
+            return self._announce(sender, results)  # the holder has links only to members
         return self.duty.apply_results(results.reached, self.now())
--- a/ivystack/duties/health_probe.py
+++ b/ivystack/duties/health_probe.py
@@ -1,4 +1,4 @@
-"""One health check of a server: a connection, a PING and its answer."""
+"""A health check of a server: connect, send a PING and wait for the answer."""
 
 from __future__ import annotations
 
@@ -9,61 +9,67 @@
 
 from ..net.resp import RespProtocol, encode_command
 
-TIMEOUT = 400_000  # microseconds for connection and answer: a slower server is in no state to be used
+TIMEOUT = 400_000  # microseconds for connection and answer; a slower server is not fit for use
 
 
 class PingProtocol(RespProtocol):
-    """Sends one PING and nothing else, ever; `done` gets whether it was answered, and may get more calls."""
+    """Sends a single PING and nothing else; the first call of `callback` says whether it was answered.
+
+    Later calls of `callback` must be ignored.
+    """
 
     transport: Any
 
-    def __init__(self, done: Callable[[bool], None]) -> None:
+    def __init__(self, callback: Callable[[bool], None]) -> None:
         super().__init__()
-        self.done = done
+        self.callback = callback
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.transport.write(encode_command(b"PING"))
 
     def value_received(self, value: Any) -> None:
-        """Take the answer."""
-        self.done(value == "+PONG")
+        """Report whether the answer is the expected one and close the connection."""
+        self.callback(value == "+PONG")
         self.transport.loseConnection()
 
-    def fail_protocol(self, why: str) -> None:
-        """Take bytes that are no answer."""
-        self.done(False)
+    def fail_protocol(self, reason: str) -> None:
+        """Report failure on bytes that are not RESP and close the connection."""
+        self.callback(False)
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802, D102
-        self.done(False)
+        self.callback(False)
 
 
 class PingFactory(ClientFactory):
-    """Makes the one connection of a check."""
+    """Creates the protocol of a health check's connection."""
 
     noisy = False
 
-    def __init__(self, done: Callable[[bool], None]) -> None:
-        self.done = done
+    def __init__(self, callback: Callable[[bool], None]) -> None:
+        self.callback = callback
 
     def buildProtocol(self, addr: Any) -> PingProtocol:  # noqa: N802, D102
-        return PingProtocol(self.done)
+        return PingProtocol(self.callback)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802, D102
-        self.done(False)
+        self.callback(False)
 
 
 def probe(
-    reactor: Any, deadlines: Any, now: int, address: tuple[str, int], done: Callable[[bool], None]
+    reactor: Any, deadlines: Any, now: int, address: tuple[str, int], callback: Callable[[bool], None]
 ) -> None:
-    """Check the server at `address`; `done` is called once, with whether it answered within `TIMEOUT`."""
+    """Check the server at `address`; call `callback` once with whether it answered within `TIMEOUT`.
+
+    :param now: the current time in microseconds.
+    """
     pending = True
 
     def finish(reached: bool) -> None:
         nonlocal pending
         if pending:
             pending = False
-            done(reached)
+            callback(reached)
 
     def time_out() -> None:
         finish(False)
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -1,7 +1,7 @@
-"""The `slot-order` duty: one order of slots for the fleet, written by its holder and adopted by all.
+"""The `slot-order` duty: one slot order for the fleet, written by the holder and adopted by all proxies.
 
-The order is the value of the duty's lease: the hashes of the servers (balancing/gossip_codec.py), one for
-each slot.
+The order is the value of the duty's lease.  It is the sequence of the hashes of the servers
+(balancing/gossip_codec.py), with one hash for each slot.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     from ..net.proxy import Proxy
 
 MAX_SLOTS = 4096
-MAX_WATCH_OUTAGE = 3_000_000  # microseconds without the endpoint list's watch: then our order is out of date
-DIGEST_BYTES = 6  # of the order's digest in the operators' JSON
+MAX_WATCH_OUTAGE = 3_000_000  # microseconds without the endpoint list's watch, after which it is out of date
+DIGEST_BYTES = 6  # length of the order's digest in the status JSON
 DUTY = DutyName.SLOT_ORDER.value
 
 
@@ -34,18 +34,18 @@
     """Why an agreed order is not adopted; the value is the `code=` of the log line."""
 
     MALFORMED = "malformed"
-    UNFAMILIAR = "strange"  # it names less than half of the servers that are ready here
+    UNFAMILIAR = "strange"  # it contains less than half of the servers that are ready at this proxy
 
 
 class SlotOrder:
-    """The proxy's own slots, and whether the proxy knows enough to write the fleet's order."""
+    """The slots of this proxy, and whether its endpoint list is good enough to write the fleet's order."""
 
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.watch_lost_at: int | None = None
 
     def can_serve(self) -> bool:
-        """Return whether this proxy has a recent endpoint list and knows a ready server."""
+        """Return whether this proxy serves, has a recent endpoint list and knows a ready server."""
         now = self.proxy.now()
         if self.proxy.endpoint_watch.is_streaming:
             self.watch_lost_at = None
@@ -55,20 +55,22 @@
         return recent and self.proxy.started and not self.proxy.ending and self.proxy.has_ready_server()
 
     def encode(self) -> bytes:
-        """Return the order of our slots as hashes of their servers."""
+        """Return the slot order of this proxy as the concatenated hashes of the servers."""
         return b"".join(server_hash(server) for server in self.proxy.balancer.placement.slots)
 
     def digest(self) -> str:
-        """Return a short digest of our order, in hexadecimal, for operators to compare."""
+        """Return a short hexadecimal digest of this proxy's slot order, for comparing proxies."""
         return blake2b(self.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
     def adopt(self, order: bytes) -> OrderFault | None:
-        """Put our slots into that order; return what is wrong with it if it is not adopted."""
-        hashes = [order[at : at + SERVER_HASH_BYTES] for at in range(0, len(order), SERVER_HASH_BYTES)]
+        """Adopt a slot order, encoded as by `encode`; return the reason if it is not adopted, else None."""
+        hashes = [
+            order[start : start + SERVER_HASH_BYTES] for start in range(0, len(order), SERVER_HASH_BYTES)
+        ]
         servers = self.proxy.balancer.cache_servers()
-        # A hash comes once, or as often as servers here have it: two of a thousand may share one.
-        known = Counter(map(server_hash, servers))
-        repeated = any(count > max(1, known[one]) for one, count in Counter(hashes).items())
+        # A hash may occur more than once only if several servers here share it, as two of a thousand may.
+        known_hashes = Counter(map(server_hash, servers))
+        repeated = any(count > max(1, known_hashes[digest]) for digest, count in Counter(hashes).items())
         if not hashes or len(hashes) > MAX_SLOTS or len(order) % SERVER_HASH_BYTES or repeated:
             return OrderFault.MALFORMED
         ready = [server_hash(server) for server in servers if server.state == ServerState.READY]
@@ -80,7 +82,7 @@
 
 
 class SlotOrderDuty:
-    """Keeps our slots in the agreed order, and writes that order while this process holds the duty."""
+    """Keeps this proxy's slots in the agreed order, and writes the order while it holds the duty."""
 
     def __init__(
         self,
@@ -91,13 +93,18 @@
         now: Callable[[], int],
     ) -> None:
         self.slots, self.client, self.holder, self.fencing, self.now = slots, client, holder, fencing, now
-        self.version = 0  # of the newest order seen
-        self.agreed: bytes | None = None  # the order that the group has, as far as we know
+        self.version = 0  # version of the newest order that was read or written
+        self.agreed: bytes | None = None  # the order at the group, as far as this process knows
         self.read_pending = False
         self.write_pending = False
 
     def tick(self, announced: LeaseSummary | None, now: int) -> None:
-        """Read a newer order, or write ours as the holder; a new holder first adopts the order before it."""
+        """Read a newer order, or write this proxy's order as the holder.
+
+        A new holder adopts the order of its predecessor first.
+
+        :param announced: the duty's lease as the leader announced it.
+        """
         if announced is None or self.read_pending:
             return
         if announced.version > self.version:
@@ -132,6 +139,8 @@
             message = "duty: value adopted duty={} token={} version={}"
             logger.info(message, DUTY, value.token, value.version)
         else:
-            message = "duty: value not adopted, own order kept duty={} token={} version={} code={}"
+            message = (
+                "duty: value not adopted, this proxy keeps its slot order duty={} token={} version={} code={}"
+            )
             logger.error(message, DUTY, value.token, value.version, fault.value)
         self.version, self.agreed = value.version, value.value
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -407,7 +407,7 @@
     duty, now = HealthCheckDuty(made), made.now()
     down_at(made, "n1"), down_at(made, "n2")
     made.endpoints.update(entries(4, state="DRAINING")[2:3], False)
-    duty.request(["n3", "nx"] * 200, now)
+    duty.record_request(["n3", "nx"] * 200, now)
     assert [*duty.requested] == ["n3"]
     duty.run_checks(now, lambda: False)
     assert not made.reactor.tcpClients  # not a single one without the duty
@@ -421,7 +421,7 @@
         ping.dataReceived(answer)
     assert duty.take_results() == {"n1": True, "n3": False} and duty.take_results() == {}
     for step in range(100):  # once more after 0.5 s, after 1 s, then every 2 s
-        duty.request(["n3"], now + step * S // 10)
+        duty.record_request(["n3"], now + step * S // 10)
         duty.run_checks(now + step * S // 10, lambda: True)
         duty.in_progress.clear()
     assert sum(port == 7003 for _, port, *_ in made.reactor.tcpClients) == 7
