--- a/ivystack/fleet/__init__.py
+++ b/ivystack/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the proxies of a fleet do together: its configuration file, and the services that it switches on."""
+"""The fleet's configuration file and the services that it enables: mesh, consensus and duties."""
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -1,6 +1,7 @@
-"""The fleet's services in one proxy: mesh, consensus and duties, started after it serves and ended before.
+"""The fleet's services in one proxy: mesh, consensus and duties.
 
-Whatever fails here is logged, and the proxy goes on as one without these services.
+They start after the proxy begins to serve and stop before it ends.  A failure of the services is logged, and
+the proxy continues without them.
 """
 
 from __future__ import annotations
@@ -25,17 +26,20 @@
 if TYPE_CHECKING:
     from ..net.proxy import Proxy
 
-STATUS_PATH = b"/_fleet"  # at the operators' address
-SEED_MASK = 0xF1EE7  # keeps our random draws apart from the proxy's own of the same seed
+STATUS_PATH = b"/_fleet"  # at the admin address
+SEED_MASK = 0xF1EE7  # gives the services another random sequence than the proxy, which has the same seed
 US_PER_MS = 1000
 HTTP_OK = 200
 
 
 class FleetServices:
-    """Connects the proxy with the services; a SIGHUP and the proxy's end are passed on to them."""
+    """Connects the proxy with the services and passes reloads (SIGHUP) and the shutdown on to them."""
 
     def __init__(self, proxy: Proxy, path: str, config: FleetConfig) -> None:
-        """Create the services, not started yet; `path` is that of the configuration file."""
+        """Create the services without starting them.
+
+        :param path: path of the fleet's configuration file.
+        """
         self.proxy, self.path, self.config = proxy, path, config
         self.rng = Random(proxy.run.seed ^ SEED_MASK)
         listen_address = config.listen_address or proxy.run.listen
@@ -59,7 +63,7 @@
             self._create_member()
 
     def _create_member(self) -> Replica:
-        """Make this process a member of the consensus group, not started yet."""
+        """Create this process's replica of the consensus group without starting it."""
         config, proxy = self.config, self.proxy
         leases = LeaseTable(config.times.lease * US_PER_MS)
         self.member = Replica(
@@ -75,11 +79,11 @@
         return self.member
 
     def start(self) -> None:
-        """Start all services; a failure is logged, since the proxy serves without them."""
+        """Start all services; a failure is only logged, because the proxy can serve without them."""
         try:
             self._start()
         except Exception:
-            logger.exception("fleet: could not start")
+            logger.exception("fleet: could not start the services, the proxy serves without them")
 
     def _start(self) -> None:
         self.proxy.admin.routes[STATUS_PATH] = {b"GET": self.status}
@@ -92,14 +96,16 @@
         logger.info("fleet: started name={} member={}", self.config.name, is_member)
 
     def reload(self) -> None:
-        """Read keys and members again (SIGHUP); a file that is at fault changes nothing."""
+        """Reload keys and members from the file (SIGHUP); a faulty file changes nothing."""
         try:
             config = load_config(self.path, self.config.name)
         except ConfigurationError as fault:
-            logger.error("fleet: configuration rejected, the former one stays: {}", fault)
+            logger.error("fleet: configuration rejected, the previous one stays in use: {}", fault)
             return
         self.config, self.mesh.keys, self.client.members = config, config.keys, [*config.members]
-        self.mesh.max_connections = config.max_links  # the proxy's own limits follow at its next start
+        self.mesh.max_connections = (
+            config.max_links
+        )  # the limits of clients and servers change at the next start
         self.mesh.set_members(config.members)
         if self.member is not None:
             self.member.configured_members = [*config.members]
@@ -109,20 +115,20 @@
         logger.info("fleet: configuration applied keys={} members={}", keys, members)
 
     def prepare_shutdown(self) -> None:
-        """Hand over leases and leadership: the proxy is about to end, but serves a little longer."""
+        """Hand over leases and leadership before the proxy ends; it still serves for a short time."""
         self.duties.release_all()
         if self.member is not None:
             self.member.transfer_leadership()
 
     def stop(self) -> None:
-        """End all services."""
+        """Stop all services."""
         self.duties.stop()
         if self.member is not None:
             self.member.stop()
         self.mesh.stop()
 
     def status(self) -> AdminResponse:
-        """Return an HTTP status and how things stand, as JSON for operators."""
+        """Return the state of the services as JSON, with an HTTP status, for the admin interface."""
         status: dict[str, Any] = {
             "name": self.config.name,
             "mesh": self.mesh.state(),
