--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,7 +1,7 @@
-"""Recorded configurations: what each key comes to, and what each faulty one is answered with.
+"""Recorded configurations: the effect of each key, and the error message for each faulty configuration.
 
 tests/data/settings.json holds both tables.  `PYTHONPATH=. python tests/test_golden_settings.py` records them
-anew; that is right only when the reading of configuration is changed on purpose.
+again; do this only after an intended change of how configurations are read.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from ivystack.configuration.process import load
 
 DATA = Path(__file__).parent / "data" / "settings.json"
-FILE = "config.json"  # what a fault calls the configuration's file
+FILE = "config.json"  # name of the configuration file in recorded error messages
 
 
-# --- Adapters: the only uses of the project's own names ---
+# --- Adapters: the only code here that uses names of the package ---
 
-REPEATS = {
+RETRY_RULES = {
     Idempotency.IDEMPOTENT: "freely",
     Idempotency.KEYED: "within the window",
     Idempotency.NOT_IDEMPOTENT: "never",
@@ -33,32 +33,35 @@
 
 
 def read(environ: dict, running=None):
-    """The configuration that the environment names; a fault's text in place of it."""
+    """Load the configuration named by the environment; return it, or None and the error message."""
     try:
         return load(environ, running), None
-    except ConfigurationError as fault:
-        return None, str(fault)
+    except ConfigurationError as error:
+        return None, str(error)
 
 
-def effect(run) -> dict:
-    """What a configuration comes to, by names of this table's own.  Times in microseconds."""
-    settings, balancer = run.settings, run.settings.balancer
+def effect(configuration) -> dict:
+    """Return the effect of a configuration, under names that only this table uses.
+
+    Times are microseconds.
+    """
+    settings, balancer = configuration.settings, configuration.settings.balancer
     return {
-        "inherited_socket": run.inherited_descriptor,
-        "folder": run.restart_folder,
-        "name": run.name,
-        "listen": run.listen,
-        "discovery": run.discovery,
-        "admin": run.admin,
-        "peer_listen": run.peer_listen,
-        "peers": run.peers,
-        "seed": run.seed,
-        "known": run.known_endpoints,
-        "sockets": run.descriptors,
-        "memory_bytes": run.memory_bytes,
-        "idle": run.idle_timeout_us,
-        "connect_timeout": run.connect_timeout_us,
-        "doubts": [line.replace("no request of", "no req of") for line in run.warnings()],
+        "inherited_socket": configuration.inherited_descriptor,
+        "folder": configuration.restart_folder,
+        "name": configuration.name,
+        "listen": configuration.listen,
+        "discovery": configuration.discovery,
+        "admin": configuration.admin,
+        "peer_listen": configuration.peer_listen,
+        "peers": configuration.peers,
+        "seed": configuration.seed,
+        "known": configuration.known_endpoints,
+        "sockets": configuration.descriptors,
+        "memory_bytes": configuration.memory_bytes,
+        "idle": configuration.idle_timeout_us,
+        "connect_timeout": configuration.connect_timeout_us,
+        "doubts": [line.replace("no request of", "no req of") for line in configuration.warnings()],
         "kinds": settings.kinds,
         "columns": sorted(settings.columns),
         "pauses": settings.poll_pauses,
@@ -67,16 +70,16 @@
         "longest_wait": settings.longest_deadline(),
         "classes": {
             name: [
-                REPEATS[m.idempotency],
-                m.latency_objective,
-                m.priority_weight,
-                m.dedup_group.value,
-                m.dedup_window,
-                m.late_priority_weight,
+                RETRY_RULES[request_class.idempotency],
+                request_class.latency_objective,
+                request_class.priority_weight,
+                request_class.dedup_group.value,
+                request_class.dedup_window,
+                request_class.late_priority_weight,
             ]
-            for name, m in settings.request_classes.items()
+            for name, request_class in settings.request_classes.items()
         },
-        "tenants": {name: t.quota for name, t in settings.tenants.items()},
+        "tenants": {name: tenant.quota for name, tenant in settings.tenants.items()},
         "excess": balancer.shedder.excess_weight,
         "proxies": balancer.shedder.quotas.process_count,
         "sized": balancer.placement.weighted,
@@ -97,7 +100,7 @@
     }
 
 
-# --- What is asked ---
+# --- Inputs ---
 
 GOOD = {"listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "settings": {}}
 CLASS = {
@@ -109,33 +112,33 @@
 }
 
 
-def top(**more):
-    return GOOD | more
+def file_with(**values):
+    return GOOD | values
 
 
-def tuned(**more):
-    return GOOD | {"settings": more}
+def file_with_settings(**values):
+    return GOOD | {"settings": values}
 
 
-def classed(**more):
-    return tuned(methods=[CLASS | more])
+def file_with_class(**values):
+    return file_with_settings(methods=[CLASS | values])
 
 
-SOUND = [
+VALID = [
     GOOD,
-    *(top(**{key: value}) for key, value in [
+    *(file_with(**{key: value}) for key, value in [
         ("name", "p1"), ("listen", "::1:80"), ("admin_addr", "127.0.0.1:1"), ("peer_listen", "127.0.0.1:2"),
         ("peers", ["127.0.0.1:3", "127.0.0.2:65535"]), ("seed", "ff"), ("seed", 12), ("known", {"a": 1}),
         ("limits", {"sockets": 64}), ("limits", {"memory_mb": 1.5}), ("unheard_of", 1),
         ("settings", {"new": 1}),
     ]),
-    *(classed(**{key: value}) for key, value in [
+    *(file_with_class(**{key: value}) for key, value in [
         ("semantics", "pure"), ("semantics", "side_effect"), ("latency_budget", None), ("give_up", None),
         ("criticality", 3), ("tardy_criticality", 0.5), ("group", "all"), ("group", "zone"),
         ("group", "cell"),
         ("window", None), ("window", 10_000_000_000), ("name", "other"),
     ]),
-    *(tuned(**{key: value}) for key, value in [
+    *(file_with_settings(**{key: value}) for key, value in [
         ("parties", [{"name": "t", "allowance_per_s": 5}, {"name": "u"}]), ("kinds", ["a", "b"]),
         ("zone", "z"), ("zones", ["z"]), ("blend", {"whole": 1, "miss_share": 0.5}),
         ("discovery", "push"), ("discovery", "ask"), ("excess_criticality", 0.2), ("n_instances", 40),
@@ -152,20 +155,21 @@
             ("stop_sending_within", 400_000_000),
         ]),
     ]),
-    tuned(n_instances=40, slot_no=3, limits={"peers": True, "conn_idle": 10_000_000}),
-    tuned(limits={"retry_after": True, "max_retry_after": 1_000_000}),
-    tuned(discovery="ask", rules={"ask_within": 800_000_000}),
+    file_with_settings(n_instances=40, slot_no=3, limits={"peers": True, "conn_idle": 10_000_000}),
+    file_with_settings(limits={"retry_after": True, "max_retry_after": 1_000_000}),
+    file_with_settings(discovery="ask", rules={"ask_within": 800_000_000}),
 ]  # fmt: skip
 
 ENVIRON = {"LB_FD": "7", "TMPDIR": "some/folder", "LB_NAME": "p2", "LB_LISTEN": "127.0.0.2:7"}
 ENVIRON |= {"LB_DISCOVERY": "127.0.0.3:1", "LB_ADMIN_ADDR": "127.0.0.1:9"}
-STATED = tuned(methods=[CLASS], limits={"most_write_outs": 3}) | {"admin_addr": "127.0.0.1:1"}
-# Each: the file's text or values (none: no file), more of the environment, the running configuration.
-FAULTY = [
+RUNNING = file_with_settings(methods=[CLASS], limits={"most_write_outs": 3}) | {"admin_addr": "127.0.0.1:1"}
+# Each entry: the text or values of the file (None: no file), additional environment variables, the running
+# configuration (None: a start).
+INVALID = [
     (None, {}, None), ("", {}, None), ("{", {}, None), ("\udcff", {}, None), ("[]", {}, None),
     ("null", {}, None),
     (GOOD, {"LB_FD": "x"}, None), (GOOD, {"LB_FD": "12345678"}, None), (GOOD, {"LB_LISTEN": "no"}, None),
-    *((top(**{key: value}), {}, None) for key, value in [
+    *((file_with(**{key: value}), {}, None) for key, value in [
         *((key, bad) for key in ("listen", "discovery", "admin_addr", "peer_listen")
           for bad in ("nowhere", "127.0.0.1:0", "127.0.0.1:65536", "host:1", "127.0.0.1:", 5)),
         ("listen", None), ("discovery", None), ("peers", ["127.0.0.1:1", "x"]), ("peers", "x"),
@@ -173,15 +177,15 @@
         ("seed", 1.5), ("settings", None), ("settings", []), ("limits", {"sockets": 63}), ("limits", 1),
         ("limits", {"sockets": "many"}), ("limits", {"memory_mb": 0}), ("name", 1), ("known", []),
     ]),
-    *((classed(**{key: value}), {}, None) for key, value in [
+    *((file_with_class(**{key: value}), {}, None) for key, value in [
         ("semantics", None), ("semantics", "none"), ("name", ""), ("name", None), ("group", "row"),
         ("latency_budget", 0), ("give_up", 0), ("latency_budget", -1), ("give_up", 1.5), ("window", -1),
         ("criticality", -1), ("criticality", 1e13), ("tardy_criticality", "x"),
     ]),
-    (tuned(methods=[CLASS, CLASS]), {}, None),
-    (tuned(methods=[{"name": "m", "semantics": "pure"}]), {}, None),
-    (tuned(methods=[{"semantics": "pure"}]), {}, None),
-    *((tuned(**{key: value}), {}, None) for key, value in [
+    (file_with_settings(methods=[CLASS, CLASS]), {}, None),
+    (file_with_settings(methods=[{"name": "m", "semantics": "pure"}]), {}, None),
+    (file_with_settings(methods=[{"semantics": "pure"}]), {}, None),
+    *((file_with_settings(**{key: value}), {}, None) for key, value in [
         ("parties", [{"name": "t", "allowance_per_s": -1}]), ("parties", [{}]), ("kinds", [1]),
         ("kinds", "a"),
         ("zone", 1), ("zones", "z"), ("discovery", "guess"), ("weight_source", "x"), ("n_instances", 0),
@@ -194,18 +198,18 @@
         *(("rules", {key: -1}) for key in ("cold", "cold_share", "overload_factor", "ask_within")),
         ("rules", {"stop_sending_within": -1}), ("rules", {"cold_share": 2}),
     ]),
-    ({key: value for key, value in STATED.items() if key != "admin_addr"}, {}, STATED),
-    (STATED | {"settings": {}}, {}, STATED),
-    (STATED | {"settings": STATED["settings"] | {"methods": []}}, {}, STATED),
-    (STATED | {"settings": STATED["settings"] | {"limits": None}}, {}, STATED),
-    (STATED | {"settings": STATED["settings"] | {"limits": {}}}, {}, STATED),
-    (STATED | {"settings": STATED["settings"] | {"methods": [CLASS | {"window": None}]}}, {}, STATED),
-    ("", {}, STATED),
+    ({key: value for key, value in RUNNING.items() if key != "admin_addr"}, {}, RUNNING),
+    (RUNNING | {"settings": {}}, {}, RUNNING),
+    (RUNNING | {"settings": RUNNING["settings"] | {"methods": []}}, {}, RUNNING),
+    (RUNNING | {"settings": RUNNING["settings"] | {"limits": None}}, {}, RUNNING),
+    (RUNNING | {"settings": RUNNING["settings"] | {"limits": {}}}, {}, RUNNING),
+    (RUNNING | {"settings": RUNNING["settings"] | {"methods": [CLASS | {"window": None}]}}, {}, RUNNING),
+    ("", {}, RUNNING),
 ]  # fmt: skip
 
 
-def written(folder: Path, values) -> dict:
-    """Writes the file; the environment that names it."""
+def write_file(folder: Path, values) -> dict:
+    """Write the configuration file and return the environment that names it."""
     path = folder / FILE
     path.unlink(missing_ok=True)
     if values is not None:
@@ -214,26 +218,30 @@
     return {"LB_CONFIG": str(path)}
 
 
-def sound(folder: Path, values, more) -> dict:
-    run, fault = read(written(folder, values) | more)
-    assert fault is None, fault
-    return json.loads(json.dumps(effect(run)))
+def valid_effect(folder: Path, values, environment) -> dict:
+    configuration, error = read(write_file(folder, values) | environment)
+    assert error is None, error
+    return json.loads(json.dumps(effect(configuration)))
 
 
-def faulty(folder: Path, values, more, running) -> str | None:
-    before = read(written(folder, running))[0] if running is not None else None
-    return (read(written(folder, values) | more, before)[1] or "").replace(str(folder / FILE), FILE) or None
+def invalid_message(folder: Path, values, environment, running) -> str | None:
+    running_configuration = read(write_file(folder, running))[0] if running is not None else None
+    return (read(write_file(folder, values) | environment, running_configuration)[1] or "").replace(
+        str(folder / FILE), FILE
+    ) or None
 
 
 def record():
-    cases = [*((values, {}) for values in SOUND), *((GOOD, {key: value}) for key, value in ENVIRON.items())]
+    cases = [*((values, {}) for values in VALID), *((GOOD, {key: value}) for key, value in ENVIRON.items())]
     with TemporaryDirectory() as name:
         folder = Path(name)
-        good = [[values, more, sound(folder, values, more)] for values, more in cases]
-        bad = [[*one, faulty(folder, *one), 2] for one in FAULTY]
-    for one in bad:
-        assert one[3], f"no fault: {one}"
-    lines = [",\n".join(json.dumps(one) for one in table) for table in (good, bad)]
+        good = [
+            [values, environment, valid_effect(folder, values, environment)] for values, environment in cases
+        ]
+        bad = [[*entry, invalid_message(folder, *entry), 2] for entry in INVALID]
+    for entry in bad:
+        assert entry[3], f"no error for: {entry}"
+    lines = [",\n".join(json.dumps(entry) for entry in table) for table in (good, bad)]
     DATA.write_text('{"sound": [\n' + lines[0] + '\n], "faulty": [\n' + lines[1] + "\n]}\n")
 
 
@@ -244,45 +252,48 @@
     return json.loads(DATA.read_text())[table] if DATA.exists() else []
 
 
-def test_each_key_comes_to_what_it_did(tmp_path):
+def test_each_key_has_its_recorded_effect(tmp_path):
     table = recorded("sound")
     assert len(table) >= 60
-    for values, more, wanted in table:
-        assert sound(tmp_path, values, more) == wanted, (values, more)
+    for values, environment, expected in table:
+        assert valid_effect(tmp_path, values, environment) == expected, (values, environment)
 
 
-def test_each_effect_shows_more_than_one_value():
-    """Guards the table against keys whose effect it does not show."""
-    effects = [got for _, _, got in recorded("sound")]
+def test_each_effect_has_more_than_one_recorded_value():
+    """Guard the table against keys whose effect it does not show."""
+    effects = [recorded_effect for _, _, recorded_effect in recorded("sound")]
     for name in effects[0]:
-        assert len({json.dumps(got[name]) for got in effects}) > 1, name
+        assert len({json.dumps(recorded_effect[name]) for recorded_effect in effects}) > 1, name
 
 
-def test_each_fault_is_told_as_it_was(tmp_path):
+def test_each_invalid_configuration_gets_its_recorded_message(tmp_path):
     table = recorded("faulty")
     assert len(table) >= 80
-    for values, more, running, line, code in table:
-        assert (faulty(tmp_path, values, more, running), code) == (line, 2), (values, more)
+    for values, environment, running, line, code in table:
+        assert (invalid_message(tmp_path, values, environment, running), code) == (line, 2), (
+            values,
+            environment,
+        )
         assert "\n" not in line
 
 
-def test_no_file_named_is_a_fault():
+def test_a_missing_file_name_is_an_error():
     assert read({}) == (None, "`LB_CONFIG`: not set; it names the configuration's file")
 
 
-@pytest.mark.parametrize("place", [1, 9])
-def test_a_fault_ends_the_program_with_its_line_and_code(tmp_path, place):
-    values, more, _, line, code = recorded("faulty")[place]
+@pytest.mark.parametrize("index", [1, 9])
+def test_an_invalid_configuration_ends_the_program_with_its_message_and_exit_code(tmp_path, index):
+    values, environment, _, line, code = recorded("faulty")[index]
     environ = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
     root = Path(__file__).parent.parent
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-B", "-m", "ivystack"],
-        env=environ | written(tmp_path, values) | more,
+        env=environ | write_file(tmp_path, values) | environment,
         cwd=root,
         capture_output=True,
         timeout=30,
     )
-    assert (done.stderr.decode(), done.returncode) == (line + "\n", code)
+    assert (process.stderr.decode(), process.returncode) == (line + "\n", code)
 
 
 if __name__ == "__main__":
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings while reqs are under way."""
+"""New settings while requests are in flight."""
 
 from copy import deepcopy
 
@@ -19,114 +19,126 @@
 )
 
 
-def sheet(name, semantics="pure", budget=10**9):
+def class_settings(name, semantics="pure", budget=10**9):
     return {
         "name": name, "semantics": semantics, "latency_budget": budget, "give_up": budget, "criticality": 1.0
     }  # fmt: skip
 
 
-def ask(made, ident, fields=b"c=read,d=900"):
-    asking = client(made)
-    asking.dataReceived(get(ident, fields=fields))
-    return asking
+def send_request(instance, request_id, fields=b"c=read,d=900"):
+    connection = client(instance)
+    connection.dataReceived(get(request_id, fields=fields))
+    return connection
 
 
-def test_new_classes_are_in_use_at_once_and_one_that_has_gone_is_an_unknown_one():
-    made = proxy()
-    made.reload(told(methods=[sheet("read"), sheet("new")]))
-    unknown = ask(made, b"0", b"c=none,d=900").transport.took()
-    assert unknown.startswith(b"-ERR") and ask(made, b"1", b"c=pay,d=900").transport.took() == unknown
-    asking = ask(made, b"2", b"c=new,d=900")
-    link(made).dataReceived(hit())
-    assert asking.transport.took() == b"$1\r\nv\r\n"
+def test_new_classes_are_in_use_at_once_and_a_removed_class_is_unknown():
+    instance = proxy()
+    instance.reload(told(methods=[class_settings("read"), class_settings("new")]))
+    unknown = send_request(instance, b"0", b"c=none,d=900").transport.took()
+    assert (
+        unknown.startswith(b"-ERR")
+        and send_request(instance, b"1", b"c=pay,d=900").transport.took() == unknown
+    )
+    connection = send_request(instance, b"2", b"c=new,d=900")
+    link(instance).dataReceived(hit())
+    assert connection.transport.took() == b"$1\r\nv\r\n"
 
 
-@pytest.mark.parametrize("before, now, again", [
+@pytest.mark.parametrize("before, after, is_retried", [
     ("pure", "side_effect", False), ("side_effect", "pure", False), ("pure", "pure", True),
 ])  # fmt: skip
-def test_reqs_under_way_keep_their_deadline_and_go_by_the_stricter_of_both_effects(before, now, again):
-    # Nodes may go by either file by now: what either forbids is not done.
-    made = proxy(3, run=told(methods=[sheet("read", before)]))
-    asking = ask(made, b"1")
-    first = link(made)
-    made.reload(told(methods=[sheet("read", now, 10**8)]))
-    req = next(iter(made.request_handler.active))
+def test_requests_in_flight_keep_their_deadline_and_use_the_stricter_retry_rules(before, after, is_retried):
+    # Servers may already use the new settings or still use the old ones, so both must allow a retry.
+    instance = proxy(3, run=told(methods=[class_settings("read", before)]))
+    connection = send_request(instance, b"1")
+    first = link(instance)
+    instance.reload(told(methods=[class_settings("read", after, 10**8)]))
+    request = next(iter(instance.request_handler.active))
+    assert (
+        request.request_class.idempotency
+        == (Idempotency.IDEMPOTENT if is_retried else Idempotency.NOT_IDEMPOTENT)
+        and request.request_class.latency_objective == S
+    )
+    instance.reactor.advance(0.2)
+    dial_count = len(instance.reactor.tcpClients)
+    first.connectionLost(Failure(ConnectionLost()))  # the request may have been executed
+    assert (len(instance.reactor.tcpClients) > dial_count) is is_retried
+    if is_retried:
+        link(instance).dataReceived(hit())
+    assert connection.transport.took() == (b"$1\r\nv\r\n" if is_retried else b"-ERR failed\r\n")
+
+
+def test_a_class_made_stricter_is_strict_for_every_new_request():
+    instance = proxy(3)
+    instance.reload(
+        told(methods=[class_settings("read", "side_effect"), class_settings("pay", "side_effect")])
+    )
+    connection = send_request(instance, b"1")
+    assert next(iter(instance.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
+    dial_count = len(instance.reactor.tcpClients)
+    link(instance).connectionLost(Failure(ConnectionLost()))
     assert (
-        req.request_class.idempotency == (Idempotency.IDEMPOTENT if again else Idempotency.NOT_IDEMPOTENT)
-        and req.request_class.latency_objective == S
+        connection.transport.took() == b"-ERR failed\r\n" and len(instance.reactor.tcpClients) == dial_count
     )
-    made.reactor.advance(0.2)
-    before = len(made.reactor.tcpClients)
-    first.connectionLost(Failure(ConnectionLost()))  # it may have run
-    assert (len(made.reactor.tcpClients) > before) is again
-    if again:
-        link(made).dataReceived(hit())
-    assert asking.transport.took() == (b"$1\r\nv\r\n" if again else b"-ERR failed\r\n")
-
-
-def test_a_class_made_stricter_is_strict_for_every_new_req():
-    made = proxy(3)
-    made.reload(told(methods=[sheet("read", "side_effect"), sheet("pay", "side_effect")]))
-    asking = ask(made, b"1")
-    assert next(iter(made.request_handler.active)).request_class.idempotency == Idempotency.NOT_IDEMPOTENT
-    before = len(made.reactor.tcpClients)
-    link(made).connectionLost(Failure(ConnectionLost()))
-    assert asking.transport.took() == b"-ERR failed\r\n" and len(made.reactor.tcpClients) == before
-
-
-def test_fewer_attempts_count_between_the_first_and_the_second():
-    for most, outs in ((3, 2), (1, 1)):
-        made = proxy(3)
-        asking = ask(made, b"1")
-        first = link(made)
-        made.reload(told(most_write_outs=most))
+
+
+def test_a_lower_limit_of_attempts_applies_between_the_first_and_the_second_attempt():
+    for max_attempts, expected_dials in ((3, 2), (1, 1)):
+        instance = proxy(3)
+        connection = send_request(instance, b"1")
+        first = link(instance)
+        instance.reload(told(most_write_outs=max_attempts))
         first.connectionLost(Failure(ConnectionLost()))
-        assert len(made.reactor.tcpClients) == outs
-        assert (asking.transport.took() == b"-BUSY\r\n") == (most == 1)
-
-
-def test_what_nodes_hold_of_former_classes_goes_with_their_last_reqs():
-    # Guards the memory: a class that changes each day would leave its errors at every node.
-    made = proxy()
-    node = made.balancer.servers["n0"]
-    ask(made, b"1")
-    link(made).dataReceived(b"-ERR failed\r\n")
-    assert len(node.class_failures) == 1
-    ask(made, b"2")
-    old = made.settings.request_classes["read"]
-    for budget in (10**8, 2 * 10**8, 3 * 10**8):  # three in a row
-        made.reload(told(methods=[sheet("read", budget=budget)]))
-    assert old in node.class_failures and made.settings.request_classes["read"] in node.class_failures
-    made.reactor.advance(2)
-    assert [*node.class_failures] == [
-        made.settings.request_classes["read"]
-    ] and not made.request_handler.active
-
-
-def test_settings_are_taken_up_in_a_drain_and_at_the_end():
-    made = proxy()
-    made.endpoint_watch.request_watch = lambda: None
-    made.start()
-    made.start_draining()
-    made.reload(told(methods=[sheet("new")]))
-    assert made.client_server.drain.code == "drained" and [*made.client_server.request_classes] == [b"new"]
-    made.terminate()
-    made.reload(told())
-    assert made.client_server.drain.code == "stopping" and [*made.client_server.request_classes] == [
+        assert len(instance.reactor.tcpClients) == expected_dials
+        assert (connection.transport.took() == b"-BUSY\r\n") == (max_attempts == 1)
+
+
+def test_failures_of_replaced_classes_are_dropped_at_servers_with_the_last_request():
+    # Otherwise a class that changes every day would leave its failures in memory at every server.
+    instance = proxy()
+    server = instance.balancer.servers["n0"]
+    send_request(instance, b"1")
+    link(instance).dataReceived(b"-ERR failed\r\n")
+    assert len(server.class_failures) == 1
+    send_request(instance, b"2")
+    old = instance.settings.request_classes["read"]
+    for budget in (10**8, 2 * 10**8, 3 * 10**8):  # three reloads in a row
+        instance.reload(told(methods=[class_settings("read", budget=budget)]))
+    assert old in server.class_failures and instance.settings.request_classes["read"] in server.class_failures
+    instance.reactor.advance(2)
+    assert [*server.class_failures] == [
+        instance.settings.request_classes["read"]
+    ] and not instance.request_handler.active
+
+
+def test_settings_are_applied_during_a_drain_and_during_shutdown():
+    instance = proxy()
+    instance.endpoint_watch.request_watch = lambda: None
+    instance.start()
+    instance.start_draining()
+    instance.reload(told(methods=[class_settings("new")]))
+    assert instance.client_server.drain.code == "drained" and [*instance.client_server.request_classes] == [
+        b"new"
+    ]
+    instance.terminate()
+    instance.reload(told())
+    assert instance.client_server.drain.code == "stopping" and [*instance.client_server.request_classes] == [
         b"read",
         b"pay",
     ]
 
 
-def test_nodes_connections_follow_the_settings():
-    made = proxy()
-    made.reload(told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True))
-    pools = made.server_pools
+def test_connections_to_servers_follow_the_settings():
+    instance = proxy()
+    instance.reload(
+        told(streams_per_conn=1, connect_timeout=100_000_000, conn_idle=10**9, may_duplicate=True)
+    )
+    pools = instance.server_pools
     assert (pools.max_in_flight, pools.connect_timeout, pools.idle_timeout) == (1, 100_000, 800_000)
-    assert made.balancer.parameters.hedging_enabled and made.settings.hedging_enabled
+    assert instance.balancer.parameters.hedging_enabled and instance.settings.hedging_enabled
 
 
-# Another customer's settings: every field of the configuration, one by one.
+# A reload must leave no trace of the previous settings.  The tests check every field of the configuration.
 
 FULL = {
     "methods": [{
@@ -149,8 +161,8 @@
     "zone": "z", "zones": ["z", "y"], "discovery": "ask", "weight_source": "nominal",
     "excess_criticality": 0.1, "n_instances": 40, "slot_no": 3, "granularity": 10**6,
 }  # fmt: skip
-# By path: another value; with what else it counts for something.
-OTHERS = {
+# Other values by the path of their field.
+OTHER_VALUES = {
     "methods": [[FULL["methods"][0] | {name: value}] for name, value in {
         "name": "b", "semantics": "pure", "latency_budget": 10**8, "give_up": 10**8, "criticality": 9.0,
         "tardy_criticality": 0.5, "group": "all", "window": 10**8,
@@ -166,75 +178,82 @@
     "discovery": ["push"], "weight_source": ["none", "live", "rough"], "excess_criticality": [0.9],
     "n_instances": [4, 400], "slot_no": [7], "granularity": [10**7],
 }  # fmt: skip
-CARRIED = {"zone", "zones"}  # checked; no decision rests on them
-AT_START = {"listen", "admin_addr", "name", "limits", "peer_listen", "seed", "known"}
-AT_ONCE = {"settings", "discovery", "peers"}
-# What a part has learned, not been told.
-SEEN = ("cached_keys", "slots", "location_cache", "rng", "idle_time")
-
-
-def says(of, deep=0):
-    """All that an instance was told: figures and words, those of its parts too."""
-    if isinstance(of, bool | int | float | str | bytes | frozenset | type(None)):
-        return of
-    if isinstance(of, dict):
-        return {str(key): says(one, deep + 1) for key, one in of.items()}
-    if isinstance(of, list | tuple | set):
+VALIDATED_ONLY = {"zone", "zones"}  # no decision depends on these fields
+START_KEYS = {"listen", "admin_addr", "name", "limits", "peer_listen", "seed", "known"}
+RELOADED_KEYS = {"settings", "discovery", "peers"}
+# Attributes that hold observations instead of settings.
+OBSERVED_ATTRIBUTES = ("cached_keys", "slots", "location_cache", "rng", "idle_time")
+
+
+def configured_state(component, depth=0):
+    """Return all configured values of an instance, including those of its components."""
+    if isinstance(component, bool | int | float | str | bytes | frozenset | type(None)):
+        return component
+    if isinstance(component, dict):
+        return {str(key): configured_state(one, depth + 1) for key, one in component.items()}
+    if isinstance(component, list | tuple | set):
         return (
-            sorted((says(one, deep + 1) for one in of), key=repr)
-            if isinstance(of, set)
-            else [says(one, deep + 1) for one in of]
+            sorted((configured_state(one, depth + 1) for one in component), key=repr)
+            if isinstance(component, set)
+            else [configured_state(one, depth + 1) for one in component]
         )
-    names = [*getattr(of, "__slots__", ()), *getattr(of, "__dict__", ())]
-    if deep > 5 or not type(of).__module__.startswith("ivystack"):
+    names = [*getattr(component, "__slots__", ()), *getattr(component, "__dict__", ())]
+    if depth > 5 or not type(component).__module__.startswith("ivystack"):
         return None
-    return {name: says(getattr(of, name), deep + 1) for name in names if name not in SEEN}
-
-
-def leaves(kind, path=""):
-    """The paths of all fields of a sheet."""
-    for field in msgspec.structs.fields(kind):
-        either = [one for one in getattr(field.type, "__args__", ()) if isinstance(one, type)]
-        inner = next((one for one in either if issubclass(one, msgspec.Struct)), None)
-        yield from leaves(inner, f"{path}{field.name}.") if inner else [path + field.name]
-
-
-def test_every_field_of_the_configuration_is_known_to_count_at_once_or_from_the_next_start():
-    # A new one belongs into one of these lists, and what it does at SIGHUP into the test below.
-    known = {*OTHERS, *CARRIED}
-    assert {path for path in leaves(InstanceSettings) if not path.startswith("blend.")} == known
-    assert {field.name for field in msgspec.structs.fields(ConfigurationFile)} == AT_START | AT_ONCE
-    assert {*ProcessConfiguration.FIXED_KEYS} == AT_START - {"seed", "known"}
+    return {
+        name: configured_state(getattr(component, name), depth + 1)
+        for name in names
+        if name not in OBSERVED_ATTRIBUTES
+    }
+
+
+def field_paths(struct_type, path=""):
+    """Yield the paths of all fields of a struct type, nested ones included."""
+    for field in msgspec.structs.fields(struct_type):
+        types = [one for one in getattr(field.type, "__args__", ()) if isinstance(one, type)]
+        nested = next((one for one in types if issubclass(one, msgspec.Struct)), None)
+        yield from field_paths(nested, f"{path}{field.name}.") if nested else [path + field.name]
+
+
+def test_every_field_of_the_configuration_is_known_to_apply_on_reload_or_at_the_next_start():
+    # Add a new field to one of these tables, and its effect on a reload to the test below.
+    known = {*OTHER_VALUES, *VALIDATED_ONLY}
+    assert {path for path in field_paths(InstanceSettings) if not path.startswith("blend.")} == known
+    assert {field.name for field in msgspec.structs.fields(ConfigurationFile)} == START_KEYS | RELOADED_KEYS
+    assert {*ProcessConfiguration.FIXED_KEYS} == START_KEYS - {"seed", "known"}
     assert {*RequestClassSettings.__struct_fields__} == {*FULL["methods"][0]}
     assert {*TenantSettings.__struct_fields__} == {*FULL["parties"][0]}
 
 
-@pytest.mark.parametrize("path", OTHERS)
-def test_settings_taken_at_sighup_are_those_of_a_start_with_them(path):
-    # Guards against another customer's settings showing: nothing of the former ones may stay.
-    for value in OTHERS[path]:  # type: ignore[attr-defined]  # lists of mixed types
+@pytest.mark.parametrize("path", OTHER_VALUES)
+def test_reloaded_settings_equal_those_of_a_start_with_them(path):
+    # Nothing of the previous settings, which may be another customer's, may remain after a reload.
+    for value in OTHER_VALUES[path]:  # type: ignore[attr-defined]  # lists of mixed types
         values = deepcopy(FULL)
-        *way, last = path.split(".")
-        inner = values
-        for name in way:
-            inner = inner[name]
-        inner[last] = value
-        ours, fresh = InstanceConfiguration(7, FULL), InstanceConfiguration(7, values)
-        assert says(ours) != says(fresh), "it counts for nothing: the test shows nothing"
-        ours.apply(InstanceConfiguration(7, values))
-        for one in (ours, fresh):  # kinds keep their numbers, since nodes name them by these
-            names = {place: name for name, place in one.kinds.items()}
-            one.balancer.parameters.origin_kind = names.get(one.balancer.parameters.origin_kind)
-            one.kinds = {*one.kinds}
-        assert says(ours) == says(fresh)
-
-
-def test_two_instances_side_by_side_keep_nothing_of_each_other():
-    # Signing's figures may not show in another's process, nor one instance's in its neighbour.
-    before = says(InstanceConfiguration(7, FULL))
+        *parents, last = path.split(".")
+        nested = values
+        for name in parents:
+            nested = nested[name]
+        nested[last] = value
+        reloaded, started = InstanceConfiguration(7, FULL), InstanceConfiguration(7, values)
+        assert configured_state(reloaded) != configured_state(started), (
+            "the value has no effect, so this test would check nothing"
+        )
+        reloaded.apply(InstanceConfiguration(7, values))
+        # Kinds keep their index on a reload, because servers refer to it.
+        for instance in (reloaded, started):
+            names = {index: name for name, index in instance.kinds.items()}
+            instance.balancer.parameters.origin_kind = names.get(instance.balancer.parameters.origin_kind)
+            instance.kinds = {*instance.kinds}
+        assert configured_state(reloaded) == configured_state(started)
+
+
+def test_two_instances_in_one_process_share_no_settings():
+    # Settings of one deployment or instance must not appear in another.
+    before = configured_state(InstanceConfiguration(7, FULL))
     other = InstanceConfiguration(7, {"methods": [{"name": "b", "semantics": "pure", "give_up": 10**7}]})
     other.apply(InstanceConfiguration(7, FULL))
     other.apply(InstanceConfiguration(7, {}))
-    assert says(InstanceConfiguration(7, FULL)) == before
-    other.kinds = {}  # the nodes' that have them keep their numbers
-    assert says(other) == says(InstanceConfiguration(7, {}))
+    assert configured_state(InstanceConfiguration(7, FULL)) == before
+    other.kinds = {}  # kinds keep their index, because servers refer to it
+    assert configured_state(other) == configured_state(InstanceConfiguration(7, {}))
