--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties: leases under clock drift, fencing, candidates, the slot order, health checks, real processes."""
+"""Duties: leases under clock drift, fencing, candidacy, the slot order, health checks, and real processes."""
 
 import sys
 import time
@@ -28,27 +28,31 @@
 
 
 class SimulatedLeases:
-    """Proxies with clocks of their own, a leader that changes, messages that are late or lost.  True time is
-    in `now`; at most one proxy may believe that it holds the lease."""
+    """Simulates lease holders with drifting clocks, changing leaders, and delayed or lost messages.
+
+    `now` is the true time in microseconds.  At most one proxy may believe that it holds the lease.
+    """
 
     def __init__(self, seed, holders=lease_holder, expiries=lease_expiry):
         self.rng = Random(seed)
-        self.now, self.calls, self.count = 0, [], 0
+        self.now, self.scheduled_calls, self.sequence_number = 0, [], 0
         self.leases = LeaseTable(LEASE)
         self.expiries, self.term = expiries, 0
         self.loss = 0.0
-        self.max_latency = self.rng.choice([2, 40, 400])  # milliseconds that a message takes at most
-        self.cannot_receive = None
+        self.max_latency = self.rng.choice([2, 40, 400])  # milliseconds
+        self.cannot_receive = None  # index of a proxy whose answers are lost
         self.holders = []
         self.rates = []
-        self.holders_seen: list[tuple[int, int]] = []  # when, by whom, as it changes
-        for number in range(3):
+        self.holders_seen: list[tuple[int, int]] = []  # time and holder of each change
+        for index in range(3):
             self.rates.append(1 + self.rng.choice([-1, 1]) * DRIFT / 2)
-            client = LeaseClient(self.request(number, "execute"), self.request(number, "query"))
-            made = holders.LeaseHolder(f"p{number}/x", LEASE, DRIFT, client, lambda *_: None, lambda *_: None)
-            made.add_duty(DUTY, lambda: True)
-            self.holders.append(made)
-        self.asleep = [0, 0, 0]
+            client = LeaseClient(self.request(index, "execute"), self.request(index, "query"))
+            holder = holders.LeaseHolder(
+                f"p{index}/x", LEASE, DRIFT, client, lambda *_: None, lambda *_: None
+            )
+            holder.add_duty(DUTY, lambda: True)
+            self.holders.append(holder)
+        self.stopped_until = [0, 0, 0]
         self.change_leader()
 
     def change_leader(self):
@@ -56,75 +60,77 @@
         self.rate = 1 + self.rng.choice([-1, 1]) * DRIFT / 2
         self.leader = self.expiries.LeaseExpiry(LEASE, DRIFT)
 
-    def clock(self, number):
-        return int(self.now * self.rates[number]) + number * 77 * S
+    def clock(self, index):
+        return int(self.now * self.rates[index]) + index * 77 * S
 
     def leader_clock(self):
         return int(self.now * self.rate) + 500 * S
 
-    def later(self, delay, call, *values):
-        self.count += 1
-        self.calls.append((self.now + delay, self.count, call, values))
+    def schedule(self, delay, call, *values):
+        self.sequence_number += 1
+        self.scheduled_calls.append((self.now + delay, self.sequence_number, call, values))
 
-    def request(self, number, how):
-        def send(part, name, args, done, within):
+    def request(self, index, operation):
+        def send(part, name, args, callback, timeout):
             if self.rng.random() >= self.loss:
-                self.later(
+                self.schedule(
                     self.rng.randrange(1, self.max_latency) * MS,
                     self.request_arrives,
-                    number,
-                    how,
+                    index,
+                    operation,
                     name,
                     args,
-                    done,
+                    callback,
                 )
-            self.later(within, self.time_out, done)
+            self.schedule(timeout, self.time_out, callback)
             return True
 
         return send
 
-    def time_out(self, done):
-        if done not in self.answered:
-            self.answered.add(done)
-            done(False, None)
+    def time_out(self, callback):
+        if callback not in self.answered:
+            self.answered.add(callback)
+            callback(False, None)
 
     answered: set = set()
 
-    def request_arrives(self, number, how, name, args, done):
-        answer = getattr(self.leases, how)(name, args)
+    def request_arrives(self, index, operation, name, args, callback):
+        answer = getattr(self.leases, operation)(name, args)
         if name == "renew" and answer is True:
             self.leader.renewed(args[0], args[1], self.leader_clock())
-        if self.rng.random() >= self.loss and number != self.cannot_receive:
-            self.later(
-                self.rng.randrange(1, self.max_latency) * MS, self.answer_arrives, number, done, answer
+        if self.rng.random() >= self.loss and index != self.cannot_receive:
+            self.schedule(
+                self.rng.randrange(1, self.max_latency) * MS, self.answer_arrives, index, callback, answer
             )
 
-    def answer_arrives(self, number, done, answer):
-        if self.asleep[number] > self.now:  # it is stopped: it hears when it goes on
-            return self.later(self.asleep[number] - self.now, self.answer_arrives, number, done, answer)
-        if done not in self.answered:
-            self.answered.add(done)
-            done(True, answer)
+    def answer_arrives(self, index, callback, answer):
+        if self.stopped_until[index] > self.now:  # a stopped proxy receives the answer when it continues
+            return self.schedule(
+                self.stopped_until[index] - self.now, self.answer_arrives, index, callback, answer
+            )
+        if callback not in self.answered:
+            self.answered.add(callback)
+            callback(True, answer)
 
     def run(self, seconds, faults=True):
         self.answered = set()
         for step in range(int(seconds * 50)):
             self.now += 20 * MS
-            for call in sorted(one for one in self.calls if one[0] <= self.now):
-                self.calls.remove(call)
+            for call in sorted(entry for entry in self.scheduled_calls if entry[0] <= self.now):
+                self.scheduled_calls.remove(call)
                 call[2](*call[3])
             if faults and self.rng.random() < 0.01:
-                self.fault()
+                self.inject_fault()
             for duty, token in self.leader.expired(self.leases.records, self.term, self.leader_clock()):
                 self.leases.execute("free", [duty, token])
             if step % 5 == 0:
                 announced = self.leases.summaries()
-                for number, one in enumerate(self.holders):
-                    if self.asleep[number] <= self.now:
-                        one.tick(announced, self.clock(number))
+                for index, holder in enumerate(self.holders):
+                    if self.stopped_until[index] <= self.now:
+                        holder.tick(announced, self.clock(index))
             holding = [
-                n for n, one in enumerate(self.holders)
-                if one.leases[DUTY].token and self.clock(n) < one.leases[DUTY].expires_at
+                index for index, holder in enumerate(self.holders)
+                if holder.leases[DUTY].token and self.clock(index) < holder.leases[DUTY].expires_at
             ]  # fmt: skip
             if len(holding) > 1:
                 return f"at {self.now / S:.2f} s {holding} both hold"
@@ -132,35 +138,37 @@
                 self.holders_seen.append((self.now, holding[0]))
         return None
 
-    def fault(self):
+    def inject_fault(self):
         kind = self.rng.choice(["leader", "loss", "no loss", "sleep", "sleep"])
         if kind == "leader":
             self.change_leader()
         elif kind == "sleep":
-            self.asleep[self.rng.randrange(3)] = self.now + self.rng.randrange(1, 8) * S
+            self.stopped_until[self.rng.randrange(3)] = self.now + self.rng.randrange(1, 8) * S
         else:
             self.loss = 0.5 if kind == "loss" else 0.0
 
 
-def test_at_most_one_holder_whatever_clocks_messages_and_leaders_do_and_mostly_there_is_one():
+def test_at_most_one_proxy_holds_the_lease_under_clock_drift_message_loss_and_leader_changes():
     for seed in range(60):
         simulated = SimulatedLeases(seed)
         assert simulated.run(40) is None, seed
-        simulated.loss, simulated.asleep = 0.0, [0, 0, 0]
+        simulated.loss, simulated.stopped_until = 0.0, [0, 0, 0]
         assert simulated.run(10, False) is None
-        assert any(one.held_token(DUTY, simulated.clock(n)) for n, one in enumerate(simulated.holders))
+        assert any(
+            holder.held_token(DUTY, simulated.clock(index)) for index, holder in enumerate(simulated.holders)
+        )
 
 
 def with_change(module, before, after):
-    """That module with one piece of its text replaced."""
+    """Return a copy of the module in which one piece of its text is replaced."""
     with open(module.__file__) as file:
         text = file.read()
     assert text.count(before) == 1
-    made = ModuleType(module.__name__ + "_changed")
-    made.__package__ = module.__package__
-    sys.modules[made.__name__] = made
-    exec(compile(text.replace(before, after), "changed", "exec"), made.__dict__)
-    return made
+    changed = ModuleType(module.__name__ + "_changed")
+    changed.__package__ = module.__package__
+    sys.modules[changed.__name__] = changed
+    exec(compile(text.replace(before, after), "changed", "exec"), changed.__dict__)
+    return changed
 
 
 @pytest.mark.parametrize("module, before, after", [
@@ -170,14 +178,14 @@
     (lease_expiry, "self.duration = int(lease * (1 + drift))", "self.duration = int(lease * 0.8)"),
     (lease_expiry, "            if token != record.token:", "            if False:"),
 ])  # fmt: skip
-def test_a_fault_in_the_computation_of_lease_times_is_found(module, before, after):
-    made = with_change(module, before, after)
-    how = {"holders": made} if module is lease_holder else {"expiries": made}
-    assert any(SimulatedLeases(seed, **how).run(40) for seed in range(60))
+def test_the_simulation_detects_faults_in_the_computation_of_lease_times(module, before, after):
+    changed = with_change(module, before, after)
+    modules = {"holders": changed} if module is lease_holder else {"expiries": changed}
+    assert any(SimulatedLeases(seed, **modules).run(40) for seed in range(60))
 
 
 def test_a_holder_that_can_send_but_not_receive_loses_the_lease_within_two_durations():
-    # Else its renewals would be granted forever, and the duty would stand still.
+    # Otherwise its renewals would be granted forever although it can't perform the duty.
     simulated = SimulatedLeases(1)
     simulated.run(5, False)
     first = simulated.holders_seen[-1][1]
@@ -192,7 +200,7 @@
     first = simulated.holders_seen[-1][1]
     can_serve = [True]
     simulated.holders[first].leases[DUTY].can_serve = lambda: can_serve[0]
-    for _ in range(20):  # off and on each 300 ms: never off for a second
+    for _ in range(20):  # changes every 300 ms, so it never lasts for a second
         can_serve[0] = not can_serve[0]
         simulated.run(0.3, False)
     assert [n for _, n in simulated.holders_seen] == [first]
@@ -212,7 +220,7 @@
     assert simulated.holders_seen[-1][1] != first and simulated.holders_seen[-1][0] - at < LEASE // 2
 
 
-def test_duties_spread_over_proxies_and_the_first_candidates_differ():
+def test_duties_spread_over_proxies_because_their_first_candidates_differ():
     candidates = {
         duty: sorted(range(40), key=lambda n, duty=duty: lease_holder.LeaseHolder(
             f"p{n}/1", LEASE, DRIFT, None, None, None).candidacy_delay(duty))
@@ -221,7 +229,7 @@
     assert len({ranked[0] for ranked in candidates.values()}) == 3
 
 
-def test_fencing_accepts_no_older_token_and_none_that_the_group_has_not_announced():
+def test_fencing_rejects_older_tokens_and_tokens_that_the_group_has_not_announced():
     fencing = FencingTokens()
     assert not fencing.accept(DUTY, 1)
     fencing.announce(DUTY, 3)
@@ -231,7 +239,7 @@
     assert fencing.accept(DUTY, 3) and fencing.accept(DUTY, 4)
 
 
-def test_malformed_lease_requests_do_no_harm():
+def test_malformed_lease_requests_change_nothing():
     leases = LeaseTable(LEASE)
     for name, args in (("take", ["mine", "a/1"]), ("free", ["mine", 1]), ("put", ["mine", 1, b""])):
         with pytest.raises(ValueError):
@@ -248,7 +256,7 @@
     assert other.summaries() == leases.summaries() == {DUTY: LeaseSummary("a/1", 1, 0)}
 
 
-def test_requests_and_messages_keep_their_form_on_the_wire():
+def test_requests_and_messages_keep_their_wire_format():
     sent = []
 
     def send(*request):
@@ -276,29 +284,30 @@
     assert encode((MessageKind.HEALTH_CHECK_RESULTS, results)) == encode(["looked", [1, {"n0": False}]])
 
 
-def test_an_agreed_order_is_adopted_and_one_that_names_no_real_server_is_not():
-    made = proxy(4)
-    order = SlotOrder(made)
+def test_a_slot_order_is_adopted_unless_it_is_malformed_or_unfamiliar():
+    instance = proxy(4)
+    order = SlotOrder(instance)
     own = order.encode()
-    marks = [own[at : at + 3] for at in range(0, 12, 3)]
-    other = b"".join(reversed(marks))
+    hashes = [own[at : at + 3] for at in range(0, 12, 3)]
+    other = b"".join(reversed(hashes))
     assert order.adopt(other) is None and order.encode() == other
-    for bad, why in (
+    for invalid_order, fault in (
         (b"", OrderFault.MALFORMED),
         (b"ab", OrderFault.MALFORMED),
-        (other + marks[0], OrderFault.MALFORMED),
+        (other + hashes[0], OrderFault.MALFORMED),
         (bytes(15_000), OrderFault.MALFORMED),
         (b"xyzuvw", OrderFault.UNFAMILIAR),
-        (marks[0] + b"xyz", OrderFault.UNFAMILIAR),
+        (hashes[0] + b"xyz", OrderFault.UNFAMILIAR),
     ):
-        assert order.adopt(bad) == why and order.encode() == other
-    awaited = b"xyz" + other  # one that our list does not name yet keeps its slot, and is sent nothing
-    assert order.adopt(awaited) is None and order.encode() == awaited
-    made.endpoints.update(entries(5), True)
-    assert order.encode() == awaited + server_hash(made.balancer.servers["n4"])
+        assert order.adopt(invalid_order) == fault and order.encode() == other
+    # A server that is not in the endpoint list yet keeps its slot and gets no requests.
+    with_unlisted = b"xyz" + other
+    assert order.adopt(with_unlisted) is None and order.encode() == with_unlisted
+    instance.endpoints.update(entries(5), True)
+    assert order.encode() == with_unlisted + server_hash(instance.balancer.servers["n4"])
 
 
-def test_two_holders_at_once_are_found_unless_one_of_them_did_not_run():
+def test_overlapping_holders_are_detected_unless_one_of_them_was_stopped():
     held = [(0, 5 * S, DUTY, "a", 1), (3 * S, 9 * S, DUTY, "b", 2)]
     assert len(overlapping(held, [])) == 1
     assert overlapping(held, [("a", 1 * S, 5 * S)]) == []
@@ -306,30 +315,30 @@
     assert len(overlapping([(0, S, DUTY, "a", 1), (2 * S, 3 * S, DUTY, "b", 1)], [])) == 1
 
 
-def test_a_wall_clock_that_is_set_in_the_middle_of_a_run_moves_no_event_of_the_logs(tmp_path):
+def test_setting_the_wall_clock_during_a_run_does_not_move_logged_events(tmp_path):
     (tmp_path / "p0").mkdir()
     (tmp_path / "p0" / "log").write_text(
         "10:00:01.000 INFO duty: lease acquired duty=slot-order token=1\n"
         "10:00:12.000 INFO duty: lease lost duty=slot-order token=1 code=ran-out\n"
     )
     day = int(time.mktime((*time.localtime()[:3], 0, 0, 0, 0, 0, -1))) * S
-    begin = day + 36_000 * S  # the rig's own clock is at 0 then; at 3 s the wall's is set 8 s ahead
+    begin = day + 36_000 * S  # time 0 of the rig's clock; at 3 s the wall clock is set 8 s ahead
     steps = [(0, begin), (begin + 11 * S, begin + 8 * S)]
     assert logged(tmp_path, steps, {})[1] == [(1 * S, 4 * S, DUTY, "p0", 1)]
 
 
-# Real processes.
+# Real processes
 
 
-def test_real_holders_die_stop_and_are_cut_off_and_the_fleet_keeps_one_order():
-    scenes = ["holder-killed", "holder-stopped", "holder-cut", "herd-order", "liar", "two-of-one"]
-    scenes.append("node-trials")
-    output = {scene: process.communicate(timeout=120)[0] for scene, process in
-            [(scene, playing(scene)) for scene in scenes]}  # fmt: skip
+def test_the_fleet_keeps_one_order_while_real_holders_are_killed_stopped_or_partitioned():
+    scenarios = ["holder-killed", "holder-stopped", "holder-cut", "herd-order", "liar", "two-of-one"]
+    scenarios.append("node-trials")
+    output = {scenario: process.communicate(timeout=120)[0] for scenario, process in
+            [(scenario, playing(scenario)) for scenario in scenarios]}  # fmt: skip
     assert [text for text in output.values() if not text.startswith("HOLDS")] == []
 
 
-STOPS = """        token = self.holder.held_token(DUTY, self.now())  # right before the write
+STOP_BEFORE_WRITE = """        token = self.holder.held_token(DUTY, self.now())  # right before the write
         import os, signal
         if self.agreed is not None:
             try:
@@ -340,16 +349,16 @@
 """
 
 
-def test_a_holder_stopped_between_check_and_write_does_harm_only_without_fencing(tmp_path):
-    # It looks at its lease, is stopped for eight seconds right then, goes on, and writes under its old token.
-    scene = tmp_path / "scene.toml"
+def test_a_holder_stopped_between_check_and_write_violates_fencing_only_without_the_checks(tmp_path):
+    # The holder checks its lease, is stopped for eight seconds, and then writes under its old token.
+    scenario = tmp_path / "scenario.toml"
     text = (PACKAGE / "rig" / "scenarios" / "holder-stopped.toml").read_text()
     text = text.replace("at = 2\nfor = 10", "at = 3.6\nfor = 8")
-    scene.write_text(text.replace("orders = true", "orders = false"))
+    scenario.write_text(text.replace("orders = true", "orders = false"))
     write = "        token = self.holder.held_token(DUTY, self.now())  # right before the write\n"
-    program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOPS)
-    words = "rig", "play", str(scene), "--program", program, "--quiet"
-    code, output, _ = ivy(*words, "--keep", str(tmp_path / "k"))
+    program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOP_BEFORE_WRITE)
+    arguments = "rig", "play", str(scenario), "--program", program, "--quiet"
+    code, output, _ = ivy(*arguments, "--keep", str(tmp_path / "k"))
     assert code == 0, output
     rejected = [
         path for path in (tmp_path / "k").glob("p*/log") if "duty: value rejected" in path.read_text()
@@ -371,66 +380,68 @@
         file = tmp_path / "a" / "ivystack" / path
         assert file.read_text().count(before) == 1
         file.write_text(file.read_text().replace(before, after))
-    code, output, _ = ivy(*words)
+    code, output, _ = ivy(*arguments)
     assert code == 1 and "BREACH of `fencing`" in output, output
 
 
-# Health checks of servers that are down.
+# Health checks of unhealthy servers
 
 
-def down_at(made, name):
-    node = made.balancer.servers[name]
+def mark_unhealthy(instance, name):
+    server = instance.balancer.servers[name]
     for _ in range(2):
-        made.balancer.outliers.record_failure(node.health, True, made.now())
-    return node
+        instance.balancer.outliers.record_failure(server.health, True, instance.now())
+    return server
 
 
-def test_a_result_postpones_own_checks_of_a_server_that_is_down_here_and_only_for_so_long():
-    made = proxy(3)
-    duty, now = HealthCheckDuty(made), made.now()
-    node, well = down_at(made, "n1"), made.balancer.servers["n0"]
-    due = node.health.next_probe_at
+def test_a_result_postpones_own_checks_of_an_unhealthy_server_up_to_a_bound():
+    instance = proxy(3)
+    duty, now = HealthCheckDuty(instance), instance.now()
+    server, healthy = mark_unhealthy(instance, "n1"), instance.balancer.servers["n0"]
+    due = server.health.next_probe_at
     for second in range(50):
         duty.apply_results({"n1": False, "n0": False, "nx": False}, now + second * S)
     assert (
-        due < node.health.next_probe_at == due + MAX_POSTPONEMENT
-    )  # then we check it ourselves, whatever the results
-    assert well.health.next_probe_at == 0 and made.balancer.outliers.is_healthy(well.health)
+        due < server.health.next_probe_at == due + MAX_POSTPONEMENT
+    )  # then this proxy checks the server itself, whatever the results are
+    assert healthy.health.next_probe_at == 0 and instance.balancer.outliers.is_healthy(healthy.health)
     duty.apply_results({"n1": True}, now + 51 * S)
-    assert node.health.next_probe_at <= now + 51 * S and not made.balancer.outliers.is_healthy(
-        node.health
-    )  # its own answers alone say so
+    assert server.health.next_probe_at <= now + 51 * S and not instance.balancer.outliers.is_healthy(
+        server.health
+    )  # only its answers to this proxy's own traffic make it healthy
 
 
-def test_the_holder_checks_what_is_down_anywhere_but_never_a_draining_server():
-    made = proxy(4)
-    duty, now = HealthCheckDuty(made), made.now()
-    down_at(made, "n1"), down_at(made, "n2")
-    made.endpoints.update(entries(4, state="DRAINING")[2:3], False)
+def test_the_holder_checks_servers_that_are_unhealthy_anywhere_but_never_a_draining_server():
+    instance = proxy(4)
+    duty, now = HealthCheckDuty(instance), instance.now()
+    mark_unhealthy(instance, "n1"), mark_unhealthy(instance, "n2")
+    instance.endpoints.update(entries(4, state="DRAINING")[2:3], False)
     duty.record_request(["n3", "nx"] * 200, now)
     assert [*duty.requested] == ["n3"]
     duty.run_checks(now, lambda: False)
-    assert not made.reactor.tcpClients  # not a single one without the duty
+    assert not instance.reactor.tcpClients  # no check without the duty
     duty.run_checks(now, lambda: True)
     duty.run_checks(now + 1000, lambda: True)
-    asked = sorted(port for _, port, *_ in made.reactor.tcpClients)
-    assert asked == [7001, 7003]
-    for answer, (*_, factory, _, _) in zip((b"+PONG\r\n", b"-ERR\r\n"), made.reactor.tcpClients, strict=True):
+    checked_ports = sorted(port for _, port, *_ in instance.reactor.tcpClients)
+    assert checked_ports == [7001, 7003]
+    for answer, (*_, factory, _, _) in zip(
+        (b"+PONG\r\n", b"-ERR\r\n"), instance.reactor.tcpClients, strict=True
+    ):
         ping = factory.buildProtocol(None)
         ping.makeConnection(Transport())
         ping.dataReceived(answer)
     assert duty.take_results() == {"n1": True, "n3": False} and duty.take_results() == {}
-    for step in range(100):  # once more after 0.5 s, after 1 s, then every 2 s
+    for step in range(100):  # checked again after 0.5 s, after 1 s, then every 2 s
         duty.record_request(["n3"], now + step * S // 10)
         duty.run_checks(now + step * S // 10, lambda: True)
         duty.in_progress.clear()
-    assert sum(port == 7003 for _, port, *_ in made.reactor.tcpClients) == 7
+    assert sum(port == 7003 for _, port, *_ in instance.reactor.tcpClients) == 7
 
 
-def test_a_check_that_hangs_is_a_server_that_was_not_reached():
-    made = proxy(2)
-    duty = HealthCheckDuty(made)
-    down_at(made, "n0")
-    duty.run_checks(made.now(), lambda: True)
-    made.reactor.advance(1)
+def test_a_check_without_an_answer_counts_as_not_reached():
+    instance = proxy(2)
+    duty = HealthCheckDuty(instance)
+    mark_unhealthy(instance, "n0")
+    duty.run_checks(instance.now(), lambda: True)
+    instance.reactor.advance(1)
     assert duty.take_results() == {"n0": False} and not duty.in_progress
