--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The program with a configuration of each of our deployments' shapes, alone and amid the other's."""
+"""The program with the configuration of each deployment, at a start and after a reload from another one."""
 
 import json
 import os
@@ -13,18 +13,19 @@
 from moments import Wire, encode_command
 from test_main import connected, free_port
 
-PLACE = Path(__file__).parent.parent / "deploy" / "sites"
-SITES = {path.stem: tomllib.loads(path.read_text()) for path in PLACE.glob("*.toml")}
-EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
+SITES_DIRECTORY = Path(__file__).parent.parent / "deploy" / "sites"
+SITES = {path.stem: tomllib.loads(path.read_text()) for path in SITES_DIRECTORY.glob("*.toml")}
+SEMANTICS_OF_EFFECT = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 MS = 1_000_000
 
 
-def settings(site):
-    """What the first message of the wire gives, as far as the site says it."""
+def settings_of(site):
+    """Return the settings of a proxy at a site, as far as the site's file determines them."""
     allow, conn, clients, rules = site["allow"], site["tier"][0]["conn"], site["clients"], site["rules"]
     return {
         "methods": [{
-            "name": one["name"], "semantics": EFFECTS[one["effect"]], "latency_budget": one["aim_ms"] * MS,
+            "name": one["name"], "semantics": SEMANTICS_OF_EFFECT[one["effect"]],
+            "latency_budget": one["aim_ms"] * MS,
             "give_up": one["deadline_ms"] * MS, "criticality": float(one["worth"]),
             "tardy_criticality": float(one["late_worth"]), "group": one.get("group", "all"),
             "window": one.get("window_ms", 5000) * MS,
@@ -45,68 +46,72 @@
     }  # fmt: skip
 
 
-def ask(wire, ident, site, one):
-    """A req of that class; its answer."""
-    fields = f"c={one['name']},d={one['deadline_ms']}"
+def send_request(wire, request_id, site, request_class):
+    """Send a request of the class and return the answer."""
+    fields = f"c={request_class['name']},d={request_class['deadline_ms']}"
     fields += f",t={site['tenant'][0]['name']}" if "tenant" in site else ""
-    parts = [b"OBJ.SET" if one.get("write") else b"OBJ.GET", b"7f", ident]
-    value = [b"v"] if one.get("write") else []
-    marked = fields + (f",k={ident.decode()}" if one["effect"] == "keyed" else "")
-    wire.send(encode_command(*parts, marked.encode(), *value))
+    parts = [b"OBJ.SET" if request_class.get("write") else b"OBJ.GET", b"7f", request_id]
+    value = [b"v"] if request_class.get("write") else []
+    all_fields = fields + (f",k={request_id.decode()}" if request_class["effect"] == "keyed" else "")
+    wire.send(encode_command(*parts, all_fields.encode(), *value))
     return wire.take()
 
 
 @pytest.fixture
-def started(tmp_path):
-    nodes = [Node() for _ in range(3)]
-    discovery, port, path, running = Discovery(*nodes), free_port(), tmp_path / "config.json", []
+def start_program(tmp_path):
+    servers = [Node() for _ in range(3)]
+    discovery, port, path, processes = Discovery(*servers), free_port(), tmp_path / "config.json", []
 
-    def config(name):
+    def write_config(name):
         path.write_text(json.dumps({
             "listen": f"127.0.0.1:{port}", "discovery": discovery.address, "known": discovery.known,
-            "settings": settings(SITES[name]), "name": "p",
+            "settings": settings_of(SITES[name]), "name": "p",
         }))  # fmt: skip
 
     def start(name):
-        config(name)
-        running.append(subprocess.Popen(
+        write_config(name)
+        processes.append(subprocess.Popen(
             [sys.executable, "-B", "-m", "ivystack"], env=os.environ | {"LB_CONFIG": str(path)},
             stderr=subprocess.PIPE,
         ))  # fmt: skip
-        return running[0], Wire(connected(port)), config
+        return processes[0], Wire(connected(port)), write_config
 
     yield start
-    for process in running:
+    for process in processes:
         process.kill()
         process.communicate()
 
 
 @pytest.mark.parametrize("name", SITES)
-def test_each_class_of_each_deployment_is_served_and_no_class_of_another(started, name):
-    _, wire, _ = started(name)
-    for number, one in enumerate(SITES[name]["class"]):
-        for turn in range(4):
-            assert isinstance(ask(wire, b"%d.%d" % (number, turn), SITES[name], one), bytes), one["name"]
+def test_each_class_of_each_deployment_is_served_and_no_class_of_another(start_program, name):
+    _, wire, _ = start_program(name)
+    for index, request_class in enumerate(SITES[name]["class"]):
+        for attempt in range(4):
+            assert isinstance(
+                send_request(wire, b"%d.%d" % (index, attempt), SITES[name], request_class), bytes
+            ), request_class["name"]
     for other in SITES:
-        for one in SITES[other]["class"] if other != name else ():
-            assert ask(wire, b"x", SITES[other], one).startswith("-ERR a class")
+        for request_class in SITES[other]["class"] if other != name else ():
+            assert send_request(wire, b"x", SITES[other], request_class).startswith("-ERR a class")
 
 
 @pytest.mark.parametrize("name", SITES)
-def test_at_sighup_one_deployments_classes_are_the_others_no_more(started, name):
-    # Another customer's settings: from one answer to the next none of the former classes is known.
-    other = next(one for one in SITES if one != name)
-    process, wire, config = started(name)
-    assert isinstance(ask(wire, b"0", SITES[name], SITES[name]["class"][0]), bytes)
-    config(other)
+def test_after_a_reload_no_class_of_the_previous_deployment_is_served(start_program, name):
+    # The previous settings may be another customer's.
+    other = next(site for site in SITES if site != name)
+    process, wire, write_config = start_program(name)
+    assert isinstance(send_request(wire, b"0", SITES[name], SITES[name]["class"][0]), bytes)
+    write_config(other)
     process.send_signal(signal.SIGHUP)
     line = b""
     while b"configuration taken" not in line and b"not taken" not in line:  # warnings may come before
         line = process.stderr.readline()
     if b"not taken" in line:  # tenants or limits that the running one states and the new one lacks
         assert b"missing; the running configuration has it" in line
-        assert isinstance(ask(wire, b"1", SITES[name], SITES[name]["class"][0]), bytes)
+        assert isinstance(send_request(wire, b"1", SITES[name], SITES[name]["class"][0]), bytes)
         return
-    assert ask(wire, b"1", SITES[name], SITES[name]["class"][0]).startswith("-ERR a class")
-    for number, one in enumerate(SITES[other]["class"]):
-        assert isinstance(ask(wire, b"o%d" % number, SITES[other], one), bytes), one["name"]
+    assert send_request(wire, b"1", SITES[name], SITES[name]["class"][0]).startswith("-ERR a class")
+    for index, request_class in enumerate(SITES[other]["class"]):
+        assert isinstance(send_request(wire, b"o%d" % index, SITES[other], request_class), bytes), (
+            request_class["name"]
+        )
