--- a/ivystack/net/client_server.py
+++ b/ivystack/net/client_server.py
@@ -77,8 +77,8 @@
     """
 
     noisy = False
-    VALUE_MEMORY_DIVISOR = 8  # the values of requests may occupy 1/8 of the memory
-    IDLE_DIVISOR = 7  # 1/7 of the connections may be idle without a timeout
+    VALUE_MEMORY_DIVISOR = 8  # the values of requests may occupy 1/VALUE_MEMORY_DIVISOR of the memory
+    IDLE_DIVISOR = 7  # 1/IDLE_DIVISOR of the connections may be idle without a timeout
     IDLE_TIMEOUT = 2_000_000  # microseconds after which idle connections beyond that share are closed
     # Microseconds: the idle timeout while more than twice that share is idle, or while busy connections hold
     # most of the clients' descriptors.  Hundreds of clients a second send one request and stay connected.
@@ -179,20 +179,20 @@
         """
         return self.max_connections + self.EXTRA_CONNECTIONS - len(self.connections)
 
-    def evict_for_capacity(self, least: int = 0) -> int:
-        """Close connections beyond the bound, and at least `least` of them; return how many were closed.
+    def evict_for_capacity(self, minimum: int = 0) -> int:
+        """Close connections beyond the bound, or `minimum` if that is more; return how many were closed.
 
         Only connections without a request are closed: first those silent for longest, then those idle for
         longest.  A slow sender is not silent.  A connection that has just been made is not closed, so that a
         client that connects next has to wait.
         """
-        wanted = max(least, len(self.connections) - len(self.closing_connections) - self.max_connections)
-        for evicted in range(wanted):
+        excess = max(minimum, len(self.connections) - len(self.closing_connections) - self.max_connections)
+        for evicted in range(excess):
             oldest = self._eviction_candidate()
             if oldest is None:
                 return evicted
             oldest.close_when_idle("no-room", even_if_partial=True)
-        return max(0, wanted)
+        return max(0, excess)
 
     def _eviction_candidate(self) -> ClientConnection | None:
         silent, idle = next(iter(self.unused_connections), None), next(iter(self.idle_connections), None)
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -174,8 +174,8 @@
     def available_capacity(self) -> int:
         """Return how many more connections may be accepted now."""
 
-    def evict_for_capacity(self, least: int = 0) -> int:
-        """Close some connections, at least `least` if possible, and return how many were closed."""
+    def evict_for_capacity(self, minimum: int = 0) -> int:
+        """Close some connections, at least `minimum` if possible, and return how many were closed."""
 
 
 class ClientListener(tcp.Port):
@@ -195,9 +195,9 @@
         except Exception:  # must not reach the reactor, which would close the port
             logger.exception("accepting client connections failed")
 
-    def accept_waiting(self, most: int) -> None:
-        """Accept up to `most` waiting connections, as far as there is capacity."""
-        for _ in range(most):
+    def accept_waiting(self, max_accepts: int) -> None:
+        """Accept up to `max_accepts` waiting connections, as far as there is capacity."""
+        for _ in range(max_accepts):
             if self.factory.available_capacity() <= 0:
                 if not self.factory.evict_for_capacity():
                     self._pause()
@@ -215,7 +215,7 @@
             code = errorcode.get(error.errno or 0, error.errno)
             if error.errno in EXHAUSTED:
                 logger.warning("accept failed; pausing for {} ms code={}", RETRY_DELAY // 1000, code)
-                self.factory.evict_for_capacity(least=1)
+                self.factory.evict_for_capacity(minimum=1)
                 self._pause()
                 return False
             # Any other error concerns this connection alone: accept(2) also reports network errors.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -189,7 +189,7 @@
     def stopReading(self):  # noqa: N802
         pass
 
-    def accept_waiting(self, most):
+    def accept_waiting(self, max_accepts):
         pass
 
     def connectionLost(self, reason):  # noqa: N802
