--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -167,9 +167,7 @@
             try:
                 attempts = self.balancer.client_gone(request)
             except Exception:
-                logger.exception(
-                    "balancer.client_gone raised an exception; cancelling the request's attempts"
-                )
+                logger.exception("balancer.client_gone raised an exception; cancelling the attempts")
                 attempts = request.outstanding()
             self.cancel(attempts)
         self.run_due()
