--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -52,7 +52,7 @@
         elif self.watch_lost_at is None:
             self.watch_lost_at = now
         recent = self.watch_lost_at is None or now - self.watch_lost_at < MAX_WATCH_OUTAGE
-        return recent and self.proxy.started and not self.proxy.ending and self.proxy.has_ready_server()
+        return recent and self.proxy.started and not self.proxy.is_stopping and self.proxy.has_ready_server()
 
     def encode(self) -> bytes:
         """Return the order of our slots as hashes of their servers."""
--- a/ivystack/net/endpoint_watch.py
+++ b/ivystack/net/endpoint_watch.py
@@ -101,7 +101,7 @@
         self.state = WatchState.WAITING
         self.generation = 0
         self.is_incomplete = False  # an entry has been invalid since the last complete list
-        self.call: Deferred[IResponse] | None = None  # while requesting
+        self.pending_request: Deferred[IResponse] | None = None  # while requesting
         self.body: WatchLines | None = None  # while streaming
         self.last_activity_at = now()  # when the last line was received, or the last request was sent
         self.silence_timeout: Deadline | None = None
@@ -124,12 +124,12 @@
             self.next_request.cancel()
         since = 0 if self.is_incomplete else self.generation
         host, port = self.address
-        self.note_activity()
-        call = self.call = self.agent.request(b"GET", PATH % (host.encode(), port, since))
+        self.record_activity()
+        request = self.pending_request = self.agent.request(b"GET", PATH % (host.encode(), port, since))
         self.state = WatchState.REQUESTING
-        call.addCallbacks(self._response_begun, self._request_failed, (call,), errbackArgs=(call,))
+        request.addCallbacks(self._response_begun, self._request_failed, (request,), errbackArgs=(request,))
 
-    def note_activity(self) -> None:
+    def record_activity(self) -> None:
         """Restart the silence timeout, which detects a host that vanished without closing the connection."""
         if self.silence_timeout is not None:
             self.silence_timeout.cancel()
@@ -139,7 +139,7 @@
 
     def line_received(self, line: bytes) -> None:
         """Handle a line of the stream; end the connection if the line is invalid."""
-        self.note_activity()
+        self.record_activity()
         if not line.strip():
             return
         try:
@@ -171,9 +171,9 @@
             self.silence_timeout.cancel()
         if self.state is not WatchState.STOPPED:
             self.state = WatchState.WAITING
-        call, self.call = self.call, None
-        if call is not None:
-            call.cancel()
+        request, self.pending_request = self.pending_request, None
+        if request is not None:
+            request.cancel()
         body, self.body = self.body, None
         if body is not None and body.transport is not None:
             body.transport.loseConnection()
@@ -199,17 +199,17 @@
         if is_open:
             self.connection_broke("stopping")
 
-    def _response_begun(self, response: Any, call: Deferred[IResponse]) -> None:
-        body, is_current = WatchLines(self), call is self.call
+    def _response_begun(self, response: Any, request: Deferred[IResponse]) -> None:
+        body, is_current = WatchLines(self), request is self.pending_request
         if is_current:  # set first, because `deliverBody` delivers received data at once
-            self.call, self.body, self.state = None, body, WatchState.STREAMING
+            self.pending_request, self.body, self.state = None, body, WatchState.STREAMING
         response.deliverBody(body)
         if not is_current:
             body.transport.loseConnection()
         elif response.code != STATUS_OK and self.body is body:
             self.connection_broke(f"status-{response.code}")
 
-    def _request_failed(self, reason: Failure, call: Deferred[IResponse]) -> None:
-        if call is self.call:
+    def _request_failed(self, reason: Failure, request: Deferred[IResponse]) -> None:
+        if request is self.pending_request:
             is_refused = reason.check(ConnectError)
             self.connection_broke("refused" if is_refused else type(reason.value).__name__)
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -28,7 +28,7 @@
 
 MAX_STATE_BYTES = 1 << 20  # the state of a few hundred servers takes a tenth of it
 MAX_REQUEST_BYTES = 64  # the old process expects no request
-SOCKET_TAG_BYTES = 4
+SOCKET_DIGEST_BYTES = 4
 CONNECT_TIMEOUT_SECONDS = 1
 SOCKET_MODE = 0o600  # the proxy's own user
 
@@ -173,10 +173,10 @@
         self.reactor, self.deadlines, self.now = reactor, deadlines, now
         self.export_state, self.on_other_process = export_state, on_other_process
         self.folder = Path(folder) if folder else None
-        digest = blake2b(repr(listen_address).encode(), digest_size=SOCKET_TAG_BYTES)
-        self.tag = "ivystack-" + digest.hexdigest()
+        digest = blake2b(repr(listen_address).encode(), digest_size=SOCKET_DIGEST_BYTES)
+        self.socket_prefix = "ivystack-" + digest.hexdigest()
         self.connections: dict[LineReceiver, None] = {}  # to other processes
-        self.untried: list[Path] = []  # sockets of old processes that were not tried yet, newest last
+        self.untried_sockets: list[Path] = []  # sockets of old processes that were not tried yet, newest last
         self.on_state: StateCallback | None = None  # None once it has been called
         self.timeout: Deadline | None = None
 
@@ -184,8 +184,10 @@
         """Request an old process's state; call `on_state` once with it, or None after `STATE_TIMEOUT`."""
         self.on_state = on_state
         try:
-            found = [*self.folder.glob(self.tag + "-*.sock")] if self.folder else []
-            self.untried = sorted(found, key=lambda path: path.stat().st_mtime)[-self.MAX_CONNECTIONS :]
+            found = [*self.folder.glob(self.socket_prefix + "-*.sock")] if self.folder else []
+            self.untried_sockets = sorted(found, key=lambda path: path.stat().st_mtime)[
+                -self.MAX_CONNECTIONS :
+            ]
         except OSError as error:
             logger.warning("hot restart: can't look for an old process: {}: {}", error.strerror, self.folder)
         self.timeout = self.deadlines.call_at(self.now() + self.STATE_TIMEOUT, self.state_received, None)
@@ -193,10 +195,10 @@
 
     def request_from_next(self) -> None:
         """Connect to the newest untried socket; if none is left, report that there is no state."""
-        if not self.untried or self.on_state is None:
+        if not self.untried_sockets or self.on_state is None:
             self.state_received(None)
             return
-        path = self.untried.pop()
+        path = self.untried_sockets.pop()
         factory = StateClientFactory(self, path)
         self.reactor.connectUNIX(str(path), factory, timeout=CONNECT_TIMEOUT_SECONDS)
 
@@ -212,7 +214,7 @@
         """Start serving the state to the next process; log a failure to listen."""
         if self.folder is None:
             return
-        path = self.folder / f"{self.tag}-{os.getpid()}.sock"
+        path = self.folder / f"{self.socket_prefix}-{os.getpid()}.sock"
         try:
             path.unlink(missing_ok=True)
             self.reactor.listenUNIX(str(path), StateServerFactory(self), mode=SOCKET_MODE)
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -91,9 +91,9 @@
         self.admin = AdminServer(
             self.deadlines, self.now, self.readiness, self.start_draining, self.stop_draining
         )
-        self.limits = configuration.descriptors, configuration.memory_bytes  # fixed at the start
+        self.process_limits = configuration.descriptors, configuration.memory_bytes  # fixed at the start
         self.port: ClientListener | None = None
-        self.started = self.ending = False
+        self.started = self.is_stopping = False
 
     def _create_client_server(self) -> ClientServer:
         handler, configuration = self.request_handler, self.configuration
@@ -152,7 +152,7 @@
 
         Stop the reactor if a socket can't be opened.
         """
-        if self.ending:  # SIGTERM arrived while waiting for the state: nothing would close the port
+        if self.is_stopping:  # SIGTERM arrived while waiting for the state: nothing would close the port
             return
         try:
             self.import_state(state)
@@ -187,7 +187,7 @@
 
         :raises CannotListenError: if the address can't be bound and this is no hot restart.
         """
-        if self.ending:
+        if self.is_stopping:
             return
         try:
             self.reactor.listenUDP(port, self.gossip, interface=host)
@@ -245,7 +245,7 @@
     def other_process_present(self, is_present: bool) -> None:
         """Halve the limits while another process serves too, so that both together stay within them."""
         logger.info("hot restart: presence of another process changed other_process={}", is_present)
-        sockets, memory = (limit // 2 if is_present else limit for limit in self.limits)
+        sockets, memory = (limit // 2 if is_present else limit for limit in self.process_limits)
         self.server_pools.set_limits(sockets, memory // ClientServer.VALUE_MEMORY_DIVISOR)
         reserved = self.server_pools.max_connections + ClientServer.RESERVED_DESCRIPTORS
         self.client_server.set_limits(max(ClientServer.EVICTION_BATCH, sockets - reserved), memory)
@@ -282,9 +282,9 @@
 
     def terminate(self) -> None:
         """Shut down gracefully: serve for a short time, then answer the active requests and stop."""
-        if self.ending:
+        if self.is_stopping:
             return
-        self.ending = True
+        self.is_stopping = True
         longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_wait())
         time_left = longest_timeout + self.KILL_DELAY_US - self.STALL_ALLOWANCE_US
         self.request_handler.answer_by = self.now() + time_left
@@ -332,7 +332,7 @@
 
     def readiness(self) -> AdminResponse:
         """Return whether this proxy is ready for clients."""
-        if self.ending or self.client_server.drain.code:
+        if self.is_stopping or self.client_server.drain.code:
             return AdminResponse(503, "draining")
         if self.started and self.has_ready_server():
             return AdminResponse(200, "ready")
@@ -340,7 +340,7 @@
 
     def start_draining(self) -> AdminResponse:
         """Begin to close client connections; requests that still arrive are served."""
-        if not self.ending and not self.client_server.drain.code:
+        if not self.is_stopping and not self.client_server.drain.code:
             clients, requests = len(self.client_server.connections), len(self.request_handler.requests)
             logger.info("drain started clients={} requests={}", clients, requests)
             self.client_server.drain.start("drained", ClientDrain.SPREAD, ClientDrain.PARTIAL_COMMAND_GRACE)
@@ -348,7 +348,7 @@
 
     def stop_draining(self) -> AdminResponse:
         """End the drain; refused while the process shuts down."""
-        if self.ending:
+        if self.is_stopping:
             return AdminResponse(409, "stopping: there is no way back")
         if self.client_server.drain.code:
             logger.info("drain cancelled clients={}", len(self.client_server.connections))
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -56,22 +56,16 @@
         super().__init__()
         self.pools, self.pool = pools, pool
         self.state = ConnectionState.CONNECTING
-        self.in_flight: deque[InFlightAttempt] = (
-            deque()
-        )  # in the order sent; abandoned ones have ended already
-        self.deadline: Deadline | None = (
-            None  # of connecting, of being idle, or of an abandoned attempt's answer
-        )
+        self.in_flight: deque[InFlightAttempt] = deque()  # as sent; abandoned ones have ended already
+        self.deadline: Deadline | None = None  # while connecting, idle, or awaiting an abandoned answer
         self.attempts_sent = 0
-        self.answers = 0
+        self.answers_received = 0
         self.reading = False  # more bytes may follow the answer just read
-        self.last_value = (
-            0,
-            0,
-        )  # the last value's hash (of a long value, its size), and when it was received
-        self.busy_at = -DUPLICATE_BUSY_WINDOW  # when the server last rejected an attempt on this connection
+        # The hash of the last value (the size of a long one), and when it was received.
+        self.last_value = (0, 0)
+        self.last_busy_at = -DUPLICATE_BUSY_WINDOW  # when the last -BUSY was received on this connection
         self.relay: ResponseStream | None = None  # the long value being forwarded
-        self.bytes_written = 0  # to the transport for attempts
+        self.bytes_written = 0  # bytes passed to the transport
         self.slot = pools.connections.add(self)
 
     # State.
@@ -102,7 +96,7 @@
     @property
     def was_kept_alive(self) -> bool:
         """Whether its loss is no evidence of a fault: it has served before and is the first one lost."""
-        return self.pool.consecutive_losses == 1 and self.answers > 0
+        return self.pool.consecutive_losses == 1 and self.answers_received > 0
 
     def mark_idle(self) -> None:
         """Record that the pool has queued the connection as idle; a closing one stays closing."""
@@ -262,15 +256,15 @@
 
         This -BUSY may be a duplicate of the previous one, which can't be recognized as such.
         """
-        last_at, self.busy_at = self.busy_at, self.pools.now()
-        is_close = self.busy_at - last_at < DUPLICATE_BUSY_WINDOW
-        return is_close and in_flight.attempt.request.request_class.idempotency != Idempotency.IDEMPOTENT
+        last_at, self.last_busy_at = self.last_busy_at, self.pools.now()
+        is_recent = self.last_busy_at - last_at < DUPLICATE_BUSY_WINDOW
+        return is_recent and in_flight.attempt.request.request_class.idempotency != Idempotency.IDEMPOTENT
 
     def _finish_oldest(self, outcome: Outcome, value: Any) -> None:
         in_flight = self.in_flight.popleft()
         if outcome is Outcome.OVERLOADED and self._may_be_duplicate_busy(in_flight):
             outcome = Outcome.CANCELLED
-        self.answers += 1
+        self.answers_received += 1
         self.pool.consecutive_losses = 0
         is_early = in_flight.has_unsent_bytes()
         if not self.has_abandoned_attempts:
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -134,7 +134,7 @@
 
     def _close_idle(self, connections: Iterable[ServerConnection], code: str) -> None:
         for connection in connections:
-            self._take_from_idle(connection)
+            self._remove_from_idle(connection)
             connection.close(code)
 
     def _return_waiting_attempts(self, pool: ServerPool) -> None:
@@ -146,21 +146,23 @@
     def send(self, in_flight: InFlightAttempt, server: str, timeout_at: int) -> None:
         """Send an attempt on a connection to the server, or queue it until there is one."""
         pool = in_flight.pool = self.pools[server]
-        in_flight.deadlines.append(self.deadlines.call_at(timeout_at, self._time_out, in_flight))
+        in_flight.deadlines.append(self.deadlines.call_at(timeout_at, self._attempt_timed_out, in_flight))
         connection = self._idle_connection(pool) or self._pipelined_connection(pool, in_flight, timeout_at)
         if connection is not None:
             connection.send_attempt(in_flight)
             return
         pool.waiting.append(in_flight)
         connect_by = min(timeout_at, self.now() + self.connect_timeout, in_flight.attempt.send_by)
-        in_flight.deadlines.append(self.deadlines.call_at(connect_by, self._not_connected, in_flight))
+        in_flight.deadlines.append(
+            self.deadlines.call_at(connect_by, self._connection_wait_expired, in_flight)
+        )
         self._open_connection(pool)
 
     def _idle_connection(self, pool: ServerPool) -> ServerConnection | None:
         """Take the connection of a pool that has been idle longest, and skip those that are closing."""
         while pool.idle:
             connection = pool.idle[0]
-            self._take_from_idle(connection)
+            self._remove_from_idle(connection)
             if connection.accepts_attempts:
                 return connection
         return None
@@ -187,8 +189,8 @@
         At the limit for all servers, close the connection that has been idle longest instead; once that is
         closed, one is opened for this pool.
         """
-        is_enough = len(pool.connecting) >= len(pool.waiting)
-        if is_enough or len(pool.connections) >= self.MAX_CONNECTIONS_PER_SERVER:
+        enough_connecting = len(pool.connecting) >= len(pool.waiting)
+        if enough_connecting or len(pool.connections) >= self.MAX_CONNECTIONS_PER_SERVER:
             return
         if len(self.connections) >= self.max_connections:
             self._close_idle([*islice(self.idle_connections, 1)], "no-room")
@@ -211,7 +213,7 @@
     def restart_timeout(self, in_flight: InFlightAttempt, timeout_at: int) -> None:
         """Restart the timeout of an attempt after the last byte of its long write was sent."""
         in_flight.cancel_deadlines()
-        in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._time_out, in_flight)]
+        in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._attempt_timed_out, in_flight)]
 
     def finish(
         self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None = None
@@ -239,10 +241,10 @@
                 self.finish(in_flight, outcome)
                 outcome = Outcome.CANCELLED
 
-    def _time_out(self, in_flight: InFlightAttempt) -> None:
+    def _attempt_timed_out(self, in_flight: InFlightAttempt) -> None:
         self._abandon(in_flight, Outcome.TIMED_OUT)
 
-    def _not_connected(self, in_flight: InFlightAttempt) -> None:
+    def _connection_wait_expired(self, in_flight: InFlightAttempt) -> None:
         if in_flight.connection is not None:
             return
         if self.now() >= in_flight.attempt.send_by:
@@ -325,7 +327,7 @@
     def connection_lost(self, connection: ServerConnection, code: str) -> None:
         """Handle the end of a connection, or a failure to open it; `code` is the reason."""
         pool = connection.pool
-        self._take_from_idle(connection)
+        self._remove_from_idle(connection)
         self.relays.pop(connection, None)
         pool.connections.pop(connection, None)
         pool.connecting.pop(connection, None)
@@ -366,7 +368,7 @@
         kept_alive = connection.was_kept_alive
         self.finish_all(connection, Outcome.CANCELLED if kept_alive else Outcome.CONNECTION_LOST)
 
-    def _take_from_idle(self, connection: ServerConnection) -> None:
+    def _remove_from_idle(self, connection: ServerConnection) -> None:
         """Remove a connection from the idle ones if it is idle, and cancel its timeout."""
         if connection in self.idle_connections:
             del self.idle_connections[connection]
--- a/ivystack/net/slot_table.py
+++ b/ivystack/net/slot_table.py
@@ -19,15 +19,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._free: list[int] = []  # a heap of the free numbers below the highest one used
+        self._freed_numbers: list[int] = []  # a heap of the numbers that were freed
 
     def add(self, value: T) -> int:
         """Add a value and return its slot number."""
-        number = heapq.heappop(self._free) if self._free else len(self)
+        number = heapq.heappop(self._freed_numbers) if self._freed_numbers else len(self)
         self[number] = value
         return number
 
     def remove(self, number: int) -> None:
         """Free a slot; raise KeyError if it is not in use."""
         del self[number]
-        heapq.heappush(self._free, number)
+        heapq.heappush(self._freed_numbers, number)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -139,7 +139,7 @@
     watch = EndpointWatch(reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1), None)
     watch.request_watch = lambda: calls.append(deadlines.now())
     silent_since = deadlines.now()
-    watch.note_activity()
+    watch.record_activity()
     for _ in range(1200):
         reactor.advance(0.005)
     assert calls and calls[0] <= silent_since + UPDATE_LIMIT - 500 * MS
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -220,7 +220,7 @@
     configuration.inherited_descriptor, configuration.restart_folder = 3, str(folder)
     process = proxy(0, run=configuration)
     process.endpoint_watch.request_watch = process.open_sockets = lambda: None
-    (folder / f"{process.hot_restart.tag}-1.sock").write_text("")
+    (folder / f"{process.hot_restart.socket_prefix}-1.sock").write_text("")
     process.start()
     path, factory = process.reactor.unixClients[-1][:2]
     assert Path(path).parent == folder
@@ -231,7 +231,7 @@
 
 def socket_name(process):
     """Return the name of the hot restart socket without the process number."""
-    return process.hot_restart.tag
+    return process.hot_restart.socket_prefix
 
 
 def exported_state(process):
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -29,7 +29,7 @@
     new.begun = []
     new.open_sockets = lambda: new.begun.append(new.now())
     if leftover:
-        (tmp_path / f"{new.hot_restart.tag}-1.sock").write_text("")
+        (tmp_path / f"{new.hot_restart.socket_prefix}-1.sock").write_text("")
     new.start()
     return new
 
@@ -142,7 +142,7 @@
     assert not new.begun
     new.reactor.advance(0.02)
     # The old process still runs, so the limits stay halved.
-    assert len(new.begun) == 1 and new.server_pools.max_connections == new.limits[0] // 6
+    assert len(new.begun) == 1 and new.server_pools.max_connections == new.process_limits[0] // 6
 
 
 def test_a_killed_processs_socket_is_removed_and_without_a_socket_the_start_does_not_wait(tmp_path):
@@ -177,7 +177,7 @@
     links = [link(made, number) for number in range(4)]
     for server_connection in links:
         server_connection.dataReceived(hit())
-    made.limits = 64, made.limits[1]
+    made.process_limits = 64, made.process_limits[1]
     other_process = connect_to(made)
     assert (
         pools.max_connections,
@@ -192,7 +192,7 @@
             if connection.transport.disconnecting and connection.slot in made.client_server.connections:
                 connection.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
-    made.limits = made.configuration.descriptors, made.configuration.memory_bytes
+    made.process_limits = made.configuration.descriptors, made.configuration.memory_bytes
     other_process.connectionLost(Failure(ConnectionDone()))
     assert (
         pools.max_connections,
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -374,7 +374,7 @@
     made.port = None
     with pytest.raises(ZeroDivisionError):
         terminate(made, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
-    assert made.ending
+    assert made.is_stopping
 
 
 def test_an_address_that_is_taken_is_logged_once_and_retried(log_lines):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -232,7 +232,7 @@
     run.inherited_descriptor, run.restart_folder = os.dup(listener.fileno()), str(tmp_path)
     harness = start_proxy(run=run, begun=False)
     old = socket.socket(socket.AF_UNIX)
-    old.bind(str(tmp_path / f"{harness.proxy.hot_restart.tag}-1.sock"))
+    old.bind(str(tmp_path / f"{harness.proxy.hot_restart.socket_prefix}-1.sock"))
     old.listen()
     harness.start()
     connection = old.accept()[0]
@@ -599,7 +599,8 @@
         refusing = free.getsockname()
     harness.turn(harness.proxy.endpoint_watch.change_address, refusing)
     harness.until(
-        lambda: harness.proxy.endpoint_watch.call is None and not harness.proxy.endpoint_watch.is_streaming
+        lambda: harness.proxy.endpoint_watch.pending_request is None
+        and not harness.proxy.endpoint_watch.is_streaming
     )
     second.line(watch, 9, Node("n0").entry("DRAINING"))  # the watch no longer reads from this address
     hanging = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -486,7 +486,7 @@
     made = proxy()
     calls = []
     made.endpoint_watch.request_watch = lambda: calls.append(made.now())
-    made.endpoint_watch.note_activity()
+    made.endpoint_watch.record_activity()
     made.reactor.advance(4.9)
     assert not calls
     made.reactor.pump([0.2, 1])
