--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -37,11 +37,11 @@
     """Run the proxy and return its exit code."""
     try:
         configuration = load(os.environ)
-        path, fleet = os.environ.get("LB_FLEET", ""), None
-        if path:  # otherwise the fleet package is not even imported
+        fleet_path, fleet = os.environ.get("LB_FLEET", ""), None
+        if fleet_path:  # otherwise the fleet package is not even imported
             from .fleet.config import load_config as load_fleet
 
-            fleet = load_fleet(path, configuration.name)
+            fleet = load_fleet(fleet_path, configuration.name)
             configuration.descriptors = fleet.reserve_links(
                 configuration.descriptors, configuration.settings.settings.n_instances or 1
             )
@@ -65,9 +65,9 @@
     if fleet is not None:
         from .fleet.services import FleetServices
 
-        fleet_services = FleetServices(proxy, path, fleet)
-    for name in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(name, lambda *_: reactor.callFromThread(terminate, proxy, fleet_services))
+        fleet_services = FleetServices(proxy, fleet_path, fleet)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(terminate, proxy, fleet_services))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload, proxy, fleet_services))
     reactor.callWhenRunning(start, proxy, reactor, fleet_services)
     # A SIGHUP that arrived after the configuration was read asks for a newer one.
--- a/ivystack/cli.py
+++ b/ivystack/cli.py
@@ -61,13 +61,14 @@
     if fleet is not None and not config and not os.environ.get("LB_CONFIG"):
         sys.exit(fleet_code)
     try:
-        run = load({**os.environ, **({"LB_CONFIG": config} if config else {})})
+        configuration = load({**os.environ, **({"LB_CONFIG": config} if config else {})})
     except ConfigurationError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_FAULT)
-    classes = len(run.settings.request_classes)
+    classes = len(configuration.settings.request_classes)
     click.echo(
-        f"configuration is valid: name={run.name} listen={run.listen[0]}:{run.listen[1]} classes={classes}"
+        f"configuration is valid: name={configuration.name}"
+        f" listen={configuration.listen[0]}:{configuration.listen[1]} classes={classes}"
     )
     sys.exit(fleet_code)
 
--- a/ivystack/net/endpoint_list.py
+++ b/ivystack/net/endpoint_list.py
@@ -42,7 +42,7 @@
         :param is_complete: whether servers without an entry are removed.
         :returns: whether all entries were valid, and whether an invalid one was not seen before.
         """
-        servers, all_valid, has_new_faults = [], True, False
+        servers, all_valid, has_new_invalid_entry = [], True, False
         with (
             self.request_handler.hold_off()
         ):  # attempts that the update ends are decided once all of it is applied
@@ -51,13 +51,13 @@
                     servers.append(self._parse_endpoint(entry))
                 except (ValueError, TypeError, KeyError, AttributeError) as error:
                     all_valid = False
-                    has_new_faults |= self._log_invalid(entry, error)
+                    has_new_invalid_entry |= self._log_invalid(entry, error)
             self.balancer.update_endpoints(servers, is_complete, self.now())
             for server in self.balancer.servers.values():
                 self.server_pools.set_ready(server.name, server.state == ServerState.READY)
         self.server_pools.forget_unlisted(self.balancer.servers)
         self.request_handler.run_due()
-        return UpdateResult(all_valid, has_new_faults)
+        return UpdateResult(all_valid, has_new_invalid_entry)
 
     def _log_invalid(self, entry: Any, error: Exception) -> bool:
         """Log an invalid entry unless it was logged before; return whether it was logged now."""
--- a/ivystack/net/endpoint_watch.py
+++ b/ivystack/net/endpoint_watch.py
@@ -32,7 +32,7 @@
     """The result of applying an update."""
 
     all_valid: bool
-    has_new_faults: bool  # some invalid entry was not seen before
+    has_new_invalid_entry: bool  # one that was not seen before
 
 
 UpdateCallback = Callable[[list[dict], bool], UpdateResult]
@@ -143,7 +143,7 @@
         if not line.strip():
             return
         try:
-            has_new_faults = self.apply_listing(orjson.loads(line))
+            has_new_invalid_entry = self.apply_listing(orjson.loads(line))
         except Exception as error:  # any error: the watch is requested again
             logger.error(
                 "discovery: invalid line, the watch is requested again: {}: {}", type(error).__name__, error
@@ -151,7 +151,7 @@
             self.connection_broke("unreadable")
             return
         self.backoff.failures = 0
-        if has_new_faults:  # request again, in case the entry was damaged in transit
+        if has_new_invalid_entry:  # request again, in case the entry was damaged in transit
             self.connection_broke("unusable-entry")
 
     def apply_listing(self, listing: dict) -> bool:
@@ -160,10 +160,10 @@
         :raises KeyError, TypeError, ValueError: if the listing has the wrong format.
         """
         generation, is_complete = int(listing["generation"]), bool(listing.get("reset"))
-        all_valid, has_new_faults = self.on_update(listing["instances"], is_complete)
+        all_valid, has_new_invalid_entry = self.on_update(listing["instances"], is_complete)
         self.is_incomplete = not all_valid or (self.is_incomplete and not is_complete)
         self.generation = generation
-        return has_new_faults
+        return has_new_invalid_entry
 
     def connection_broke(self, code: str) -> None:
         """End the request or stream, if there is one, and schedule the next request unless stopped."""
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -73,7 +73,7 @@
         self.cache_aside = settings.cache_aside
 
     def set_limits(self, sockets: int, relay_memory: int) -> None:
-        """Set the process's sockets, and the bytes of memory for long values that are being forwarded."""
+        """Set the socket limit of the whole process, and the memory in bytes for forwarding long values."""
         self.max_connections, self.relay_memory = sockets // self.SOCKETS_PER_CONNECTION, relay_memory
         excess = max(0, len(self.connections) - self.max_connections)
         self._close_idle([*islice(self.idle_connections, excess)], "no-room")
@@ -102,7 +102,7 @@
     def set_ready(self, name: str, is_ready: bool) -> None:
         """Set whether a server accepts new attempts; if not, close its idle connections.
 
-        A draining server has a short grace period, and some wait until their connections are closed.
+        A draining server has a short grace period, and some servers wait for their connections to end.
         """
         pool = self.pools.get(name)
         if pool is None:
@@ -173,7 +173,7 @@
         """Return a connection on which to pipeline the attempt; None if it has to wait for another.
 
         An attempt with an early `send_by` is never pipelined: whatever delays the attempts before it would
-        delay it too, in our socket or the server's, so that it could begin too late.
+        delay it too, in this process's socket or the server's, so that it could begin too late.
         """
         fair_share = max(2, self.max_connections // len(self.pools))  # so that every server gets connections
         if len(pool.connections) < min(self.PIPELINE_FROM, fair_share) or self.max_in_flight <= 1:
@@ -251,7 +251,7 @@
             self.finish(in_flight, Outcome.NOT_SENT)
         elif in_flight.pool.connecting:
             self.finish(in_flight, Outcome.CONNECTION_REFUSED)
-        else:  # reported as overload of the server, although our own limit of connections is the cause
+        else:  # reported as overload of the server, although this process's connection limit is the cause
             self.finish(in_flight, Outcome.OVERLOADED)
 
     def _abandon(self, in_flight: InFlightAttempt, outcome: Outcome) -> None:
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -21,47 +21,47 @@
 
 
 class Agent:
-    """A stand-in for the HTTP agent: requests fail in the given ways until `back_at`, then they succeed.
+    """A stand-in for the HTTP agent: requests fail in the given ways until `reachable_at`, then they succeed.
 
     The failures: connection refused; connect timeout (2 s); silence before or after the response head; a
     status other than 200; a reset after the head; silence within a line; a line that can't be parsed.
     """
 
-    def __init__(self, reactor, kinds, back_at):
-        self.reactor, self.kinds, self.back_at = reactor, list(kinds), back_at
-        self.calls: list[int] = []
+    def __init__(self, reactor, failures, reachable_at):
+        self.reactor, self.failures, self.reachable_at = reactor, list(failures), reachable_at
+        self.request_times: list[int] = []
         self.discovery = None
 
     def request(self, method, url):
         response, now = Deferred(lambda _: None), round(self.reactor.seconds() * S)
-        self.calls.append(now)
-        if now >= self.back_at:
-            self.reactor.callLater(0.01, self.opens, response, 200, LIST)
+        self.request_times.append(now)
+        if now >= self.reachable_at:
+            self.reactor.callLater(0.01, self.respond, response, 200, LIST)
             return response
-        kind = self.kinds.pop(0) if len(self.kinds) > 1 else self.kinds[0]
-        if kind == "refused":
-            self.reactor.callLater(0.001, self.fails, response, ConnectionRefusedError())
-        elif kind == "no-connect":
-            self.reactor.callLater(2, self.fails, response, TimeoutError())
-        elif kind == "status":
-            self.reactor.callLater(0.001, self.opens, response, 503, b"")
-        elif kind == "silent-after-head":
-            self.reactor.callLater(0.001, self.opens, response, 200, b"")
-        elif kind == "reset":
-            self.reactor.callLater(0.001, self.opens, response, 200, None)
-        elif kind == "half-line":
-            self.reactor.callLater(0.001, self.opens, response, 200, b'{"generation":9,"res')
-        elif kind == "unreadable":
-            self.reactor.callLater(0.001, self.opens, response, 200, b"noise\n")
+        failure = self.failures.pop(0) if len(self.failures) > 1 else self.failures[0]
+        if failure == "refused":
+            self.reactor.callLater(0.001, self.fail, response, ConnectionRefusedError())
+        elif failure == "no-connect":
+            self.reactor.callLater(2, self.fail, response, TimeoutError())
+        elif failure == "status":
+            self.reactor.callLater(0.001, self.respond, response, 503, b"")
+        elif failure == "silent-after-head":
+            self.reactor.callLater(0.001, self.respond, response, 200, b"")
+        elif failure == "reset":
+            self.reactor.callLater(0.001, self.respond, response, 200, None)
+        elif failure == "half-line":
+            self.reactor.callLater(0.001, self.respond, response, 200, b'{"generation":9,"res')
+        elif failure == "unreadable":
+            self.reactor.callLater(0.001, self.respond, response, 200, b"noise\n")
         else:
-            assert kind == "silent"
+            assert failure == "silent"
         return response
 
-    def fails(self, response, error):
+    def fail(self, response, error):
         if not response.called:
             response.errback(Failure(error))
 
-    def opens(self, response, code, data):
+    def respond(self, response, code, data):
         if response.called:
             return
 
@@ -75,7 +75,7 @@
         response.callback(SimpleNamespace(code=code, deliverBody=deliver))
 
 
-def received_at(mode, grace, kinds, back_at, seed=1):
+def received_at(mode, grace, failures, reachable_at, seed=1):
     """Return when the list was received, and the times of the requests up to then."""
     reactor = Reactor()
     reactor.advance(1000)
@@ -83,7 +83,7 @@
     rules = {"ask_within": 10**10, "stop_sending_within": grace * 10**6}
     settings = InstanceConfiguration(seed, {"discovery": mode, "rules": rules})
     deadlines, received = DeadlineQueue(reactor, lambda: round(reactor.seconds() * S)), []
-    agent = Agent(reactor, kinds, start + back_at)
+    agent = Agent(reactor, failures, start + reachable_at)
     watch = EndpointWatch(
         reactor, deadlines, deadlines.now, settings.poll_backoff, ("127.0.0.1", 1),
         lambda entries, is_complete: received.append(deadlines.now() - start) or UpdateResult(True, False),
@@ -92,28 +92,37 @@
     watch.request_watch()
     for _ in range(200 * 30):
         if received:
-            return received[0], [sent_at - start for sent_at in agent.calls]
+            return received[0], [sent_at - start for sent_at in agent.request_times]
         reactor.advance(0.005)
     raise AssertionError("the list was never received")
 
 
-KINDS = ["refused", "no-connect", "silent", "silent-after-head", "status", "reset", "half-line", "unreadable"]
+FAILURES = [
+    "refused",
+    "no-connect",
+    "silent",
+    "silent-after-head",
+    "status",
+    "reset",
+    "half-line",
+    "unreadable",
+]
 
 
 @pytest.mark.parametrize("mode, grace", [("push", 1000), ("push", 250), ("ask", 1000), ("ask", 250)])
-@pytest.mark.parametrize("kind", KINDS)
-def test_the_list_arrives_within_six_seconds_after_each_kind_of_failure(mode, grace, kind):
-    for back_at in range(0, 12 * S, 700 * MS):
-        at, calls = received_at(mode, grace, [kind], back_at, seed=back_at)
-        assert at <= back_at + UPDATE_LIMIT, (back_at, at, calls)
+@pytest.mark.parametrize("failure", FAILURES)
+def test_the_list_arrives_within_six_seconds_after_each_kind_of_failure(mode, grace, failure):
+    for reachable_at in range(0, 12 * S, 700 * MS):
+        at, calls = received_at(mode, grace, [failure], reachable_at, seed=reachable_at)
+        assert at <= reachable_at + UPDATE_LIMIT, (reachable_at, at, calls)
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_the_list_arrives_within_six_seconds_after_alternating_failures(mode):
-    for number, (first, second) in enumerate(product(KINDS, KINDS)):
-        for back_at in (6_100 * MS, 9_900 * MS):
-            at, calls = received_at(mode, 1000, [first, second, first, second], back_at, seed=number)
-            assert at <= back_at + UPDATE_LIMIT, (first, second, back_at, at, calls)
+    for number, (first, second) in enumerate(product(FAILURES, FAILURES)):
+        for reachable_at in (6_100 * MS, 9_900 * MS):
+            at, calls = received_at(mode, 1000, [first, second, first, second], reachable_at, seed=number)
+            assert at <= reachable_at + UPDATE_LIMIT, (first, second, reachable_at, at, calls)
 
 
 def test_poll_requests_stay_spaced_and_out_of_step():
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,14 +20,14 @@
     return connection
 
 
-def starting(tmp_path, leftover=True):
+def start_new_process(tmp_path, leftover=True):
     """Start a new process that finds an old process's socket; its calls of `open_sockets` are recorded."""
     configuration = told()
     configuration.inherited_descriptor, configuration.restart_folder = 3, str(tmp_path)
     new = proxy(0, run=configuration)
     new.endpoint_watch.request_watch = lambda: None
-    new.begun = []
-    new.open_sockets = lambda: new.begun.append(new.now())
+    new.starts = []
+    new.open_sockets = lambda: new.starts.append(new.now())
     if leftover:
         (tmp_path / f"{new.hot_restart.socket_prefix}-1.sock").write_text("")
     new.start()
@@ -68,8 +68,8 @@
     servers["n3"].class_failures[read] = FailureState(consecutive_failures=2, next_probe_at=now + S)
     old.balancer.limiter.common_share = 0.5
     old.endpoint_watch.generation = 41
-    new = starting(tmp_path)
-    assert new.begun == []
+    new = start_new_process(tmp_path)
+    assert new.starts == []
     state_client(new).dataReceived(connect_to(old).transport.value())
     imported = new.balancer.servers
     assert [server.name for server in new.balancer.placement.slots] == [
@@ -98,17 +98,17 @@
     assert (
         new.balancer.limiter.common_share == 0.5
         and new.endpoint_watch.generation == 41
-        and len(new.begun) == 1
+        and len(new.starts) == 1
     )
     assert new.server_pools.pools["n1"].address == old.server_pools.pools["n1"].address
 
 
 def test_an_endpoint_list_newer_than_the_old_processs_is_kept(tmp_path):
     old = proxy(1)
-    new = starting(tmp_path)
+    new = start_new_process(tmp_path)
     new.endpoint_watch.load_known({"generation": 9, "reset": True, "instances": entries(2)})
     state_client(new).dataReceived(connect_to(old).transport.value())
-    assert {*new.balancer.servers} == {"n0", "n1"} and new.endpoint_watch.generation == 9 and new.begun
+    assert {*new.balancer.servers} == {"n0", "n1"} and new.endpoint_watch.generation == 9 and new.starts
 
 
 VALID_STATE = msgspec.json.decode(msgspec.json.encode(ProcessState(1, 5, entries(1), ["n0"], {}, {}, 1.0)))
@@ -126,89 +126,89 @@
     ],
 )  # fmt: skip
 def test_a_new_process_starts_once_and_in_time_whatever_state_it_receives(tmp_path, text):
-    new = starting(tmp_path)
+    new = start_new_process(tmp_path)
     connection = state_client(new)
     connection.dataReceived(text)
     connection.connectionLost(Failure(ConnectionDone()))
     new.reactor.advance(1)
-    assert len(new.begun) == 1
+    assert len(new.starts) == 1
     assert all(server.name == "n0" for server in new.balancer.placement.slots)
 
 
 def test_an_old_process_that_hangs_is_waited_for_half_a_second(tmp_path):
-    new = starting(tmp_path)
+    new = start_new_process(tmp_path)
     state_client(new)
     new.reactor.advance(0.49)
-    assert not new.begun
+    assert not new.starts
     new.reactor.advance(0.02)
     # The old process still runs, so the limits stay halved.
-    assert len(new.begun) == 1 and new.server_pools.max_connections == new.process_limits[0] // 6
+    assert len(new.starts) == 1 and new.server_pools.max_connections == new.process_limits[0] // 6
 
 
 def test_a_killed_processs_socket_is_removed_and_without_a_socket_the_start_does_not_wait(tmp_path):
-    new = starting(tmp_path)
+    new = start_new_process(tmp_path)
     factory = new.reactor.unixClients[-1][1]
     factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert len(new.begun) == 1 and not [*tmp_path.glob("*.sock")]
-    assert len(starting(tmp_path, leftover=False).begun) == 1
+    assert len(new.starts) == 1 and not [*tmp_path.glob("*.sock")]
+    assert len(start_new_process(tmp_path, leftover=False).starts) == 1
 
 
 def test_without_an_inherited_socket_there_is_no_hot_restart():
     # Large deployments have no Unix sockets.
-    made = proxy()
-    made.endpoint_watch.request_watch = lambda: None
-    made.start()
-    assert not made.reactor.unixClients and not made.reactor.unixServers and made.port is not None
+    instance = proxy()
+    instance.endpoint_watch.request_watch = lambda: None
+    instance.start()
+    assert not instance.reactor.unixClients and not instance.reactor.unixServers and instance.port is not None
 
 
 def test_two_processes_together_stay_within_the_limits_of_one():
-    made = proxy()
-    pools = made.server_pools
+    instance = proxy()
+    pools = instance.server_pools
     full_limits = (
         pools.max_connections,
-        made.client_server.max_connections,
-        made.client_server.max_value_bytes,
+        instance.client_server.max_connections,
+        instance.client_server.max_value_bytes,
         pools.relay_memory,
     )
-    made.client_server.max_connections = 100
-    clients = answered(made, 100)
+    instance.client_server.max_connections = 100
+    clients = answered(instance, 100)
     for number, connection in enumerate(clients[:4]):
         connection.dataReceived(get(b"%d" % number))
-    links = [link(made, number) for number in range(4)]
+    links = [link(instance, number) for number in range(4)]
     for server_connection in links:
         server_connection.dataReceived(hit())
-    made.process_limits = 64, made.process_limits[1]
-    other_process = connect_to(made)
+    instance.process_limits = 64, instance.process_limits[1]
+    other_process = connect_to(instance)
     assert (
         pools.max_connections,
-        made.client_server.max_connections,
-        made.client_server.max_value_bytes,
+        instance.client_server.max_connections,
+        instance.client_server.max_value_bytes,
     ) == (10, 8, full_limits[2] // 2)
     counts = []
     for _ in range(30):
-        made.reactor.advance(0.02)
+        instance.reactor.advance(0.02)
         counts.append(len(still_open(clients)))
         for connection in clients:
-            if connection.transport.disconnecting and connection.slot in made.client_server.connections:
+            if connection.transport.disconnecting and connection.slot in instance.client_server.connections:
                 connection.connectionLost(Failure(ConnectionDone()))
     assert counts[-1] == 8 and max(a - b for a, b in zip(counts, counts[1:], strict=False)) <= 8
-    made.process_limits = made.configuration.descriptors, made.configuration.memory_bytes
+    instance.process_limits = instance.configuration.descriptors, instance.configuration.memory_bytes
     other_process.connectionLost(Failure(ConnectionDone()))
     assert (
         pools.max_connections,
-        made.client_server.max_connections,
-        made.client_server.max_value_bytes,
+        instance.client_server.max_connections,
+        instance.client_server.max_value_bytes,
         pools.relay_memory,
     ) == full_limits
 
 
 def test_idle_server_connections_beyond_the_halved_limit_are_closed():
-    made = proxy()
-    clients = [client(made) for _ in range(4)]
+    instance = proxy()
+    clients = [client(instance) for _ in range(4)]
     for number, connection in enumerate(clients):
         connection.dataReceived(get(b"%d" % number))
-    links = [link(made, number) for number in range(4)]
+    links = [link(instance, number) for number in range(4)]
     for server_connection in links:
         server_connection.dataReceived(hit())
-    made.server_pools.set_limits(6, 1 << 20)
+    instance.server_pools.set_limits(6, 1 << 20)
     assert [server_connection.code for server_connection in links].count("no-room") == 2
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,33 +10,33 @@
 PING = encode_command(b"PING")
 
 
-def serving(count=1):
-    made = proxy(count)
-    made.endpoint_watch.request_watch = lambda: None
-    made.start()
-    return made
+def start_proxy(count=1):
+    instance = proxy(count)
+    instance.endpoint_watch.request_watch = lambda: None
+    instance.start()
+    return instance
 
 
-def admin_connection(made):
-    channel = made.admin.buildProtocol(None)
+def admin_connection(instance):
+    channel = instance.admin.buildProtocol(None)
     channel.makeConnection(Transport())
     return channel
 
 
-def ask(made, call):
+def admin_status(instance, call):
     """Send an admin request; return the status of the response."""
-    channel = admin_connection(made)
+    channel = admin_connection(instance)
     channel.dataReceived(call.encode() + b" HTTP/1.1\r\nHost: x\r\n\r\n")
     assert channel.transport.disconnecting  # one request per connection
     channel.connectionLost(Failure(ConnectionDone()))
     return int(channel.transport.value().split()[1])
 
 
-def answered(made, count):
+def answered(instance, count):
     """Return idle connections of clients that have received an answer, the longest idle first."""
     clients = []
     for _ in range(count):
-        clients.append(client(made))
+        clients.append(client(instance))
         clients[-1].dataReceived(PING)
         clients[-1].transport.clear()
     return clients
@@ -47,58 +47,69 @@
 
 
 def test_readiness_is_200_exactly_while_clients_are_accepted():
-    made = proxy(0)
-    made.endpoint_watch.request_watch = lambda: None
-    assert ask(made, "GET /_ready") == 503  # not started
-    made.start()
-    assert ask(made, "GET /_ready") == 503  # no server is ready
-    made.endpoints.update(entries(1), True)
-    assert ask(made, "GET /_ready") == 200
-    assert ask(made, "POST /_lameduck/on") == 200 and ask(made, "GET /_ready") == 503
-    assert ask(made, "POST /_lameduck/on") == 200  # a repeated call has no effect
-    assert ask(made, "POST /_lameduck/off") == 200 and ask(made, "GET /_ready") == 200
-    assert ask(made, "POST /_lameduck/off") == 200
-    made.terminate()
-    assert ask(made, "GET /_ready") == 503 and ask(made, "POST /_lameduck/off") == 409
-    assert ask(made, "POST /_lameduck/on") == 200 and made.client_server.drain.code == "stopping"
+    instance = proxy(0)
+    instance.endpoint_watch.request_watch = lambda: None
+    assert admin_status(instance, "GET /_ready") == 503  # not started
+    instance.start()
+    assert admin_status(instance, "GET /_ready") == 503  # no server is ready
+    instance.endpoints.update(entries(1), True)
+    assert admin_status(instance, "GET /_ready") == 200
+    assert (
+        admin_status(instance, "POST /_lameduck/on") == 200 and admin_status(instance, "GET /_ready") == 503
+    )
+    assert admin_status(instance, "POST /_lameduck/on") == 200  # a repeated call has no effect
+    assert (
+        admin_status(instance, "POST /_lameduck/off") == 200 and admin_status(instance, "GET /_ready") == 200
+    )
+    assert admin_status(instance, "POST /_lameduck/off") == 200
+    instance.terminate()
+    assert (
+        admin_status(instance, "GET /_ready") == 503 and admin_status(instance, "POST /_lameduck/off") == 409
+    )
+    assert (
+        admin_status(instance, "POST /_lameduck/on") == 200
+        and instance.client_server.drain.code == "stopping"
+    )
 
 
 def test_invalid_admin_requests_are_rejected_and_change_nothing():
-    made = serving()
-    assert ask(made, "GET /") == 404 and ask(made, "POST /_ready") == 405
-    assert ask(made, "GET /_lameduck/on") == 405 and ask(made, "nonsense") == 400
-    too_long = admin_connection(made)
+    instance = start_proxy()
+    assert admin_status(instance, "GET /") == 404 and admin_status(instance, "POST /_ready") == 405
+    assert admin_status(instance, "GET /_lameduck/on") == 405 and admin_status(instance, "nonsense") == 400
+    too_long = admin_connection(instance)
     head = b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"
     too_long.dataReceived(head + b"x" * (MAX_BODY_BYTES + 1))
-    endless = admin_connection(made)
+    endless = admin_connection(instance)
     endless.dataReceived(b"GET /_ready HTTP/1.1\r\n" + b"A: b\r\n" * 5_000)
     assert (
         too_long.transport.disconnected
         and endless.transport.disconnecting
-        and not made.client_server.drain.code
+        and not instance.client_server.drain.code
     )
 
 
 def test_incomplete_admin_requests_do_not_block_others():
     # More connections with an incomplete request than may be open at once must not lock the operators out.
-    made = serving()
-    incomplete = [admin_connection(made) for _ in range(3 * AdminServer.MAX_CONNECTIONS)]
+    instance = start_proxy()
+    incomplete = [admin_connection(instance) for _ in range(3 * AdminServer.MAX_CONNECTIONS)]
     for channel in incomplete:
         channel.dataReceived(b"GET /_ready HT")
-    assert ask(made, "GET /_ready") == 200
-    assert len(made.admin.channels) <= AdminServer.MAX_CONNECTIONS and incomplete[0].transport.disconnected
+    assert admin_status(instance, "GET /_ready") == 200
+    assert (
+        len(instance.admin.channels) <= AdminServer.MAX_CONNECTIONS and incomplete[0].transport.disconnected
+    )
     assert not incomplete[-1].transport.disconnected
-    made.reactor.advance(AdminServer.REQUEST_TIMEOUT / S)
+    instance.reactor.advance(AdminServer.REQUEST_TIMEOUT / S)
     assert all(channel.transport.disconnected for channel in incomplete)
 
 
 def test_a_drain_closes_idle_clients_in_batches_the_longest_idle_first():
-    made = serving()
-    clients = answered(made, 100)
-    ask(made, "POST /_lameduck/on")
+    instance = start_proxy()
+    clients = answered(instance, 100)
+    admin_status(instance, "POST /_lameduck/on")
     counts = []
     for _ in range(60):
-        made.reactor.advance(0.02)
+        instance.reactor.advance(0.02)
         counts.append(len(still_open(clients)))
         assert still_open(clients) == clients[100 - counts[-1] :]
     assert counts[5] > 80 and counts[-1] == 0
@@ -106,82 +117,82 @@
 
 
 def test_a_drain_closes_a_busy_connection_after_its_answer_and_refuses_ping():
-    made = serving()
-    busy, unused = client(made), client(made)
+    instance = start_proxy()
+    busy, unused = client(instance), client(instance)
     busy.dataReceived(get(b"1", fields=b"c=read,d=900"))
-    server_connection = link(made)
-    ask(made, "POST /_lameduck/on")
-    made.reactor.pump([0.02] * 20)
+    server_connection = link(instance)
+    admin_status(instance, "POST /_lameduck/on")
+    instance.reactor.pump([0.02] * 20)
     assert not busy.transport.disconnecting
     server_connection.dataReceived(hit())
     assert busy.transport.took() == b"$1\r\nv\r\n" and busy.transport.disconnecting and busy.code == "drained"
-    new = client(made)  # new connections may still arrive: they are served, then closed
+    new = client(instance)  # new connections may still arrive: they are served, then closed
     new.dataReceived(PING)
     assert new.transport.took() == b"-ERR draining\r\n" and new.transport.disconnecting
     assert unused.transport.disconnecting  # has sent nothing
 
 
 def test_pipelined_commands_are_all_answered_before_a_drain_closes_the_connection():
-    made = serving()
-    connection = client(made)
-    ask(made, "POST /_lameduck/on")
+    instance = start_proxy()
+    connection = client(instance)
+    admin_status(instance, "POST /_lameduck/on")
     connection.dataReceived(PING + get(b"1") + PING)
-    link(made).dataReceived(hit())
+    link(instance).dataReceived(hit())
     assert connection.transport.took() == b"-ERR draining\r\n$1\r\nv\r\n-ERR draining\r\n"
     assert connection.transport.disconnecting
 
 
 def test_a_request_that_crosses_the_close_of_a_drain_is_served():
-    made = serving()
-    connection = answered(made, 1)[0]
+    instance = start_proxy()
+    connection = answered(instance, 1)[0]
     batches = []
-    made.client_server.drain.close_batch = lambda *arguments: batches.append(arguments)
-    ask(made, "POST /_lameduck/on")
-    made.reactor.pump([0.02] * 60)
+    instance.client_server.drain.close_batch = lambda *arguments: batches.append(arguments)
+    admin_status(instance, "POST /_lameduck/on")
+    instance.reactor.pump([0.02] * 60)
     connection.dataReceived(get(fields=b"c=read,d=900"))  # after it was put in a batch, before it is closed
-    del made.client_server.drain.close_batch
+    del instance.client_server.drain.close_batch
     for arguments in batches:
-        made.client_server.drain.close_batch(*arguments)
+        instance.client_server.drain.close_batch(*arguments)
     assert batches and not connection.transport.disconnecting
-    link(made).dataReceived(hit())
+    link(instance).dataReceived(hit())
     assert connection.transport.took() == b"$1\r\nv\r\n" and connection.transport.disconnecting
 
 
 def test_ending_a_drain_keeps_the_remaining_clients_and_answers_ping():
-    made = serving()
-    clients = answered(made, 50)
-    ask(made, "POST /_lameduck/on")
-    made.reactor.pump([0.02] * 10)
+    instance = start_proxy()
+    clients = answered(instance, 50)
+    admin_status(instance, "POST /_lameduck/on")
+    instance.reactor.pump([0.02] * 10)
     remaining = len(still_open(clients))
-    ask(made, "POST /_lameduck/off")
-    made.reactor.pump([0.02] * 100)
+    admin_status(instance, "POST /_lameduck/off")
+    instance.reactor.pump([0.02] * 100)
     assert 0 < remaining == len(still_open(clients)) < 50
     clients[-1].dataReceived(PING)
     assert clients[-1].transport.took() == b"+PONG\r\n" and not clients[-1].transport.disconnecting
     for _ in range(3):  # repeated drains that are ended at once close nothing
-        ask(made, "POST /_lameduck/on"), ask(made, "POST /_lameduck/off")
-    made.reactor.pump([0.02] * 100)
+        admin_status(instance, "POST /_lameduck/on"), admin_status(instance, "POST /_lameduck/off")
+    instance.reactor.pump([0.02] * 100)
     assert len(still_open(clients)) == remaining
 
 
 def test_a_drain_closes_idle_connections_and_those_with_a_partial_command():
-    made = serving()
-    idle, partial, other_partial = answered(made, 3)
+    instance = start_proxy()
+    idle, partial, other_partial = answered(instance, 3)
     for connection in (partial, other_partial):
         connection.dataReceived(get()[:-4])
-    ask(made, "POST /_lameduck/on")
-    made.reactor.pump([0.1] * 21)
+    admin_status(instance, "POST /_lameduck/on")
+    instance.reactor.pump([0.1] * 21)
     assert all(connection.transport.disconnecting for connection in (idle, partial, other_partial))
 
 
 def test_sigterm_closes_idle_clients_in_batches_too():
-    made = serving()
-    clients = answered(made, 50)
-    made.terminate()
-    made.terminate()  # a second call has no effect
+    instance = start_proxy()
+    clients = answered(instance, 50)
+    instance.terminate()
+    instance.terminate()  # a second call has no effect
     counts = []
     for _ in range(30):
-        made.reactor.advance(0.02)
+        instance.reactor.advance(0.02)
         counts.append(len(still_open(clients)))
     assert counts[-1] == 0 and counts[5] > 25 and {connection.code for connection in clients} == {"stopping"}
 
@@ -189,11 +200,11 @@
 def test_no_request_is_admitted_that_sigkill_could_interrupt():
     # SIGKILL comes 0.7 s after the longest deadline, so a request admitted later than 0.7 s after SIGTERM
     # could still be active then.
-    made = serving()
-    slow = client(made)
+    instance = start_proxy()
+    slow = client(instance)
     slow.dataReceived(get()[:-4])
-    made.terminate()
-    made.reactor.pump([0.02] * 34)
+    instance.terminate()
+    instance.reactor.pump([0.02] * 34)
     assert not slow.transport.disconnecting
-    made.reactor.pump([0.02] * 3)
+    instance.reactor.pump([0.02] * 3)
     assert slow.transport.disconnecting and slow.commands_received == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,12 +19,12 @@
 
 def test_continuous_requests_are_served_through_two_upgrades(platform):
     node = Node(0.002)
-    at = platform(node)
-    old = at.start()
-    clients = [Client(at.address, b"%c" % letter) for letter in b"abcdefgh"]
+    launcher = platform(node)
+    old = launcher.start()
+    clients = [Client(launcher.address, b"%c" % letter) for letter in b"abcdefgh"]
     try:
         for _ in range(2):
-            new = at.start()
+            new = launcher.start()
             time.sleep(0.1)  # both processes serve
             old.send_signal(signal.SIGTERM)
             code, log = wait_for_exit(old)
@@ -46,10 +46,10 @@
 
 
 def test_a_new_process_that_cannot_start_leaves_the_old_one_serving(platform):
-    at = platform(Node())
-    at.start()
-    assert wait_for_exit(at.start(settings=5))[0] == 2
-    client = Client(at.address, b"x")
+    launcher = platform(Node())
+    launcher.start()
+    assert wait_for_exit(launcher.start(settings=5))[0] == 2
+    client = Client(launcher.address, b"x")
     time.sleep(0.2)
     client.on = False
     client.join()
@@ -72,24 +72,24 @@
 
 def test_the_old_process_answers_its_active_requests_before_it_ends(platform):
     node = Node(0.5)
-    at = platform(node)
-    old = at.start()
-    with socket.create_connection(at.address, timeout=10) as client:
+    launcher = platform(node)
+    old = launcher.start()
+    with socket.create_connection(launcher.address, timeout=10) as client:
         client.sendall(b"*4\r\n$7\r\nOBJ.GET\r\n$2\r\n7f\r\n$2\r\nid\r\n$11\r\nc=pay,d=900\r\n")
         while not node.ids:
             time.sleep(0.01)
-        at.start()
+        launcher.start()
         old.send_signal(signal.SIGTERM)
         assert client.recv(100) == b"$2\r\nid\r\n" and client.recv(100) == b""
     assert wait_for_exit(old)[0] == 0 and node.ids == [b"id"]
 
 
 def test_the_new_process_binds_the_gossip_address_after_the_old_one_ends(platform):
-    at = platform(Node())
+    launcher = platform(Node())
     gossip_address = f"127.0.0.1:{free_port()}"
-    old = at.start(peer_listen=gossip_address, peers=[gossip_address])
+    old = launcher.start(peer_listen=gossip_address, peers=[gossip_address])
     # Serves although the gossip address is in use.
-    new = at.start(peer_listen=gossip_address, peers=[gossip_address])
+    new = launcher.start(peer_listen=gossip_address, peers=[gossip_address])
     old.send_signal(signal.SIGTERM)
     assert wait_for_exit(old)[0] == 0
     host, port = gossip_address.split(":")
@@ -104,10 +104,10 @@
 
 
 def test_the_new_process_imports_the_slot_order_and_restores_its_limits_when_the_old_one_is_killed(platform):
-    at = platform(Node(), Node(), Node())
-    old = at.start()
-    new = at.start()
-    client = Client(at.address, b"x")
+    launcher = platform(Node(), Node(), Node())
+    old = launcher.start()
+    new = launcher.start()
+    client = Client(launcher.address, b"x")
     time.sleep(0.2)
     old.kill()  # SIGKILL during the hot restart
     time.sleep(0.3)
@@ -119,6 +119,6 @@
     code, log = wait_for_exit(new)
     assert code == 0 and b"hot restart: state imported generation=1 slots=3" in log
     assert log.index(b"other_process=True") < log.index(b"other_process=False")
-    third = at.start()  # finds the socket that the killed process left behind
+    third = launcher.start()  # finds the socket that the killed process left behind
     third.send_signal(signal.SIGTERM)
-    assert wait_for_exit(third)[0] == 0 and not [*(at.folder / "tmp").glob("*.sock")]
+    assert wait_for_exit(third)[0] == 0 and not [*(launcher.folder / "tmp").glob("*.sock")]
