--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -30,7 +30,7 @@
 MAX_REQUEST_BYTES = 64  # the old process expects no request
 SOCKET_DIGEST_BYTES = 4
 CONNECT_TIMEOUT_SECONDS = 1
-SOCKET_MODE = 0o600  # the proxy's own user
+SOCKET_MODE = 0o600  # accessible to the proxy's user only
 
 StateCallback = Callable[[ProcessState | None], None]
 
@@ -176,7 +176,7 @@
         digest = blake2b(repr(listen_address).encode(), digest_size=SOCKET_DIGEST_BYTES)
         self.socket_prefix = "ivystack-" + digest.hexdigest()
         self.connections: dict[LineReceiver, None] = {}  # to other processes
-        self.untried_sockets: list[Path] = []  # sockets of old processes that were not tried yet, newest last
+        self.untried_sockets: list[Path] = []  # sockets of old processes, newest last
         self.on_state: StateCallback | None = None  # None once it has been called
         self.timeout: Deadline | None = None
 
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -288,9 +288,8 @@
         longest_timeout = min(self.MAX_CLIENT_TIMEOUT_US, self.settings.longest_wait())
         time_left = longest_timeout + self.KILL_DELAY_US - self.STALL_ALLOWANCE_US
         self.request_handler.answer_by = self.now() + time_left
-        inherited = (
-            self.configuration.inherited_descriptor is not None
-        )  # another process accepts there or will
+        # Another process accepts on an inherited port, or will.
+        inherited = self.configuration.inherited_descriptor is not None
         logger.info("graceful shutdown started requests={}", len(self.request_handler.requests))
         self.client_server.drain.start(
             "stopping",
@@ -317,7 +316,7 @@
         port.stopReading()
         if self.configuration.inherited_descriptor is None:
             port.accept_waiting(max(ClientListener.ACCEPTS_PER_TURN, self.client_server.available_capacity()))
-        port.connectionLost(Failure(ConnectionDone()))  # now: more clients could connect before a later turn
+        port.connectionLost(Failure(ConnectionDone()))  # at once: later, more clients would have connected
 
     def _stop_when_idle(self) -> None:
         if self.request_handler.requests or self.client_server.connections:
