--- a/ivystack/net/server_pool.py
+++ b/ivystack/net/server_pool.py
@@ -30,8 +30,8 @@
         self.name, self.address = name, address
         self.is_ready = True  # according to the endpoint list
         self.consecutive_losses = 0  # connections lost in a row with attempts in flight
-        # The connection that has been idle longest is used first.  This keeps all of them in use, and a close by
-        # the server that crosses an attempt mostly comes right after an answer.
+        # The connection that has been idle longest is used first.  This keeps all of them in use, and a close
+        # by the server that crosses an attempt mostly comes right after an answer.
         self.idle: deque[ServerConnection] = deque()
         self.waiting: deque[InFlightAttempt] = deque()
         self.connections: dict[ServerConnection, None] = {}  # in every state, oldest first
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -31,9 +31,9 @@
     """Start proxies on real sockets with a controlled clock, and stop them at the end of the test."""
     harnesses = []
 
-    def start(*nodes, begun=True, **more):
+    def start(*nodes, started=True, **more):
         harnesses.append(Moment(**more))
-        return harnesses[-1].start(*nodes) if begun else harnesses[-1]
+        return harnesses[-1].start(*nodes) if started else harnesses[-1]
 
     yield start
     for harness in harnesses:
@@ -157,7 +157,7 @@
     # The server accepts the connection only after the client has disconnected.
     node = Node("n0")
     node.door.listen(0)
-    harness = start_proxy(begun=False)
+    harness = start_proxy(started=False)
     harness.run.connect_timeout_us = harness.proxy.server_pools.connect_timeout = 1 << 40
     fillers = []
     for _ in range(4):  # these fill the server's backlog, so that further connections are not established
@@ -228,9 +228,12 @@
     # Guards against a port that is never closed: the old process's state arrives after SIGTERM, when no port
     # was open yet.
     listener = socket.create_server(("127.0.0.1", 0))
-    run = told()
-    run.inherited_descriptor, run.restart_folder = os.dup(listener.fileno()), str(tmp_path)
-    harness = start_proxy(run=run, begun=False)
+    configuration = told()
+    configuration.inherited_descriptor, configuration.restart_folder = (
+        os.dup(listener.fileno()),
+        str(tmp_path),
+    )
+    harness = start_proxy(run=configuration, started=False)
     old = socket.socket(socket.AF_UNIX)
     old.bind(str(tmp_path / f"{harness.proxy.hot_restart.socket_prefix}-1.sock"))
     old.listen()
@@ -242,11 +245,11 @@
     assert harness.proxy.port is None and not harness.proxy.started
     harness.pass_by(1)
     assert harness.loop.stopped
-    os.close(run.inherited_descriptor)
+    os.close(configuration.inherited_descriptor)
 
 
 def test_a_second_sigterm_has_no_effect_while_an_attempt_is_unanswered(start_proxy):
-    # The proxy waits for a request that can't be retried until its deadline, and answers it once.
+    # The proxy waits for a request that can't be retried, up to its deadline, and answers it once.
     node = Node("n0")
     harness = start_proxy(node)
     client = harness.client()
