--- a/ivystack/net/endpoint_watch.py
+++ b/ivystack/net/endpoint_watch.py
@@ -32,7 +32,7 @@
     """The result of applying an update."""
 
     all_valid: bool
-    has_new_faults: bool  # some invalid entry was not seen before
+    has_new_invalid_entry: bool  # one that was not seen before
 
 
 UpdateCallback = Callable[[list[dict], bool], UpdateResult]
@@ -101,7 +101,7 @@
         self.state = WatchState.WAITING
         self.generation = 0
         self.is_incomplete = False  # an entry has been invalid since the last complete list
-        self.call: Deferred[IResponse] | None = None  # while requesting
+        self.pending_request: Deferred[IResponse] | None = None  # while requesting
         self.body: WatchLines | None = None  # while streaming
         self.last_activity_at = now()  # when the last line was received, or the last request was sent
         self.silence_timeout: Deadline | None = None
@@ -124,12 +124,12 @@
             self.next_request.cancel()
         since = 0 if self.is_incomplete else self.generation
         host, port = self.address
-        self.note_activity()
-        call = self.call = self.agent.request(b"GET", PATH % (host.encode(), port, since))
+        self.record_activity()
+        request = self.pending_request = self.agent.request(b"GET", PATH % (host.encode(), port, since))
         self.state = WatchState.REQUESTING
-        call.addCallbacks(self._response_begun, self._request_failed, (call,), errbackArgs=(call,))
+        request.addCallbacks(self._response_begun, self._request_failed, (request,), errbackArgs=(request,))
 
-    def note_activity(self) -> None:
+    def record_activity(self) -> None:
         """Restart the silence timeout, which detects a host that vanished without closing the connection."""
         if self.silence_timeout is not None:
             self.silence_timeout.cancel()
@@ -139,11 +139,11 @@
 
     def line_received(self, line: bytes) -> None:
         """Handle a line of the stream; end the connection if the line is invalid."""
-        self.note_activity()
+        self.record_activity()
         if not line.strip():
             return
         try:
-            has_new_faults = self.apply_listing(orjson.loads(line))
+            has_new_invalid_entry = self.apply_listing(orjson.loads(line))
         except Exception as error:  # any error: the watch is requested again
             logger.error(
                 "discovery: invalid line, the watch is requested again: {}: {}", type(error).__name__, error
@@ -151,7 +151,7 @@
             self.connection_broke("unreadable")
             return
         self.backoff.failures = 0
-        if has_new_faults:  # request again, in case the entry was damaged in transit
+        if has_new_invalid_entry:  # request again, in case the entry was damaged in transit
             self.connection_broke("unusable-entry")
 
     def apply_listing(self, listing: dict) -> bool:
@@ -160,10 +160,10 @@
         :raises KeyError, TypeError, ValueError: if the listing has the wrong format.
         """
         generation, is_complete = int(listing["generation"]), bool(listing.get("reset"))
-        all_valid, has_new_faults = self.on_update(listing["instances"], is_complete)
+        all_valid, has_new_invalid_entry = self.on_update(listing["instances"], is_complete)
         self.is_incomplete = not all_valid or (self.is_incomplete and not is_complete)
         self.generation = generation
-        return has_new_faults
+        return has_new_invalid_entry
 
     def connection_broke(self, code: str) -> None:
         """End the request or stream, if there is one, and schedule the next request unless stopped."""
@@ -171,9 +171,9 @@
             self.silence_timeout.cancel()
         if self.state is not WatchState.STOPPED:
             self.state = WatchState.WAITING
-        call, self.call = self.call, None
-        if call is not None:
-            call.cancel()
+        request, self.pending_request = self.pending_request, None
+        if request is not None:
+            request.cancel()
         body, self.body = self.body, None
         if body is not None and body.transport is not None:
             body.transport.loseConnection()
@@ -199,17 +199,17 @@
         if is_open:
             self.connection_broke("stopping")
 
-    def _response_begun(self, response: Any, call: Deferred[IResponse]) -> None:
-        body, is_current = WatchLines(self), call is self.call
+    def _response_begun(self, response: Any, request: Deferred[IResponse]) -> None:
+        body, is_current = WatchLines(self), request is self.pending_request
         if is_current:  # set first, because `deliverBody` delivers received data at once
-            self.call, self.body, self.state = None, body, WatchState.STREAMING
+            self.pending_request, self.body, self.state = None, body, WatchState.STREAMING
         response.deliverBody(body)
         if not is_current:
             body.transport.loseConnection()
         elif response.code != STATUS_OK and self.body is body:
             self.connection_broke(f"status-{response.code}")
 
-    def _request_failed(self, reason: Failure, call: Deferred[IResponse]) -> None:
-        if call is self.call:
+    def _request_failed(self, reason: Failure, request: Deferred[IResponse]) -> None:
+        if request is self.pending_request:
             is_refused = reason.check(ConnectError)
             self.connection_broke("refused" if is_refused else type(reason.value).__name__)
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -73,7 +73,7 @@
         self.cache_aside = settings.cache_aside
 
     def set_limits(self, sockets: int, relay_memory: int) -> None:
-        """Set the process's sockets, and the bytes of memory for long values that are being forwarded."""
+        """Set the socket limit of the whole process, and the memory in bytes for forwarding long values."""
         self.max_connections, self.relay_memory = sockets // self.SOCKETS_PER_CONNECTION, relay_memory
         excess = max(0, len(self.connections) - self.max_connections)
         self._close_idle([*islice(self.idle_connections, excess)], "no-room")
@@ -102,7 +102,7 @@
     def set_ready(self, name: str, is_ready: bool) -> None:
         """Set whether a server accepts new attempts; if not, close its idle connections.
 
-        A draining server has a short grace period, and some wait until their connections are closed.
+        A draining server has a short grace period, and some servers wait for their connections to end.
         """
         pool = self.pools.get(name)
         if pool is None:
@@ -134,7 +134,7 @@
 
     def _close_idle(self, connections: Iterable[ServerConnection], code: str) -> None:
         for connection in connections:
-            self._take_from_idle(connection)
+            self._remove_from_idle(connection)
             connection.close(code)
 
     def _return_waiting_attempts(self, pool: ServerPool) -> None:
@@ -146,21 +146,23 @@
     def send(self, in_flight: InFlightAttempt, server: str, timeout_at: int) -> None:
         """Send an attempt on a connection to the server, or queue it until there is one."""
         pool = in_flight.pool = self.pools[server]
-        in_flight.deadlines.append(self.deadlines.call_at(timeout_at, self._time_out, in_flight))
+        in_flight.deadlines.append(self.deadlines.call_at(timeout_at, self._attempt_timed_out, in_flight))
         connection = self._idle_connection(pool) or self._pipelined_connection(pool, in_flight, timeout_at)
         if connection is not None:
             connection.send_attempt(in_flight)
             return
         pool.waiting.append(in_flight)
         connect_by = min(timeout_at, self.now() + self.connect_timeout, in_flight.attempt.send_by)
-        in_flight.deadlines.append(self.deadlines.call_at(connect_by, self._not_connected, in_flight))
+        in_flight.deadlines.append(
+            self.deadlines.call_at(connect_by, self._connection_wait_expired, in_flight)
+        )
         self._open_connection(pool)
 
     def _idle_connection(self, pool: ServerPool) -> ServerConnection | None:
         """Take the connection of a pool that has been idle longest, and skip those that are closing."""
         while pool.idle:
             connection = pool.idle[0]
-            self._take_from_idle(connection)
+            self._remove_from_idle(connection)
             if connection.accepts_attempts:
                 return connection
         return None
@@ -171,7 +173,7 @@
         """Return a connection on which to pipeline the attempt; None if it has to wait for another.
 
         An attempt with an early `send_by` is never pipelined: whatever delays the attempts before it would
-        delay it too, in our socket or the server's, so that it could begin too late.
+        delay it too, in this process's socket or the server's, so that it could begin too late.
         """
         fair_share = max(2, self.max_connections // len(self.pools))  # so that every server gets connections
         if len(pool.connections) < min(self.PIPELINE_FROM, fair_share) or self.max_in_flight <= 1:
@@ -187,8 +189,8 @@
         At the limit for all servers, close the connection that has been idle longest instead; once that is
         closed, one is opened for this pool.
         """
-        is_enough = len(pool.connecting) >= len(pool.waiting)
-        if is_enough or len(pool.connections) >= self.MAX_CONNECTIONS_PER_SERVER:
+        enough_connecting = len(pool.connecting) >= len(pool.waiting)
+        if enough_connecting or len(pool.connections) >= self.MAX_CONNECTIONS_PER_SERVER:
             return
         if len(self.connections) >= self.max_connections:
             self._close_idle([*islice(self.idle_connections, 1)], "no-room")
@@ -211,7 +213,7 @@
     def restart_timeout(self, in_flight: InFlightAttempt, timeout_at: int) -> None:
         """Restart the timeout of an attempt after the last byte of its long write was sent."""
         in_flight.cancel_deadlines()
-        in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._time_out, in_flight)]
+        in_flight.deadlines = [self.deadlines.call_at(timeout_at, self._attempt_timed_out, in_flight)]
 
     def finish(
         self, in_flight: InFlightAttempt, outcome: Outcome, value: bytes | ResponseStream | None = None
@@ -239,17 +241,17 @@
                 self.finish(in_flight, outcome)
                 outcome = Outcome.CANCELLED
 
-    def _time_out(self, in_flight: InFlightAttempt) -> None:
+    def _attempt_timed_out(self, in_flight: InFlightAttempt) -> None:
         self._abandon(in_flight, Outcome.TIMED_OUT)
 
-    def _not_connected(self, in_flight: InFlightAttempt) -> None:
+    def _connection_wait_expired(self, in_flight: InFlightAttempt) -> None:
         if in_flight.connection is not None:
             return
         if self.now() >= in_flight.attempt.send_by:
             self.finish(in_flight, Outcome.NOT_SENT)
         elif in_flight.pool.connecting:
             self.finish(in_flight, Outcome.CONNECTION_REFUSED)
-        else:  # reported as overload of the server, although our own limit of connections is the cause
+        else:  # reported as overload of the server, although this process's connection limit is the cause
             self.finish(in_flight, Outcome.OVERLOADED)
 
     def _abandon(self, in_flight: InFlightAttempt, outcome: Outcome) -> None:
@@ -325,7 +327,7 @@
     def connection_lost(self, connection: ServerConnection, code: str) -> None:
         """Handle the end of a connection, or a failure to open it; `code` is the reason."""
         pool = connection.pool
-        self._take_from_idle(connection)
+        self._remove_from_idle(connection)
         self.relays.pop(connection, None)
         pool.connections.pop(connection, None)
         pool.connecting.pop(connection, None)
@@ -366,7 +368,7 @@
         kept_alive = connection.was_kept_alive
         self.finish_all(connection, Outcome.CANCELLED if kept_alive else Outcome.CONNECTION_LOST)
 
-    def _take_from_idle(self, connection: ServerConnection) -> None:
+    def _remove_from_idle(self, connection: ServerConnection) -> None:
         """Remove a connection from the idle ones if it is idle, and cancel its timeout."""
         if connection in self.idle_connections:
             del self.idle_connections[connection]
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -400,7 +400,7 @@
     tested_proxy.port = None
     with pytest.raises(ZeroDivisionError):
         terminate(tested_proxy, type("FleetServices", (), {"prepare_shutdown": lambda self: 1 / 0})())
-    assert tested_proxy.ending
+    assert tested_proxy.is_stopping
 
 
 def test_a_listening_address_in_use_is_logged_once_and_retried(log_lines):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -31,9 +31,9 @@
     """Start proxies on real sockets with a controlled clock, and stop them at the end of the test."""
     harnesses = []
 
-    def start(*nodes, begun=True, **more):
+    def start(*nodes, started=True, **more):
         harnesses.append(ProxyHarness(**more))
-        return harnesses[-1].start(*nodes) if begun else harnesses[-1]
+        return harnesses[-1].start(*nodes) if started else harnesses[-1]
 
     yield start
     for harness in harnesses:
@@ -163,7 +163,7 @@
     # The server accepts the connection only after the client has disconnected.
     node = CacheServer("n0")
     node.listener.listen(0)
-    harness = start_proxy(begun=False)
+    harness = start_proxy(started=False)
     harness.run.connect_timeout_us = harness.proxy.server_pools.connect_timeout = 1 << 40
     fillers = []
     for _ in range(4):  # these fill the server's backlog, so that further connections are not established
@@ -234,11 +234,14 @@
     # Guards against a port that is never closed: the old process's state arrives after SIGTERM, when no port
     # was open yet.
     listener = socket.create_server(("127.0.0.1", 0))
-    run = make_process_configuration()
-    run.inherited_descriptor, run.restart_folder = os.dup(listener.fileno()), str(tmp_path)
-    harness = start_proxy(run=run, begun=False)
+    configuration = make_process_configuration()
+    configuration.inherited_descriptor, configuration.restart_folder = (
+        os.dup(listener.fileno()),
+        str(tmp_path),
+    )
+    harness = start_proxy(run=configuration, started=False)
     old = socket.socket(socket.AF_UNIX)
-    old.bind(str(tmp_path / f"{harness.proxy.hot_restart.tag}-1.sock"))
+    old.bind(str(tmp_path / f"{harness.proxy.hot_restart.socket_prefix}-1.sock"))
     old.listen()
     harness.start()
     connection = old.accept()[0]
@@ -248,11 +251,11 @@
     assert harness.proxy.port is None and not harness.proxy.started
     harness.advance_clock(1)
     assert harness.reactor.stopped
-    os.close(run.inherited_descriptor)
+    os.close(configuration.inherited_descriptor)
 
 
 def test_a_second_sigterm_has_no_effect_while_an_attempt_is_unanswered(start_proxy):
-    # The proxy waits for a request that can't be retried until its deadline, and answers it once.
+    # The proxy waits for a request that can't be retried, up to its deadline, and answers it once.
     node = CacheServer("n0")
     harness = start_proxy(node)
     client = harness.client()
@@ -609,7 +612,8 @@
         refusing = free.getsockname()
     harness.run_in_reactor(harness.proxy.endpoint_watch.change_address, refusing)
     harness.wait_until(
-        lambda: harness.proxy.endpoint_watch.call is None and not harness.proxy.endpoint_watch.is_streaming
+        lambda: harness.proxy.endpoint_watch.pending_request is None
+        and not harness.proxy.endpoint_watch.is_streaming
     )
     second.send_update(
         watch, 9, CacheServer("n0").endpoint_entry("DRAINING")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -518,7 +518,7 @@
     proxy = make_proxy()
     calls = []
     proxy.endpoint_watch.request_watch = lambda: calls.append(proxy.now())
-    proxy.endpoint_watch.note_activity()
+    proxy.endpoint_watch.record_activity()
     proxy.reactor.advance(4.9)
     assert not calls
     proxy.reactor.pump([0.2, 1])
