--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -184,7 +184,7 @@
             self.count_votes(now)
 
     def take_ready(self, now: int) -> Ready:
-        """Return the work that is due, and forget it."""
+        """Return the work that is due; each item is returned once."""
         ready = Ready(withdrawn=self.withdrawn)
         if self.withdrawn:
             self.writes.discard_messages()
--- a/ivystack/consensus/election.py
+++ b/ivystack/consensus/election.py
@@ -74,7 +74,7 @@
                 del self.progress[follower]
 
     def handle_request_vote(self, now: int, sender: str, message: RequestVote) -> None:
-        """Grant one vote a term, to a candidate whose log is at least as up to date as the local log."""
+        """Grant one vote per term, to a candidate whose log is at least as up to date as the local log."""
         recent_leader = now - self.last_leader_contact < self.election_timeout
         if (self.role == Role.LEADER or recent_leader) and not message.leadership_transfer:
             return  # 4.2.3: removed or partitioned replicas must not disrupt a leader
--- a/ivystack/consensus/mutations.py
+++ b/ivystack/consensus/mutations.py
@@ -45,20 +45,20 @@
     "grants two votes in a term": Mutation(
         "election", 'granted = up_to_date and self.voted_for in ("", sender)', "granted = up_to_date"
     ),
-    "sends promises before they are durable": Mutation(
+    "sends messages before the state that they report is durable": Mutation(
         "write_tracker", "if self.is_durable():\n            self.send", "if True:\n            self.send"
     ),
-    "takes half of the voters for a majority": Mutation(
+    "counts half of the voters as a majority": Mutation(
         "replica_state",
         "return 2 * sum(voter in ids for voter in voters) > len(voters)",
         "return 2 * sum(voter in ids for voter in voters) >= len(voters)",
     ),
-    "commits what one voter holds": Mutation(
+    "commits entries that only one voter has stored": Mutation(
         "replication",
         "index = match_indexes[(len(match_indexes) - 1) // 2] if match_indexes else 0",
         "index = match_indexes[-1] if match_indexes else 0",
     ),
-    "commits entries of earlier terms by counting": Mutation(
+    "commits entries of earlier terms by counting replicas": Mutation(
         "replication",
         "if index <= self.commit_index or self.log.term_at(index) != self.term:",
         "if index <= self.commit_index:",
@@ -90,12 +90,12 @@
     "keeps its vote in a new term": Mutation(
         "replica_state", 'self.term, self.voted_for = term, ""\n', "self.term = term\n"
     ),
-    "counts learners for a majority": Mutation(
+    "counts learners towards a majority": Mutation(
         "replica_state",
         "voters = self.configuration.voters if voters is None else voters",
         "voters = self.configuration.all_members()",
     ),
-    "applies again what a snapshot holds": Mutation(
+    "applies entries again that a snapshot covers": Mutation(
         "replication",
         "self.commit_index = self.applied_index = snapshot.index\n",
         "self.commit_index = snapshot.index\n",
--- a/ivystack/mesh/mesh.py
+++ b/ivystack/mesh/mesh.py
@@ -128,7 +128,7 @@
         except CannotListenError as error:
             # During a hot restart the old process listens until its end; members dial that process meanwhile.
             if not self.listen_failed:
-                logger.warning("mesh: {}; retrying until the address is free", error)
+                logger.warning("mesh: could not listen: {}; retrying until the address is free", error)
             self.listen_failed = True
             self.deadlines.call_at(self.now() + LISTEN_RETRY_INTERVAL, self.listen)
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -148,7 +148,7 @@
 
 
 def new_leader():
-    """Return the core of a leader whose two followers have the complete log."""
+    """Return the core of a leader of three replicas whose followers have the complete log."""
     core = new_core(replica_id="a/1")
     core.campaign(10_000 * MS, pre_vote=False)
     messages_once_written(core)
