--- a/ivystack/configuration/schema.py
+++ b/ivystack/configuration/schema.py
@@ -57,7 +57,7 @@
     most_write_outs: PositiveInteger = None  # maximum attempts per request
     may_duplicate: bool | None = None  # whether hedging is enabled
     retry_after: bool | None = None  # whether rejections carry a Retry-After
-    max_retry_after: Nanoseconds = None  # the value of that Retry-After
+    max_retry_after: Nanoseconds = None  # the Retry-After of rejections
     peers: bool | None = None  # whether gossip is enabled
 
 
@@ -65,10 +65,8 @@
     """`settings.rules`: the slow start of servers, and how soon changes of the endpoint list take effect."""
 
     cold: Nanoseconds = None  # duration of the slow start
-    cold_share: Fraction = None  # initial fraction of the slow start
-    overload_factor: NonNegativeNumber = (
-        None  # load that overloads a cold server, in multiples of its capacity
-    )
+    cold_share: Fraction = None  # fraction of its capacity that a server bears right after its start
+    overload_factor: NonNegativeNumber = None  # load that overloads a cold server, per unit of its capacity
     ask_within: Nanoseconds = None  # sets the pauses of the poll backoff where lists are polled
     stop_sending_within: Nanoseconds = None  # bounds the pauses of the poll backoff where lists are pushed
 
--- a/ivystack/duties/fencing.py
+++ b/ivystack/duties/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing tokens: they decide which actions under a duty this proxy still accepts."""
+"""Fencing tokens, which decide whether this proxy still accepts an action under a duty."""
 
 from __future__ import annotations
 
--- a/ivystack/duties/health_check_duty.py
+++ b/ivystack/duties/health_check_duty.py
@@ -1,8 +1,8 @@
 """The `node-trials` duty: one proxy checks for the whole fleet whether unhealthy servers can be reached.
 
-A result never takes a server out of use, never causes a request to it and never makes it healthy: only the
-proxy's own traffic does.  A result merely postpones this proxy's own next check of a server that is already
-unhealthy here, by at most `MAX_POSTPONEMENT`, so that not every proxy of a fleet checks a dead server.
+A result never takes a server out of use, never causes a request to be sent to it and never makes it healthy;
+only the proxy's own traffic does.  A result merely postpones this proxy's own next check of a server that is
+already unhealthy here, by at most `MAX_POSTPONEMENT`, so that not all proxies of a fleet check a dead server.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 
 CHECK_INTERVAL = 500_000  # microseconds between the first and the second check of a server
 MAX_INTERVAL_DOUBLINGS = 2  # how often the interval doubles for later checks
-POSTPONEMENT = 4_500_000  # microseconds per result; over two longest intervals, so that one may be lost
+# Microseconds per result.  This is longer than two of the longest intervals, so that one result may be lost.
+POSTPONEMENT = 4_500_000
 MAX_POSTPONEMENT = 30_000_000  # microseconds in total; bounds what a faulty holder costs a recovered server
 REQUEST_LIFETIME = 2_000_000  # microseconds for which another proxy's request for checks is valid
 MAX_CONCURRENT_CHECKS = 32  # the holder's open connections to servers that may never answer
--- a/ivystack/duties/health_check_exchange.py
+++ b/ivystack/duties/health_check_exchange.py
@@ -20,7 +20,7 @@
 from .protocol import MAX_SERVERS_PER_MESSAGE, DutyName, HealthCheckResults, MessageKind, ServersDown
 
 DUTY = DutyName.HEALTH_CHECKS.value
-REQUEST_INTERVAL = 1_000_000  # microseconds between the requests for checks of a proxy
+REQUEST_INTERVAL = 1_000_000  # microseconds between two requests for checks
 
 
 class HealthCheckExchange:
--- a/ivystack/duties/lease_expiry.py
+++ b/ivystack/duties/lease_expiry.py
@@ -39,11 +39,11 @@
         self.term = -1  # term in which this process leads; renewals of other terms do not count
         self.renewals: dict[str, Renewal] = {}  # by duty
 
-    def renewed(self, duty: str, token: int, now: int) -> None:
+    def record_renewal(self, duty: str, token: int, now: int) -> None:
         """Record that the holder with `token` renewed its lease at time `now`."""
         self.renewals[duty] = Renewal(token, now)
 
-    def expired(self, leases: Mapping[str, LeaseRecord], term: int, now: int) -> list[ExpiredLease]:
+    def find_expired(self, leases: Mapping[str, LeaseRecord], term: int, now: int) -> list[ExpiredLease]:
         """Return the leases that have expired at time `now` while this process leads in `term`."""
         if term != self.term:
             self.term, self.renewals = term, {}
--- a/ivystack/duties/lease_holder.py
+++ b/ivystack/duties/lease_holder.py
@@ -2,7 +2,7 @@
 
 This module does no I/O: the current time is a parameter, and requests go to the group through a
 `LeaseClient`.  A lease starts when its request is sent, and its duration is shortened by the clock drift, so
-that it ends for the holder before it expires at the leader.  All times are microseconds.
+that the holder stops using the lease before the leader lets it expire.  All times are microseconds.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 RENEWALS_PER_LEASE = 3  # renewals per lease duration, so that the loss of one does not cost the lease
 MAX_CANDIDACY_DELAY = 600_000  # microseconds; upper bound of the candidates' delays before they campaign
 CANNOT_SERVE_GRACE = 1_000_000  # microseconds after which a holder that cannot serve releases the lease
-# Microseconds without a campaign after such a release, so that a flapping link does not move the lease.
-BACKOFF = 10_000_000
+# Microseconds without a campaign after such a release, so that a flapping link does not move the lease often.
+CAMPAIGN_BACKOFF = 10_000_000
 
 
 class LeaseLossReason(StrEnum):
@@ -121,7 +121,7 @@
         """Renew a held lease when due, or release it if this process cannot serve for too long."""
         cannot_serve_since = lease.cannot_serve_since
         if cannot_serve_since is not None and now - cannot_serve_since >= CANNOT_SERVE_GRACE:
-            lease.backoff_until = now + BACKOFF
+            lease.backoff_until = now + CAMPAIGN_BACKOFF
             self._release(lease, LeaseLossReason.CANNOT_SERVE, now)
         elif now >= lease.renew_at and not lease.request_pending:
             self._renew(lease, lease.token, now)
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -49,7 +49,7 @@
         core = self.member.core
         if core is None or core.role is not Role.LEADER or core.log.term_at(core.commit_index) != core.term:
             return
-        for duty, token in self.expiry.expired(self.table.records, core.term, now):
+        for duty, token in self.expiry.find_expired(self.table.records, core.term, now):
             logger.info("duty: lease expired, no renewal from its holder duty={} token={}", duty, token)
             self.member.propose(LEASE_PART, LeaseCommand.RELEASE.value, [duty, token])
         if now >= self.next_announcement:
@@ -87,4 +87,4 @@
     def read_answered(self, part: str, name: str, args: list, answer: Any) -> None:
         """Record a granted renewal.  A majority has confirmed that this process leads."""
         if part == LEASE_PART and name == LeaseRead.RENEW and answer is True:
-            self.expiry.renewed(args[0], args[1], self.now())
+            self.expiry.record_renewal(args[0], args[1], self.now())
--- a/ivystack/duties/lease_table.py
+++ b/ivystack/duties/lease_table.py
@@ -38,13 +38,16 @@
         return [self.holder, self.token]
 
     def release(self, token: Any) -> bool:
-        """Free the lease if it is held under `token`; return whether it was held so."""
+        """Free the lease if it is held under `token`; return whether it was freed."""
         held = bool(self.holder) and token == self.token
         self.holder = "" if held else self.holder
         return held
 
     def put(self, token: Any, value: Any) -> list:
-        """Write the value if the lease is held under `token`; return whether it was, and its version."""
+        """Write the value if the lease is held under `token`.
+
+        :returns: whether the value was accepted, and the version of the lease's value.
+        """
         accepted = isinstance(value, bytes) and len(value) <= MAX_VALUE_BYTES
         accepted = accepted and bool(self.holder) and token == self.token
         if accepted and value != self.value:
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -31,7 +31,7 @@
 # newly created group.
 NEW_GROUP_TIMEOUT = 10 * ANNOUNCEMENT_TTL
 
-ORDER, CHECKS = DutyName.SLOT_ORDER.value, DutyName.HEALTH_CHECKS.value
+SLOT_ORDER, HEALTH_CHECKS = DutyName.SLOT_ORDER.value, DutyName.HEALTH_CHECKS.value
 
 
 class DutyManager:
@@ -49,13 +49,15 @@
         self.fencing, self.expiry = FencingTokens(), LeaseExpiry(lease, drift)
         lease_client = LeaseClient(client.execute, client.query)
         self.holder = LeaseHolder(self.owner, lease, drift, lease_client, self._on_lost, self._on_acquired)
-        self.slots = SlotOrder(proxy)
-        self.holder.add_duty(ORDER, self.slots.can_serve)
-        self.holder.add_duty(CHECKS, self.slots.can_serve)
-        self.order = SlotOrderDuty(self.slots, lease_client, self.holder, self.fencing, self.now)
-        self.checks = HealthCheckDuty(proxy)
-        self.exchange = HealthCheckExchange(
-            self.checks, mesh, self.holder, self.fencing, self.now, self._check_holder
+        self.slot_order = SlotOrder(proxy)
+        self.holder.add_duty(SLOT_ORDER, self.slot_order.can_serve)
+        self.holder.add_duty(HEALTH_CHECKS, self.slot_order.can_serve)
+        self.slot_order_duty = SlotOrderDuty(
+            self.slot_order, lease_client, self.holder, self.fencing, self.now
+        )
+        self.health_checks = HealthCheckDuty(proxy)
+        self.health_check_exchange = HealthCheckExchange(
+            self.health_checks, mesh, self.holder, self.fencing, self.now, self._health_check_holder
         )
         self.leader: LeaseLeader | None = None
         self.leases: dict[str, LeaseSummary] = {}  # by duty, as last announced
@@ -70,7 +72,7 @@
         :param table: the lease table of the replica's state machine.
         """
         self.leader = LeaseLeader(member, table, self.expiry, self.mesh, self.now, self._apply_announcement)
-        self.exchange.is_member = True
+        self.health_check_exchange.is_member = True
 
     def start(self) -> None:
         """Start the periodic cycle."""
@@ -87,8 +89,8 @@
         is_fresh = self._is_fresh(now)
         self.holder.tick(self.leases if is_fresh else None, now)
         if is_fresh:
-            self.order.tick(self.leases.get(ORDER), now)
-            self.exchange.tick(now)
+            self.slot_order_duty.tick(self.leases.get(SLOT_ORDER), now)
+            self.health_check_exchange.tick(now)
 
     def announcement_received(self, sender: str, body: Any) -> None:
         """Apply an announcement of the leader.
@@ -119,9 +121,9 @@
             "fresh": self._is_fresh(now),
             "rows": {duty: [*lease] for duty, lease in self.leases.items()},
             "held": held,
-            "trials": self.checks.state(),
-            "order": self.slots.digest(),
-            "version": self.order.version,
+            "trials": self.health_checks.state(),
+            "order": self.slot_order.digest(),
+            "version": self.slot_order_duty.version,
         }
 
     def _is_fresh(self, now: int) -> bool:
@@ -135,8 +137,8 @@
         for duty, lease in announcement.leases.items():
             self.fencing.announce(duty, lease.token)
 
-    def _check_holder(self) -> str:
-        return self.leases.get(CHECKS, FREE_LEASE).holder_name
+    def _health_check_holder(self) -> str:
+        return self.leases.get(HEALTH_CHECKS, FREE_LEASE).holder_name
 
     def _on_acquired(self, duty: str, token: int) -> None:
         logger.info("duty: lease acquired duty={} token={}", duty, token)
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -25,7 +25,7 @@
     from ..net.proxy import Proxy
 
 MAX_SLOTS = 4096
-MAX_WATCH_OUTAGE = 3_000_000  # microseconds without the endpoint list's watch, after which it is out of date
+MAX_WATCH_OUTAGE = 3_000_000  # microseconds without a watch after which the endpoint list is out of date
 DIGEST_BYTES = 6  # length of the order's digest in the status JSON
 DUTY = DutyName.SLOT_ORDER.value
 
--- a/ivystack/fleet/config.py
+++ b/ivystack/fleet/config.py
@@ -25,8 +25,9 @@
 
 VERSION = 1  # version of the file format
 GROUP_SIZES = 3, 5, 7  # allowed numbers of members
-DEFAULT_LINKS = 256  # of a member; several times the need of a small fleet in which all proxies hot restart
-# Of a proxy outside the group: one, a second during a hot restart or while members change, and spare ones.
+DEFAULT_LINKS = 256  # links of a member; several times the need of a small fleet that hot restarts at once
+# Links of a proxy outside the group, per member: one, a second one during a hot restart or while the members
+# change, and spare ones.
 LINKS_PER_MEMBER = 4
 PROXIES_PER_SPARE_LINK = 8  # proxies per spare link of a member; hot restarts need second links for a while
 MIN_HEARTBEATS_PER_ELECTION = 3
@@ -125,8 +126,8 @@
     """
     try:
         text = Path(path).read_text()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise ConfigurationError(f"{path}: {getattr(fault, 'strerror', None) or 'not a text file'}") from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigurationError(f"{path}: {getattr(error, 'strerror', None) or 'not a text file'}") from None
     check = check_file(text, Path(path).parent)
     if check.faults or check.file is None or check.keys is None:
         more = f" (and {len(check.faults) - 1} more, see check-config)" if len(check.faults) > 1 else ""
@@ -145,8 +146,8 @@
     """
     try:
         values: Any = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as fault:
-        return FileCheck([f"not TOML: {fault}"])
+    except tomllib.TOMLDecodeError as error:
+        return FileCheck([f"not TOML: {error}"])
     faults, file = _decode(values)
     if file is not None:
         faults += _semantic_faults(file)
@@ -155,8 +156,8 @@
     if isinstance(path, str):
         try:
             keys = read_key_file(directory / path)
-        except KeyFileError as fault:
-            faults.append(f"`key_file`: {fault}")
+        except KeyFileError as error:
+            faults.append(f"`key_file`: {error}")
     return FileCheck(faults, file, keys)
 
 
@@ -167,23 +168,23 @@
     while True:
         try:
             return faults, msgspec.convert(repaired, FleetFile)
-        except msgspec.ValidationError as fault:
-            line = str(fault).replace("$.", "").replace("at `$`", "at the top level")
+        except msgspec.ValidationError as error:
+            line = str(error).replace("$.", "").replace("at `$`", "at the top level")
             if line in faults or len(faults) > MAX_FAULTS:
                 return faults, None
             faults.append(line)
-            if not _repair(repaired, str(fault)):
+            if not _repair(repaired, str(error)):
                 return faults, None
 
 
-def _repair(values: dict[str, Any], fault: str) -> bool:
+def _repair(values: dict[str, Any], error: str) -> bool:
     """Replace or remove the value named by a validation error; return whether that was possible.
 
-    :param fault: the message of the error.
+    :param error: the message of the validation error.
     """
-    quoted = fault.split("`")
+    quoted = error.split("`")
     path = next((part[2:] for part in quoted if part.startswith("$.")), "")
-    unknown, missing = "unknown field" in fault, "missing required" in fault
+    unknown, missing = "unknown field" in error, "missing required" in error
     if unknown or missing:
         section, key = _value_at(values, path), quoted[1]
     else:
@@ -235,8 +236,8 @@
             yield f"`{key}.name`: {member.name} is used twice"
         try:
             host, port = parse_address(member.address, f"{key}.address")
-        except ConfigurationError as fault:
-            yield str(fault)
+        except ConfigurationError as error:
+            yield str(error)
             continue
         if any(member.address == other.address for other in group.members[:index]):
             yield f"`{key}.address`: {host}:{port} is used twice"
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -99,8 +99,8 @@
         """Reload keys and members from the file (SIGHUP); a faulty file changes nothing."""
         try:
             config = load_config(self.path, self.config.name)
-        except ConfigurationError as fault:
-            logger.error("fleet: configuration rejected, the previous one stays in use: {}", fault)
+        except ConfigurationError as error:
+            logger.error("fleet: configuration rejected, the previous one stays in use: {}", error)
             return
         self.config, self.mesh.keys, self.client.members = config, config.keys, [*config.members]
         self.mesh.max_connections = (
@@ -115,7 +115,7 @@
         logger.info("fleet: configuration applied keys={} members={}", keys, members)
 
     def prepare_shutdown(self) -> None:
-        """Hand over leases and leadership before the proxy ends; it still serves for a short time."""
+        """Hand over leases and leadership before the proxy ends; the proxy still serves for a short time."""
         self.duties.release_all()
         if self.member is not None:
             self.member.transfer_leadership()
--- a/ivystack/simulator/__main__.py
+++ b/ivystack/simulator/__main__.py
@@ -8,7 +8,7 @@
 import sys
 
 from .adapter import SimulatorAdapter
-from .protocol import BadLineError
+from .protocol import MalformedLineError
 
 
 def main() -> int:
@@ -22,7 +22,7 @@
             if reply is not None:
                 sys.stdout.buffer.write(reply)
                 sys.stdout.buffer.flush()
-    except BadLineError as error:
+    except MalformedLineError as error:
         print(f"line {line_number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/ivystack/simulator/adapter.py
+++ b/ivystack/simulator/adapter.py
@@ -25,8 +25,8 @@
     REGISTER_ENDPOINTS,
     REQUEST_ARRIVED,
     START_BATCH,
-    BadLineError,
-    DecisionError,
+    MalformedLineError,
+    BalancerError,
 )
 
 INSTANCE_EVENTS: dict[str, Callable[..., None]] = {
@@ -67,20 +67,20 @@
     def handle_line(self, line: bytes) -> bytes | None:
         """Process one line and return the encoded answer if the line ends a batch.
 
-        :raises BadLineError: the line is malformed.
+        :raises MalformedLineError: the line is malformed.
         """
         name, values = self._decode(line)
         if self.now is None and name != START_BATCH:
-            raise BadLineError(f"{name} outside a batch")
+            raise MalformedLineError(f"{name} outside a batch")
         handler = self.handlers.get(name)
         try:
             if handler is not None:
                 return handler(*values)
             self._instance_event(name, *values)
-        except DecisionError as error:
+        except BalancerError as error:
             self._report_failure(values[0], error)
         except MALFORMED_MESSAGE_ERRORS as error:
-            raise BadLineError(f"{name}: {type(error).__name__}: {error}") from None
+            raise MalformedLineError(f"{name}: {type(error).__name__}: {error}") from None
         return None
 
     @staticmethod
@@ -89,9 +89,9 @@
         try:
             message = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise BadLineError(f"not JSON: {error}") from None
+            raise MalformedLineError(f"not JSON: {error}") from None
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise BadLineError("not an array that begins with a name")
+            raise MalformedLineError("not an array that begins with a name")
         return message[0], message[1:]
 
     def _start_batch(self, now: int, *_: object) -> None:
@@ -119,7 +119,7 @@
         instance = self._running_instance(proxy, ENDPOINTS_CHANGED)
         number, list_kind, *_ = values
         if list_kind not in LIST_KINDS:
-            raise BadLineError("unknown kind of endpoint list")
+            raise MalformedLineError("unknown kind of endpoint list")
         entries = [] if list_kind == LIST_FAILED else self.endpoint_lists[number]
         instance.endpoints_changed(self._batch_time(), entries, list_kind)
 
@@ -130,17 +130,17 @@
         instance = self._running_instance(proxy, name)
         handler = INSTANCE_EVENTS.get(name)
         if handler is None:
-            raise BadLineError(f"unknown event: {name}")
+            raise MalformedLineError(f"unknown event: {name}")
         handler(instance, self.now, *values)
 
     def _running_instance(self, proxy: str, event: str) -> SimulatedInstance:
         """Return the proxy's instance and mark it, so that its due actions are collected at the batch's end.
 
-        :raises BadLineError: no instance of the proxy is running.
+        :raises MalformedLineError: no instance of the proxy is running.
         """
         instance = self.instances.get(proxy)
         if instance is None:
-            raise BadLineError(f"{event} for a proxy that is not running")
+            raise MalformedLineError(f"{event} for a proxy that is not running")
         self.instances_in_batch[proxy] = instance
         return instance
 
@@ -149,7 +149,7 @@
         assert self.now is not None
         return self.now
 
-    def _report_failure(self, proxy: str, error: DecisionError) -> None:
+    def _report_failure(self, proxy: str, error: BalancerError) -> None:
         """Report the balancer's failure at the end of this batch and ignore later events of the proxy."""
         self.failure_reports.append([INSTANCE_FAILED, proxy, str(error)])
         self.failed_proxies.add(proxy)
@@ -162,7 +162,7 @@
         for proxy, instance in list(self.instances_in_batch.items()):
             try:
                 instance.batch_ended(now)
-            except DecisionError as error:
+            except BalancerError as error:
                 self._report_failure(proxy, error)
             lines += instance.actions
             instance.actions = []
--- a/ivystack/simulator/instance.py
+++ b/ivystack/simulator/instance.py
@@ -37,8 +37,8 @@
     SET_TIMER,
     STATE_BY_NAME,
     UNKNOWN_KIND,
-    BadLineError,
-    DecisionError,
+    MalformedLineError,
+    BalancerError,
 )
 
 MIN_TIMER_US = 1  # a timer with no delay would fire again at the same simulated time
@@ -50,13 +50,13 @@
 def call_balancer(method: Callable[..., T], *arguments: Any) -> T:
     """Call a method of the balancer and return its result.
 
-    :raises DecisionError: the method raised an exception.  The separate type keeps a failure of the balancer
+    :raises BalancerError: the method raised an exception.  The separate type keeps a failure of the balancer
         from being reported as a malformed line.
     """
     try:
         return method(*arguments)
     except Exception as error:
-        raise DecisionError(f"{type(error).__name__}: {error}") from error
+        raise BalancerError(f"{type(error).__name__}: {error}") from error
 
 
 class SimulatedInstance:
@@ -68,15 +68,15 @@
 
     def __init__(self, name: str, seed: int, config: dict[str, Any], now: int) -> None:
         self.name = name
-        self.settings = InstanceConfiguration(seed, config)
-        self.balancer = self.settings.balancer
+        self.configuration = InstanceConfiguration(seed, config)
+        self.balancer = self.configuration.balancer
         self.requests: dict[int, Request] = {}  # by the simulator's request id
         self.request_ids: dict[Request, int] = {}
         self.timer_at: int | None = None  # microseconds; None if no timer was set yet
         self.actions: list[list[Any]] = []  # actions since the end of the last batch
         self.poll_in_progress = False
-        is_polling = self.settings.settings.discovery == "ask"
-        self.poll_backoff = self.settings.poll_backoff if is_polling else None
+        is_polling = self.configuration.settings.discovery == "ask"
+        self.poll_backoff = self.configuration.poll_backoff if is_polling else None
         if self.poll_backoff:
             self.poll_backoff.next_at = now
 
@@ -99,18 +99,20 @@
         """Route a client's request.
 
         :param deadline_ns: the request's deadline, in nanoseconds.
-        :raises BadLineError: the class is unknown, the deadline is missing, the id is in use, or the key is
-            not an integer.
+        :raises MalformedLineError: the class is unknown, the deadline is missing, the id is in use, or the
+            key is not an integer.
         """
-        request_class = self.settings.request_classes.get(class_name)
+        request_class = self.configuration.request_classes.get(class_name)
         if (
             request_class is None
             or deadline_ns is None
             or request_id in self.requests
             or not isinstance(key, int | None)
         ):
-            raise BadLineError("request with an unknown class, no deadline, an id in use or an invalid key")
-        tenant = self.settings.tenants.get(tenant_name) if isinstance(tenant_name, str) else None
+            raise MalformedLineError(
+                "request with an unknown class, no deadline, an id in use or an invalid key"
+            )
+        tenant = self.configuration.tenants.get(tenant_name) if isinstance(tenant_name, str) else None
         deadline = microseconds(deadline_ns)
         request = Request(request_class, now, deadline, key, tenant, bool(is_write), bool(is_client_retry))
         self.requests[request_id] = request
@@ -134,17 +136,17 @@
 
         :param number: index of the attempt within its request.
         :param is_last: whether the simulator has answered the client with this outcome.
-        :raises BadLineError: the attempt or the outcome is unknown, or the attempt already has an outcome.
+        :raises MalformedLineError: the attempt or the outcome is unknown, or the outcome is not the first.
         """
         request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts) or outcome_name not in OUTCOME_BY_NAME:
-            raise BadLineError("outcome for an unknown attempt, or unknown kind of outcome")
+            raise MalformedLineError("outcome for an unknown attempt, or unknown kind of outcome")
         attempt = request.attempts[number]
         if attempt.outcome is not None:
-            raise BadLineError("second outcome for the same attempt")
+            raise MalformedLineError("second outcome for the same attempt")
         if is_last:
             request.concluded = True
-        load_figures = usable_figures(report, self.settings.columns)
+        load_figures = usable_figures(report, self.configuration.columns)
         is_hit = cache_info == ANSWERED_FROM_CACHE
         outcome = OUTCOME_BY_NAME[outcome_name]
         result = call_balancer(self.balancer.record_outcome, attempt, outcome, now, load_figures, is_hit)
@@ -274,7 +276,7 @@
         """Return the server described by an entry of an endpoint list; null values get defaults."""
         return Server(
             name,
-            self.settings.kinds.get(kind, UNKNOWN_KIND),
+            self.configuration.kinds.get(kind, UNKNOWN_KIND),
             weight or 0.0,
             zone or "",
             cell or 0,
--- a/ivystack/simulator/protocol.py
+++ b/ivystack/simulator/protocol.py
@@ -66,9 +66,9 @@
 }
 
 
-class BadLineError(Exception):
+class MalformedLineError(Exception):
     """A line does not follow the protocol."""
 
 
-class DecisionError(Exception):
+class BalancerError(Exception):
     """The balancer of one instance raised an exception."""
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -97,7 +97,7 @@
     def request_arrives(self, index, operation, name, args, callback):
         answer = getattr(self.leases, operation)(name, args)
         if name == "renew" and answer is True:
-            self.leader.renewed(args[0], args[1], self.leader_clock())
+            self.leader.record_renewal(args[0], args[1], self.leader_clock())
         if self.rng.random() >= self.loss and index != self.cannot_receive:
             self.schedule(
                 self.rng.randrange(1, self.max_latency) * MS, self.answer_arrives, index, callback, answer
@@ -121,7 +121,7 @@
                 call[2](*call[3])
             if faults and self.rng.random() < 0.01:
                 self.inject_fault()
-            for duty, token in self.leader.expired(self.leases.records, self.term, self.leader_clock()):
+            for duty, token in self.leader.find_expired(self.leases.records, self.term, self.leader_clock()):
                 self.leases.execute("free", [duty, token])
             if step % 5 == 0:
                 announced = self.leases.summaries()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -5,7 +5,7 @@
 from helpers import S
 
 from ivystack.simulator.adapter import SimulatorAdapter
-from ivystack.simulator.protocol import BadLineError
+from ivystack.simulator.protocol import MalformedLineError
 
 REQUEST_CLASS = {"name": "read", "semantics": "pure", "latency_budget": S * 1000, "give_up": 2 * S * 1000}
 
@@ -51,7 +51,7 @@
         [b'["TURN","x"]'],
     ):
         adapter = SimulatorAdapter()
-        with pytest.raises(BadLineError) as raised:
+        with pytest.raises(MalformedLineError) as raised:
             for line in lines:
                 adapter.handle_line(line)
         assert "\n" not in str(raised.value)
@@ -94,7 +94,7 @@
         )
         outcome = ["FINISHED", "proxy_0", 9, 0, reply[0][4], "completed", 10, True, None, report]
         if load is None:
-            with pytest.raises(BadLineError):
+            with pytest.raises(MalformedLineError):
                 send_messages(adapter, ["TURN", 3000], outcome, ["END"])
         else:
             send_messages(adapter, ["TURN", 3000], outcome, ["END"])
