--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -401,14 +401,14 @@
     due = server.health.next_probe_at
     for second in range(50):
         duty.apply_results({"n1": False, "n0": False, "nx": False}, now + second * S)
-    assert (
-        due < server.health.next_probe_at == due + MAX_POSTPONEMENT
-    )  # then this proxy checks the server itself, whatever the results are
+    # At this bound the proxy checks the server itself, whatever the results are.
+    assert due < server.health.next_probe_at == due + MAX_POSTPONEMENT
     assert healthy.health.next_probe_at == 0 and instance.balancer.outliers.is_healthy(healthy.health)
     duty.apply_results({"n1": True}, now + 51 * S)
+    # Only answers to this proxy's own traffic make the server healthy.
     assert server.health.next_probe_at <= now + 51 * S and not instance.balancer.outliers.is_healthy(
         server.health
-    )  # only its answers to this proxy's own traffic make it healthy
+    )
 
 
 def test_the_holder_checks_servers_that_are_unhealthy_anywhere_but_never_a_draining_server():
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -143,7 +143,7 @@
         ("zone", "z"), ("zones", ["z"]), ("blend", {"whole": 1, "miss_share": 0.5}),
         ("discovery", "push"), ("discovery", "ask"), ("excess_criticality", 0.2), ("n_instances", 40),
         ("slot_no", 3), ("granularity", 2_000_000), ("specifics", {"origin_kind": 1}),
-        *(("weight_source", one) for one in ("none", "nominal", "rough", "live")),
+        *(("weight_source", source) for source in ("none", "nominal", "rough", "live")),
         *(("reporting", {"how": how, "columns": ["active", "b"]}) for how in ("answers", "probe", "none")),
         *(("limits", {key: value}) for key, value in [
             ("conn_idle", 5_000_000), ("connect_timeout", 6_000_000), ("streams_per_conn", 7),
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -190,12 +190,12 @@
     if isinstance(component, bool | int | float | str | bytes | frozenset | type(None)):
         return component
     if isinstance(component, dict):
-        return {str(key): configured_state(one, depth + 1) for key, one in component.items()}
+        return {str(key): configured_state(value, depth + 1) for key, value in component.items()}
     if isinstance(component, list | tuple | set):
         return (
-            sorted((configured_state(one, depth + 1) for one in component), key=repr)
+            sorted((configured_state(item, depth + 1) for item in component), key=repr)
             if isinstance(component, set)
-            else [configured_state(one, depth + 1) for one in component]
+            else [configured_state(item, depth + 1) for item in component]
         )
     names = [*getattr(component, "__slots__", ()), *getattr(component, "__dict__", ())]
     if depth > 5 or not type(component).__module__.startswith("ivystack"):
@@ -210,8 +210,8 @@
 def field_paths(struct_type, path=""):
     """Yield the paths of all fields of a struct type, nested ones included."""
     for field in msgspec.structs.fields(struct_type):
-        types = [one for one in getattr(field.type, "__args__", ()) if isinstance(one, type)]
-        nested = next((one for one in types if issubclass(one, msgspec.Struct)), None)
+        types = [argument for argument in getattr(field.type, "__args__", ()) if isinstance(argument, type)]
+        nested = next((option for option in types if issubclass(option, msgspec.Struct)), None)
         yield from field_paths(nested, f"{path}{field.name}.") if nested else [path + field.name]
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -177,7 +177,7 @@
     assert (
         old.idempotency == new.idempotency == Idempotency.NOT_IDEMPOTENT
         and new.attempt_times is old.attempt_times
-    )  # the stricter of both
+    )  # the stricter of the old and the new class
     assert (
         running.request_classes["w"] is unchanged_class
         and running.tenants["t"] is tenant
@@ -213,9 +213,9 @@
 def test_a_deduplication_window_too_short_for_retries_gives_a_warning_with_its_key(
     window, connect_timeout, expected
 ):
-    one = CLASS | {"name": "m", "semantics": "token", "window": window * 10**6}
+    keyed_class = CLASS | {"name": "m", "semantics": "token", "window": window * 10**6}
     new_settings = {
-        "methods": [one],
+        "methods": [keyed_class],
         "limits": {"connect_timeout": connect_timeout * 10**6},
         "granularity": 5 * 10**6,
     }
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -24,14 +24,14 @@
     allow, conn, clients, rules = site["allow"], site["tier"][0]["conn"], site["clients"], site["rules"]
     return {
         "methods": [{
-            "name": one["name"], "semantics": SEMANTICS_OF_EFFECT[one["effect"]],
-            "latency_budget": one["aim_ms"] * MS,
-            "give_up": one["deadline_ms"] * MS, "criticality": float(one["worth"]),
-            "tardy_criticality": float(one["late_worth"]), "group": one.get("group", "all"),
-            "window": one.get("window_ms", 5000) * MS,
-        } for one in site["class"]],
-        "parties": [{"name": one["name"], "allowance_per_s": 100.0} for one in site.get("tenant", [])],
-        "kinds": [one["name"] for one in site["tier"][0]["kind"]],
+            "name": entry["name"], "semantics": SEMANTICS_OF_EFFECT[entry["effect"]],
+            "latency_budget": entry["aim_ms"] * MS,
+            "give_up": entry["deadline_ms"] * MS, "criticality": float(entry["worth"]),
+            "tardy_criticality": float(entry["late_worth"]), "group": entry.get("group", "all"),
+            "window": entry.get("window_ms", 5000) * MS,
+        } for entry in site["class"]],
+        "parties": [{"name": entry["name"], "allowance_per_s": 100.0} for entry in site.get("tenant", [])],
+        "kinds": [entry["name"] for entry in site["tier"][0]["kind"]],
         "limits": {
             "conn_idle": conn["idle_s"] * 1000 * MS, "connect_timeout": conn["connect_timeout_ms"] * MS,
             "streams_per_conn": conn["streams"], "most_write_outs": allow["max_attempts"],
