--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -97,7 +97,7 @@
     def request_arrives(self, index, operation, name, args, callback):
         answer = getattr(self.leases, operation)(name, args)
         if name == "renew" and answer is True:
-            self.leader.renewed(args[0], args[1], self.leader_clock())
+            self.leader.record_renewal(args[0], args[1], self.leader_clock())
         if self.rng.random() >= self.loss and index != self.cannot_receive:
             self.schedule(
                 self.rng.randrange(1, self.max_latency) * MS, self.answer_arrives, index, callback, answer
@@ -121,7 +121,7 @@
                 call[2](*call[3])
             if faults and self.rng.random() < 0.01:
                 self.inject_fault()
-            for duty, token in self.leader.expired(self.leases.records, self.term, self.leader_clock()):
+            for duty, token in self.leader.find_expired(self.leases.records, self.term, self.leader_clock()):
                 self.leases.execute("free", [duty, token])
             if step % 5 == 0:
                 announced = self.leases.summaries()
@@ -401,14 +401,14 @@
     due = server.health.next_probe_at
     for second in range(50):
         duty.apply_results({"n1": False, "n0": False, "nx": False}, now + second * S)
-    assert (
-        due < server.health.next_probe_at == due + MAX_POSTPONEMENT
-    )  # then this proxy checks the server itself, whatever the results are
+    # At this bound the proxy checks the server itself, whatever the results are.
+    assert due < server.health.next_probe_at == due + MAX_POSTPONEMENT
     assert healthy.health.next_probe_at == 0 and instance.balancer.outliers.is_healthy(healthy.health)
     duty.apply_results({"n1": True}, now + 51 * S)
+    # Only answers to this proxy's own traffic make the server healthy.
     assert server.health.next_probe_at <= now + 51 * S and not instance.balancer.outliers.is_healthy(
         server.health
-    )  # only its answers to this proxy's own traffic make it healthy
+    )
 
 
 def test_the_holder_checks_servers_that_are_unhealthy_anywhere_but_never_a_draining_server():
