--- a/ivystack/rig/command.py
+++ b/ivystack/rig/command.py
@@ -100,7 +100,7 @@
     """Play the decisions of a whole fleet in virtual time: each class's part served in time, by seconds."""
     from random import Random
 
-    from .swarm import MIX, S, Swarm, World, work
+    from .swarm import MICROSECONDS_PER_SECOND, MIX, Swarm, World, mean_work_seconds
 
     try:
         given = [float(worth) for worth in worths.split(",")]
@@ -108,20 +108,20 @@
     except ValueError:
         click.echo(f"--worths: wanted {len(MIX)} numbers, got {worths!r}", err=True)
         sys.exit(2)
-    loads = [replace(one, write=aside and one.name == "sign") for one in loads]
-    world = World(nodes, proxies, 0.0, hurried=hurried, aside=aside)
-    world.reqs_per_s = nodes * world.cores * load / work(loads)
-    world.table = table or world.table
+    loads = [replace(one, is_write=aside and one.name == "sign") for one in loads]
+    world = World(nodes, proxies, 0.0, impatient_share=hurried, cache_aside=aside)
+    world.requests_per_second = nodes * world.cores_per_server * load / mean_work_seconds(loads)
+    world.max_connections = table or world.max_connections
     made = Swarm(Random(seed), loads, world)
     for fault in faults:
-        made.at(made.now + 2 * S, FAULTS[fault], made)
+        made.schedule(made.now + 2 * MICROSECONDS_PER_SECOND, FAULTS[fault], made)
     click.echo("second   " + "".join(f"{one.name:>8}" for one in loads))
     for second in range(seconds):
-        made.play(S)
+        made.run(MICROSECONDS_PER_SECOND)
         if second:  # what came in the last one has not ended yet
-            served = made.served(second - 1, second)
+            served = made.served_shares(second - 1, second)
             click.echo(f"{second - 1:6d}   " + "".join(f"{served[one.name]:8.3f}" for one in loads))
-    served = made.served(0, seconds - 1)
+    served = made.served_shares(0, seconds - 1)
     click.echo("all      " + "".join(f"{served[one.name]:8.3f}" for one in loads))
 
 
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -1,14 +1,13 @@
-"""Many instances of the decisions before shared cache nodes, in virtual time: what a fleet does at once.
+"""Simulation of a fleet of balancers in front of shared cache servers, in virtual time.
 
-Owns the virtual world: clients, proxies' timers, nodes' queues and copies, the origin behind them, and what
-became of each request by class.  It must never decide for a proxy, nor change what it settles: each proxy is
-a
-Balancer made from settings, called as the network part calls it.  There are no sockets and no frames; of a
-connection only its place in a node's table is kept, one for each proxy that has any there.
+This module simulates clients, the timers of the proxies, the queues and caches of the servers, the origin,
+and the outcome of each request by class.  It makes no decision for a proxy and does not change one: each
+proxy is a Balancer that is built from settings and called as the network code calls it.  There are no sockets
+and no frames; a connection is only an entry in the connection table of its server, at most one for each proxy.
 
-    swarm = Swarm(Random(1), loads, World(nodes=60, proxies=40, reqs_per_s=900))
-    swarm.play(10_000_000)
-    swarm.served()          # {"read": 0.81, ..}: satisfied in time of those asked for, all tries as one
+    swarm = Swarm(Random(1), loads, World(servers=60, proxies=40, requests_per_second=900))
+    swarm.run(10_000_000)
+    swarm.served_shares()  # {"read": 0.81, ..}: share of client operations satisfied in time, with all retries
 """
 
 from __future__ import annotations
@@ -37,30 +36,43 @@
 )
 from ..configuration.instance import InstanceConfiguration
 
-S = 1_000_000
-ORIGIN = "origin"  # its name in lists, where proxies ask it
+MICROSECONDS_PER_SECOND = 1_000_000
+ORIGIN = "origin"  # name of the origin in endpoint lists where proxies send requests to it
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A class of requests: its part of all, a request's work in microseconds of a core, and what settings
-    state."""
+    """The load of one request class.
+
+    Attributes:
+        name: Name of the request class.
+        share: Weight of this class among the operations of all classes.
+        mean_work: Mean work of a request, in microseconds of one core.
+        priority_weight: Priority weight of the request class.
+        latency_objective: Latency objective in microseconds.
+        semantics: Idempotency of the requests, as a value of the setting of this name.
+        senders: Number of proxies that send this class; None for all.
+        is_write: Whether the requests are writes.
+        tenant: Name of the tenant, if any.
+    """
 
     name: str
-    part: float
-    work: int
+    share: float
+    mean_work: int
     priority_weight: float
-    budget: int
+    latency_objective: int
     semantics: str = "pure"
-    proxies: int | None = None  # only so many send it
-    write: bool = False
+    senders: int | None = None
+    is_write: bool = False
     tenant: str | None = None
 
-    def sheet(self) -> dict:
+    def settings(self) -> dict:
+        """Return the settings of the request class, with times in nanoseconds."""
         return {
             "name": self.name, "criticality": self.priority_weight, "semantics": self.semantics, "group":
             "all",
-            "latency_budget": self.budget * 1000, "give_up": 2 * self.budget * 1000, "window": 12 * S * 1000,
+            "latency_budget": self.latency_objective * 1000, "give_up": 2 * self.latency_objective * 1000,
+            "window": 12 * MICROSECONDS_PER_SECOND * 1000,
         }  # fmt: skip
 
 
@@ -71,419 +83,546 @@
 ]
 
 
-def work(loads: list[Load]) -> float:
-    """Seconds of a core that a request takes, over all classes."""
-    return sum(one.part * one.work for one in loads) / sum(one.part for one in loads) / S
+def mean_work_seconds(loads: list[Load]) -> float:
+    """Return the mean work of a request over all classes, in seconds of one core."""
+    return (
+        sum(load.share * load.mean_work for load in loads)
+        / sum(load.share for load in loads)
+        / MICROSECONDS_PER_SECOND
+    )
 
 
 @dataclass(slots=True)
 class World:
-    """Sizes and habits.  Times are microseconds, rates over the whole fleet."""
+    """Sizes, rates and delays of a simulation.
 
-    nodes: int
+    Times are in microseconds, rates are totals of the whole fleet.
+    """
+
+    servers: int
     proxies: int
-    reqs_per_s: float
-    cores: int = 3
-    keys: int = 4000
-    way: int = 5_000  # from a proxy to a node
-    tries: int = 3  # a client's, its first among them
-    pause: int = 100_000  # before it comes again
-    hurried: float = 0.0  # of the clients give up after a twentieth of the budget, and are not counted
-    spread: float = 1.0  # of the proxies' rates: the deviation of a lognormal's logarithm
-    copies: int = 400  # that a node keeps
-    hits: float = 0.9  # of the keys that a warm node is asked for first, so many it has
-    fetch: int = 100_000  # what the origin takes for one
-    fetches: int = 60  # that it does at a time
-    cold: int = 6 * S  # until a node is warm
-    cold_share: float = 0.3
-    overload: float = 4.0  # times what it can do by then pushes a cold node over,
-    fall: int = S  # over such a time
-    table: int = 1 << 30  # connections that a node holds: beyond, new ones are turned away
-    attempts: int = 3
-    peers: bool = True
-    aside: bool = False  # caches tell a miss, and proxies ask the origin; writes go there alone
-    tenants: dict[str, float] = field(default_factory=dict)  # and what each is allowed, a second
-    excess: float = 0.1
-    chance: Random = field(default_factory=lambda: Random(3))
-    mean: float = 1.0  # work of a request, in microseconds of a core; the swarm's to say
+    requests_per_second: float
+    cores_per_server: int = 3
+    key_count: int = 4000
+    network_delay: int = 5_000  # one way between a proxy and a server
+    max_client_requests: int = 3  # requests of a client for one operation, with the first
+    client_retry_delay: int = 100_000  # mean delay before a client sends its request again
+    impatient_share: float = 0.0  # share of clients, not counted, that give up after 1/20 of the objective
+    rate_sigma: float = 1.0  # standard deviation of the logarithm of the proxies' lognormal rates
+    cache_capacity: int = 400  # keys in the cache of a server
+    warm_hit_ratio: float = 0.9  # probability that a warm server has a key at the first request for it
+    fetch_time: int = 100_000  # time of one fetch from the origin
+    concurrent_fetches: int = 60  # fetches that the origin serves at once
+    warm_up_time: int = 6 * MICROSECONDS_PER_SECOND
+    cold_share: float = 0.3  # speed of a server at its start, as a share of its full speed
+    overload_factor: float = 4.0  # a cold server fails when it receives this multiple of its present capacity
+    overload_window: int = MICROSECONDS_PER_SECOND  # time over which the overload of a cold server counts
+    max_connections: int = 1 << 30  # connections that a server accepts; it rejects further ones
+    max_attempts: int = 3
+    gossip: bool = True
+    # Cache-aside mode: caches report misses, proxies read from the origin and send writes only to it.
+    cache_aside: bool = False
+    tenant_allowances: dict[str, float] = field(default_factory=dict)  # requests per second by tenant
+    excess_priority_weight: float = 0.1
+    rng: Random = field(default_factory=lambda: Random(3))
+    mean_work: float = 1.0  # of a request, in microseconds of one core; set by the swarm
 
 
 class SimulatedServer:
-    """A cache node: cores that do one request each, in order, late ones too, and the copies that it keeps."""
-
-    def __init__(self, name: str, world: World, started: int = 0):
-        self.name, self.world, self.started = name, world, started
-        self.free = [0] * world.cores  # when each core is
-        self.keeps: OrderedDict[int, None] = OrderedDict()
-        self.held: set[Proxy] = set()  # whose connections it has
+    """A cache server with its cores, its cache and its connection table.
+
+    Each core processes one request at a time, in order of arrival, and also requests that are already late.
+    """
+
+    def __init__(self, name: str, world: World, started_at: int = 0):
+        self.name, self.world, self.started_at = (
+            name,
+            world,
+            started_at,
+        )  # started_at 0: warm from the beginning
+        self.core_free_at = [0] * world.cores_per_server
+        self.cached_keys: OrderedDict[int, None] = OrderedDict()
+        self.connected_proxies: set[Proxy] = set()
         self.hung = self.gone = False
-        self.slow = 1.0
-        self.came: deque[tuple[int, float]] = deque()  # while it is cold: when, and the work
-        self.pushed = 0.0  # the most of its bound that came within the time of a fall
-
-    def warmth(self, now: int) -> float:
-        if not self.started:
+        self.slowdown = 1.0
+        self.recent_arrivals: deque[tuple[int, float]] = (
+            deque()
+        )  # time and work, only while the server is cold
+        self.peak_overload = 0.0  # most work within an overload window, as a multiple of the allowed work
+
+    def warm_fraction(self, now: int) -> float:
+        """Return the present speed as a fraction of the speed of a warm server."""
+        if not self.started_at:
             return 1.0
         least = self.world.cold_share
-        return min(1.0, least + (1 - least) * (now - self.started) / self.world.cold)
+        return min(1.0, least + (1 - least) * (now - self.started_at) / self.world.warm_up_time)
+
+    def record_arrival(self, work: float, now: int) -> None:
+        """Count a request towards the overload of a cold server.
 
-    def takes(self, work: float, now: int) -> None:
-        """Counts towards its fall, also what it turns away.  N requests of mean work are its budget, and
-        beyond
-        that 2 x root of N + 2 are chance."""
-        if self.warmth(now) == 1 or not self.started:
+        The allowed work is that of N requests of mean work, plus 2 * sqrt(N) + 2 requests for random
+        variation.  Requests that the server rejects count, too.
+        """
+        if self.warm_fraction(now) == 1 or not self.started_at:
             return
-        self.came.append((now, work))
-        while self.came[0][0] <= now - self.world.fall:
-            self.came.popleft()
-        budget = self.world.overload * self.world.cores * self.warmth(now) * self.world.fall / self.world.mean
-        sent = sum(work for _, work in self.came) / self.world.mean
-        self.pushed = max(self.pushed, sent / (budget + 2 * budget**0.5 + 2))
-
-    def has(self, key: int) -> bool:
-        if key not in self.keeps and not self.started and self.world.chance.random() < self.world.hits:
-            self.keep(key)
-        if key in self.keeps:
-            self.keeps.move_to_end(key)
-        return key in self.keeps
-
-    def keep(self, key: int) -> None:
-        self.keeps[key] = None
-        if len(self.keeps) > self.world.copies:
-            self.keeps.popitem(last=False)
-
-    def done_at(self, work: float, key: int, now: int, origin: Origin) -> int:
-        core = min(range(len(self.free)), key=self.free.__getitem__)
-        start = max(now, self.free[core])
-        if not self.has(key):
-            start = origin.fetched_at(start)  # a miss holds its place
-            self.keep(key)
-        self.free[core] = start + round(work * self.slow / self.warmth(now))
-        return self.free[core]
+        self.recent_arrivals.append((now, work))
+        while self.recent_arrivals[0][0] <= now - self.world.overload_window:
+            self.recent_arrivals.popleft()
+        budget = (
+            self.world.overload_factor
+            * self.world.cores_per_server
+            * self.warm_fraction(now)
+            * self.world.overload_window
+            / self.world.mean_work
+        )
+        received = sum(work for _, work in self.recent_arrivals) / self.world.mean_work
+        self.peak_overload = max(self.peak_overload, received / (budget + 2 * budget**0.5 + 2))
+
+    def look_up(self, key: int) -> bool:
+        """Return whether the key is cached, and mark it as the most recently used."""
+        if (
+            key not in self.cached_keys
+            and not self.started_at
+            and self.world.rng.random() < self.world.warm_hit_ratio
+        ):
+            self.store(key)
+        if key in self.cached_keys:
+            self.cached_keys.move_to_end(key)
+        return key in self.cached_keys
+
+    def store(self, key: int) -> None:
+        """Cache a key and evict the least recently used key if the cache is full."""
+        self.cached_keys[key] = None
+        if len(self.cached_keys) > self.world.cache_capacity:
+            self.cached_keys.popitem(last=False)
+
+    def schedule_request(self, work: float, key: int, now: int, origin: Origin) -> int:
+        """Assign a request to the core that is free first, and return its completion time."""
+        core = min(range(len(self.core_free_at)), key=self.core_free_at.__getitem__)
+        start = max(now, self.core_free_at[core])
+        if not self.look_up(key):
+            start = origin.schedule_fetch(start)  # a miss occupies its core until the origin answers
+            self.store(key)
+        self.core_free_at[core] = start + round(work * self.slowdown / self.warm_fraction(now))
+        return self.core_free_at[core]
 
 
 class Origin:
-    """What all nodes fetch from: so many fetches at a time, in order."""
+    """The origin behind all servers; it serves a limited number of fetches at once, in order of arrival."""
 
     def __init__(self, world: World):
         self.world = world
-        self.free = [0] * world.fetches
-        self.fetches = 0
+        self.slot_free_at = [0] * world.concurrent_fetches
+        self.fetch_count = 0
 
-    def fetched_at(self, now: int) -> int:
-        start = max(now, heapq.heappop(self.free))
-        heapq.heappush(self.free, start + self.world.fetch)
-        self.fetches += 1
-        return start + self.world.fetch
+    def schedule_fetch(self, now: int) -> int:
+        """Start a fetch as soon as a slot is free, and return the time at which the fetch is done."""
+        start = max(now, heapq.heappop(self.slot_free_at))
+        heapq.heappush(self.slot_free_at, start + self.world.fetch_time)
+        self.fetch_count += 1
+        return start + self.world.fetch_time
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
-    """What a client wants, over all its tries."""
+class ClientOperation:
+    """An operation of a client, which sends one or more requests for it."""
 
     load: Load
     key: int
-    proxy: int
-    hurried: bool
-    since: int
-    tries: int = 0
+    proxy_number: int
+    impatient: bool
+    started_at: int
+    request_count: int = 0
 
 
 class Proxy:
-    """One instance with its timer; `settings` makes it anew at a restart."""
+    """One balancer with its timer; a restart of the proxy builds a new object from the same settings."""
 
-    def __init__(self, swarm: Swarm, number: int, nodes: list[Server], now: int):
+    def __init__(self, swarm: Swarm, number: int, endpoints: list[Server], now: int):
         self.swarm, self.number = swarm, number
-        settings = InstanceConfiguration(swarm.rng.getrandbits(60), swarm.sheet(number))
+        settings = InstanceConfiguration(swarm.rng.getrandbits(60), swarm.instance_settings(number))
         self.balancer: Balancer = settings.balancer
         self.request_classes, self.tenants = settings.request_classes, settings.tenants
-        self.alarm: int | None = None
-        self.out: dict[Attempt, Asked] = {}
-        self.asked: dict[Request, Asked] = {}
-        self.dead = False
-        self.balancer.update_endpoints(nodes, True, now)
+        self.wakeup_at: int | None = None
+        self.in_flight: dict[Attempt, ClientOperation] = {}
+        self.operations: dict[Request, ClientOperation] = {}
+        self.down = False
+        self.balancer.update_endpoints(endpoints, True, now)
 
 
 class Swarm:
-    """All of it.  `at(time, call)` puts a fault or a change of the list on the clock."""
+    """A simulated fleet with its clients, servers and origin.
+
+    `schedule(time, callback)` plans a fault or a change of the endpoint list.
+    """
 
     def __init__(self, rng: Random, loads: list[Load], world: World):
         self.rng, self.loads, self.world = rng, loads, world
-        world.mean = work(loads) * S
-        self.now, self.count = 1_000 * S, 0
-        self.begun = self.now
-        self.due: list[tuple[int, int, Callable]] = []
+        world.mean_work = mean_work_seconds(loads) * MICROSECONDS_PER_SECOND
+        self.now, self.event_count = 1_000 * MICROSECONDS_PER_SECOND, 0
+        self.started_at = self.now
+        self.events: list[tuple[int, int, Callable]] = []
         self.servers = {
-            name: SimulatedServer(name, world) for name in (f"n{i:04}" for i in range(world.nodes))
+            name: SimulatedServer(name, world) for name in (f"n{i:04}" for i in range(world.servers))
         }
         self.origin = Origin(world)
-        # Zipf's law with an offset: the most popular key has some hundredth of the requests.
-        self.popular = [*accumulate(1 / (rank + 5) for rank in range(world.keys))]
-        rates = [rng.lognormvariate(0, world.spread) for _ in range(world.proxies)]
-        self.rates = [rate / sum(rates) * world.reqs_per_s for rate in rates]
-        self.listed = {name: Server(name) for name in self.servers}
-        if world.aside:
-            self.listed[ORIGIN] = Server(ORIGIN, kind=1)
-        self.proxies = [Proxy(self, i, self.list(), self.now) for i in range(world.proxies)]
-        self.asked: Counter[tuple[str, int]] = Counter()  # by class and second
-        self.in_time: Counter[tuple[str, int]] = Counter()
-        self.ends: Counter[tuple[str, str]] = Counter()  # by class and how a try ended
-        self.most_runs = 0  # of a request whose effect must not come twice
+        # Zipf's law with an offset: the most popular key has about one hundredth of the requests.
+        self.cumulative_popularity = [*accumulate(1 / (rank + 5) for rank in range(world.key_count))]
+        rates = [rng.lognormvariate(0, world.rate_sigma) for _ in range(world.proxies)]
+        self.rates = [rate / sum(rates) * world.requests_per_second for rate in rates]
+        self.endpoints = {name: Server(name) for name in self.servers}
+        if world.cache_aside:
+            self.endpoints[ORIGIN] = Server(ORIGIN, kind=1)
+        self.proxies = [Proxy(self, i, self.copy_endpoints(), self.now) for i in range(world.proxies)]
+        self.operations_started: Counter[tuple[str, int]] = Counter()  # by class and second of the start
+        self.operations_satisfied: Counter[tuple[str, int]] = Counter()  # within the latency objective
+        self.results: Counter[tuple[str, str]] = Counter()  # client requests by class and result
+        self.max_executions = 0  # of a request whose effect must not be applied twice
         for number in range(world.proxies):
             for load in loads:
-                self.next_req(number, load)
+                self.schedule_operation(number, load)
 
-    def sheet(self, number: int) -> dict:
+    def instance_settings(self, number: int) -> dict:
+        """Return the settings of the proxy with this number."""
         world = self.world
-        limits = {"most_write_outs": world.attempts, "may_duplicate": True, "conn_idle": 60 * S * 1000}
-        limits |= {"peers": world.peers, "retry_after": True, "max_retry_after": 1_200_000_000}
-        aside = {"kinds": ["cache", ORIGIN], "specifics": {"origin_kind": 1}} if world.aside else {}
+        limits = {
+            "most_write_outs": world.max_attempts,
+            "may_duplicate": True,
+            "conn_idle": 60 * MICROSECONDS_PER_SECOND * 1000,
+        }
+        limits |= {"peers": world.gossip, "retry_after": True, "max_retry_after": 1_200_000_000}
+        aside = {"kinds": ["cache", ORIGIN], "specifics": {"origin_kind": 1}} if world.cache_aside else {}
         return aside | {
-            "methods": [load.sheet() for load in self.loads], "limits": limits, "n_instances": world.proxies,
-            "parties": [{"name": n, "allowance_per_s": a} for n, a in world.tenants.items()],
-            "excess_criticality": world.excess, "slot_no": number, "granularity": 5_000_000,
+            "methods": [load.settings() for load in self.loads], "limits": limits,
+            "n_instances": world.proxies,
+            "parties": [{"name": n, "allowance_per_s": a} for n, a in world.tenant_allowances.items()],
+            "excess_criticality": world.excess_priority_weight, "slot_no": number, "granularity": 5_000_000,
             "rules": {
-                "cold": world.cold * 1000, "cold_share": world.cold_share, "overload_factor": world.overload,
+                "cold": world.warm_up_time * 1000, "cold_share": world.cold_share,
+                "overload_factor": world.overload_factor,
             },
         }  # fmt: skip
 
-    def list(self) -> list[Server]:
-        return [Server(n.name, n.kind, state=n.state, started_at=n.started_at) for n in self.listed.values()]
-
-    def at(self, time: int, call: Callable, *given) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (time, self.count, lambda: call(*given)))
-
-    def play(self, span: int) -> None:
-        end = self.now + span
-        while self.due and self.due[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.due)
-            call()
+    def copy_endpoints(self) -> list[Server]:
+        """Return a copy of the endpoint list, because each balancer keeps its own state in the servers."""
+        return [
+            Server(server.name, server.kind, state=server.state, started_at=server.started_at)
+            for server in self.endpoints.values()
+        ]
+
+    def schedule(self, time: int, callback: Callable, *args) -> None:
+        """Call `callback(*args)` at a virtual time, in microseconds."""
+        self.event_count += 1
+        heapq.heappush(self.events, (time, self.event_count, lambda: callback(*args)))
+
+    def run(self, duration: int) -> None:
+        """Run the simulation for this number of microseconds of virtual time."""
+        end = self.now + duration
+        while self.events and self.events[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
         self.now = end
 
-    # Clients.
+    # Clients
 
-    def next_req(self, number: int, load: Load) -> None:
-        senders = load.proxies or self.world.proxies
+    def schedule_operation(self, number: int, load: Load) -> None:
+        """Schedule the next operation of a class at a proxy after an exponentially distributed interval."""
+        senders = load.senders or self.world.proxies
         if number >= senders:
             return
-        mean = self.rates[number] if load.proxies is None else self.world.reqs_per_s / senders
-        rate = mean * load.part
-        self.at(self.now + round(self.rng.expovariate(rate) * S), self.asks, number, load)
-
-    def asks(self, number: int, load: Load) -> None:
-        self.next_req(number, load)
-        key = bisect(self.popular, self.rng.random() * self.popular[-1])
-        hurried = self.rng.random() < self.world.hurried
-        self.asked[load.name, (self.now - self.begun) // S] += not hurried
-        self.try_again(Asked(load, key, number, hurried, self.now))
-
-    def try_again(self, asked: Asked) -> None:
-        proxy = self.proxies[asked.proxy]
-        if proxy.dead:
-            return self.ended(asked, "down")
-        asked.tries += 1
-        method = proxy.request_classes[asked.load.name]
-        give_up = self.now + (asked.load.budget // 20 if asked.hurried else 2 * asked.load.budget)
-        tenant = proxy.tenants.get(asked.load.tenant)
-        request = Request(method, self.now, give_up, asked.key, tenant, is_write=asked.load.write)
-        proxy.asked[request] = asked
-        self.carry(proxy, request, proxy.balancer.route(request, self.now))
-        self.settle(proxy)
-
-    def ended(self, asked: Asked, how: str) -> None:
-        self.ends[asked.load.name, how] += 1
-        if how in ("nack", "down") and asked.tries < self.world.tries:
-            self.at(self.now + self.rng.randrange(self.world.pause * 2), self.try_again, asked)
-
-    # Proxies.
-
-    def act(self, proxy: Proxy, action: Request | SendGossip | CloseIdleConnections) -> None:
+        total = self.rates[number] if load.senders is None else self.world.requests_per_second / senders
+        rate = total * load.share
+        self.schedule(
+            self.now + round(self.rng.expovariate(rate) * MICROSECONDS_PER_SECOND),
+            self.start_operation,
+            number,
+            load,
+        )
+
+    def start_operation(self, number: int, load: Load) -> None:
+        """Start an operation of a client and schedule the next one of its class."""
+        self.schedule_operation(number, load)
+        key = bisect(self.cumulative_popularity, self.rng.random() * self.cumulative_popularity[-1])
+        impatient = self.rng.random() < self.world.impatient_share
+        self.operations_started[
+            load.name, (self.now - self.started_at) // MICROSECONDS_PER_SECOND
+        ] += not impatient
+        self.send_request(ClientOperation(load, key, number, impatient, self.now))
+
+    def send_request(self, operation: ClientOperation) -> None:
+        """Send the next request of a client for its operation."""
+        proxy = self.proxies[operation.proxy_number]
+        if proxy.down:
+            return self.finish_request(operation, "down")
+        operation.request_count += 1
+        request_class = proxy.request_classes[operation.load.name]
+        give_up_at = self.now + (
+            operation.load.latency_objective // 20
+            if operation.impatient
+            else 2 * operation.load.latency_objective
+        )
+        tenant = proxy.tenants.get(operation.load.tenant)
+        request = Request(
+            request_class, self.now, give_up_at, operation.key, tenant, is_write=operation.load.is_write
+        )
+        proxy.operations[request] = operation
+        self.apply_decision(proxy, request, proxy.balancer.route(request, self.now))
+        self.perform_due_actions(proxy)
+
+    def finish_request(self, operation: ClientOperation, result: str) -> None:
+        """Count an unsatisfied request, and schedule a retry of the client if the proxy did not accept it."""
+        self.results[operation.load.name, result] += 1
+        if result in ("nack", "down") and operation.request_count < self.world.max_client_requests:
+            self.schedule(
+                self.now + self.rng.randrange(self.world.client_retry_delay * 2), self.send_request, operation
+            )
+
+    # Proxies
+
+    def perform(self, proxy: Proxy, action: Request | SendGossip | CloseIdleConnections) -> None:
+        """Perform an action that the balancer of a proxy has returned as due."""
         match action:
             case SendGossip(peer, datagram):
-                self.at(self.now + self.world.way, self.hears, peer, datagram)
+                self.schedule(self.now + self.world.network_delay, self.deliver_gossip, peer, datagram)
             case CloseIdleConnections(server):
                 if server.name in self.servers:
-                    self.servers[server.name].held.discard(proxy)
+                    self.servers[server.name].connected_proxies.discard(proxy)
             case request:
-                self.carry(proxy, request, proxy.balancer.route(request, self.now))
+                self.apply_decision(proxy, request, proxy.balancer.route(request, self.now))
 
-    def carry(self, proxy: Proxy, request: Request, decision: Decision) -> None:
+    def apply_decision(self, proxy: Proxy, request: Request, decision: Decision) -> None:
+        """Send an attempt of the request, or conclude the request, as the balancer decided."""
         match decision:
             case Send(timeout_at=timeout_at):
-                self.send(proxy, request.attempts[-1], timeout_at)
+                self.send_attempt(proxy, request.attempts[-1], timeout_at)
             case Reject():
-                self.over(proxy, request, "nack")
+                self.conclude_request(proxy, request, "nack")
             case Fail():
-                self.over(proxy, request, "fail")
+                self.conclude_request(proxy, request, "fail")
 
-    def over(self, proxy: Proxy, request: Request, how: str) -> None:
+    def conclude_request(self, proxy: Proxy, request: Request, result: str) -> None:
+        """Record the result of a request, unless the request is already concluded."""
         if not request.concluded:
             request.concluded = True
-            asked = proxy.asked.pop(request)
-            if how == "satisfied":
-                well = self.now - request.arrived_at <= request.request_class.latency_objective
-                self.ends[asked.load.name, "satisfied" if well else "late"] += 1
-                self.in_time[asked.load.name, (asked.since - self.begun) // S] += well and not asked.hurried
+            operation = proxy.operations.pop(request)
+            if result == "satisfied":
+                in_time = self.now - request.arrived_at <= request.request_class.latency_objective
+                self.results[operation.load.name, "satisfied" if in_time else "late"] += 1
+                self.operations_satisfied[
+                    operation.load.name, (operation.started_at - self.started_at) // MICROSECONDS_PER_SECOND
+                ] += in_time and not operation.impatient
             else:
-                self.ended(asked, how)
+                self.finish_request(operation, result)
 
-    def hears(self, peer: int, words: bytes) -> None:
+    def deliver_gossip(self, peer: int, datagram: bytes) -> None:
+        """Deliver a gossip datagram to a proxy, unless the proxy is down."""
         proxy = self.proxies[peer]
-        if not proxy.dead:
-            proxy.balancer.receive_gossip(words, self.now)
-            self.settle(proxy)
+        if not proxy.down:
+            proxy.balancer.receive_gossip(datagram, self.now)
+            self.perform_due_actions(proxy)
 
-    def settle(self, proxy: Proxy) -> None:
+    def perform_due_actions(self, proxy: Proxy) -> None:
+        """Perform all actions that are due at a proxy, and set its timer for the next one."""
         while True:
             wakeup = proxy.balancer.next_wakeup(self.now)
             if not wakeup.due:
                 break
             for action in wakeup.due:
-                self.act(proxy, action)
-        rest = wakeup.delay
-        if rest is not None and (proxy.alarm is None or self.now + max(rest, 1) < proxy.alarm):
-            proxy.alarm = self.now + max(rest, 1)
-            self.at(proxy.alarm, self.wake, proxy, proxy.alarm)
-
-    def wake(self, proxy: Proxy, alarm: int) -> None:
-        if proxy.alarm == alarm and not proxy.dead:
-            proxy.alarm = None
-            self.settle(proxy)
-
-    def send(self, proxy: Proxy, attempt: Attempt, until: int) -> None:
-        self.at(until, self.record_outcome, proxy, attempt, Outcome.TIMED_OUT)
-        self.at(self.now + self.world.way, self.comes, proxy, attempt)
-
-    def fetches(self, attempt: Attempt) -> int:
-        """When the origin has answered a proxy; of a read the cache that missed keeps the value."""
-        missed = [w.server.name for w in attempt.request.attempts if w.outcome == Outcome.CACHE_MISS]
+                self.perform(proxy, action)
+        delay = wakeup.delay
+        if delay is not None and (proxy.wakeup_at is None or self.now + max(delay, 1) < proxy.wakeup_at):
+            proxy.wakeup_at = self.now + max(delay, 1)
+            self.schedule(proxy.wakeup_at, self.wake, proxy, proxy.wakeup_at)
+
+    def wake(self, proxy: Proxy, wakeup_at: int) -> None:
+        """Perform due actions when the timer of a proxy fires, unless an earlier timer has replaced it."""
+        if proxy.wakeup_at == wakeup_at and not proxy.down:
+            proxy.wakeup_at = None
+            self.perform_due_actions(proxy)
+
+    def send_attempt(self, proxy: Proxy, attempt: Attempt, timeout_at: int) -> None:
+        """Send an attempt over the network and schedule its timeout."""
+        self.schedule(timeout_at, self.record_outcome, proxy, attempt, Outcome.TIMED_OUT)
+        self.schedule(self.now + self.world.network_delay, self.deliver_attempt, proxy, attempt)
+
+    def fetch_from_origin(self, attempt: Attempt) -> int:
+        """Return the time at which the origin has answered a proxy.
+
+        The cache server that reported a miss for the request stores the value.
+        """
+        missed = [
+            previous.server.name
+            for previous in attempt.request.attempts
+            if previous.outcome == Outcome.CACHE_MISS
+        ]
         if missed and missed[-1] in self.servers:
-            self.servers[missed[-1]].keep(attempt.request.key)
-        return self.origin.fetched_at(self.now)
+            self.servers[missed[-1]].store(attempt.request.key)
+        return self.origin.schedule_fetch(self.now)
 
-    def comes(self, proxy: Proxy, attempt: Attempt) -> None:
+    def deliver_attempt(self, proxy: Proxy, attempt: Attempt) -> None:
+        """Deliver an attempt to its server or to the origin, and schedule the outcome."""
         if attempt.server.name == ORIGIN:
-            return self.at(
-                self.fetches(attempt) + self.world.way, self.record_outcome, proxy, attempt, Outcome.SUCCEEDED
+            return self.schedule(
+                self.fetch_from_origin(attempt) + self.world.network_delay,
+                self.record_outcome,
+                proxy,
+                attempt,
+                Outcome.SUCCEEDED,
             )
         server = self.servers.get(attempt.server.name)
         if server is None or server.gone:
-            return self.at(
-                self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.CONNECTION_REFUSED
+            return self.schedule(
+                self.now + self.world.network_delay,
+                self.record_outcome,
+                proxy,
+                attempt,
+                Outcome.CONNECTION_REFUSED,
             )
-        if server.hung or attempt.outcome is not None or proxy.dead:
+        if server.hung or attempt.outcome is not None or proxy.down:
             return
-        attempt.first_on_connection = proxy not in server.held
-        if attempt.first_on_connection and len(server.held) >= self.world.table:
-            return self.at(self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.OVERLOADED)
-        server.held.add(proxy)
-        if self.world.aside and not server.has(attempt.request.key):
-            return self.at(self.now + self.world.way, self.record_outcome, proxy, attempt, Outcome.CACHE_MISS)
-        asked = proxy.asked.get(attempt.request)
-        work = (asked.load.work if asked else self.loads[0].work) * self.rng.gammavariate(3, 1 / 3)
-        server.takes(work, self.now)
-        done = server.done_at(work, attempt.request.key, self.now, self.origin)
-        self.at(done + self.world.way, self.record_outcome, proxy, attempt, Outcome.SUCCEEDED)
+        attempt.first_on_connection = proxy not in server.connected_proxies
+        if attempt.first_on_connection and len(server.connected_proxies) >= self.world.max_connections:
+            return self.schedule(
+                self.now + self.world.network_delay, self.record_outcome, proxy, attempt, Outcome.OVERLOADED
+            )
+        server.connected_proxies.add(proxy)
+        if self.world.cache_aside and not server.look_up(attempt.request.key):
+            return self.schedule(
+                self.now + self.world.network_delay, self.record_outcome, proxy, attempt, Outcome.CACHE_MISS
+            )
+        operation = proxy.operations.get(attempt.request)
+        work = (operation.load.mean_work if operation else self.loads[0].mean_work) * self.rng.gammavariate(
+            3, 1 / 3
+        )
+        server.record_arrival(work, self.now)
+        done_at = server.schedule_request(work, attempt.request.key, self.now, self.origin)
+        self.schedule(
+            done_at + self.world.network_delay, self.record_outcome, proxy, attempt, Outcome.SUCCEEDED
+        )
 
     def record_outcome(self, proxy: Proxy, attempt: Attempt, outcome: Outcome) -> None:
-        if attempt.outcome is not None or proxy.dead:
+        """Report the outcome of an attempt to its balancer, and perform what the balancer decides next."""
+        if attempt.outcome is not None or proxy.down:
             return
         follow_up = proxy.balancer.record_outcome(
             attempt, outcome, self.now, None, outcome == Outcome.SUCCEEDED
         )
         if outcome == Outcome.SUCCEEDED:
-            self.over(proxy, attempt.request, "satisfied")
+            self.conclude_request(proxy, attempt.request, "satisfied")
         for other in follow_up.cancel:
             if other.outcome is None:
                 proxy.balancer.record_outcome(other, Outcome.CANCELLED, self.now)
         if not attempt.request.concluded:
-            self.carry(proxy, attempt.request, follow_up.decision)
-        self.settle(proxy)
-
-    # Faults and the list.
+            self.apply_decision(proxy, attempt.request, follow_up.decision)
+        self.perform_due_actions(proxy)
 
-    def tell(self, *names: str) -> None:
-        """All proxies' lists, each a little later than the one before: seconds are for the caller to add."""
-        for proxy in self.proxies:
-            news = [n for n in self.list() if n.name in names]
-            self.at(self.now + self.rng.randrange(200_000), self.hears_list, proxy, news)
+    # Faults and changes of the endpoint list
 
-    def hears_list(self, proxy: Proxy, news: Sequence[Server]) -> None:
-        if not proxy.dead:
-            proxy.balancer.update_endpoints(news, False, self.now)
-            self.settle(proxy)
+    def announce(self, *names: str) -> None:
+        """Send the changed endpoints to each proxy after a random delay of less than 200 ms.
 
-    def replace(self, names: Sequence[str]) -> None:
-        """New nodes in the place of these, which leave at once: cold, and with other names."""
-        fresh = []
+        A caller that simulates slower discovery adds its own delay.
+        """
+        for proxy in self.proxies:
+            changes = [server for server in self.copy_endpoints() if server.name in names]
+            self.schedule(self.now + self.rng.randrange(200_000), self.update_endpoints, proxy, changes)
+
+    def update_endpoints(self, proxy: Proxy, changes: Sequence[Server]) -> None:
+        """Apply a change of the endpoint list at a proxy, unless the proxy is down."""
+        if not proxy.down:
+            proxy.balancer.update_endpoints(changes, False, self.now)
+            self.perform_due_actions(proxy)
+
+    def replace_servers(self, names: Sequence[str]) -> None:
+        """Remove servers at once and add a cold server with a new name for each of them."""
+        added = []
         for name in names:
             self.servers[name].gone = True
-            self.listed[name].state = ServerState.GONE
-            new = f"{name}+"
-            self.servers[new] = SimulatedServer(new, self.world, self.now)
-            self.listed[new] = Server(new, state=ServerState.READY, started_at=self.now)
-            fresh.append(new)
-        self.tell(*names, *fresh)
-
-    def hang(self, names: Sequence[str], on: bool = True) -> None:
+            self.endpoints[name].state = ServerState.GONE
+            new_name = f"{name}+"
+            self.servers[new_name] = SimulatedServer(new_name, self.world, self.now)
+            self.endpoints[new_name] = Server(new_name, state=ServerState.READY, started_at=self.now)
+            added.append(new_name)
+        self.announce(*names, *added)
+
+    def hang_servers(self, names: Sequence[str], hung: bool = True) -> None:
+        """Let servers accept requests without answering them, or answer again if `hung` is false."""
         for name in names:
-            self.servers[name].hung = on
+            self.servers[name].hung = hung
+
+    def kill_proxies(self, numbers: Sequence[int], downtime: int) -> None:
+        """Stop proxies with all their state; each starts again with only the endpoint list.
 
-    def kill(self, numbers: Sequence[int], back: int) -> None:
-        """Proxies die with what they hold, and come back knowing nothing but the list."""
+        Args:
+            numbers: Numbers of the proxies.
+            downtime: Time until the proxies start again, in microseconds.
+        """
         for number in numbers:
-            self.proxies[number].dead = True
+            self.proxies[number].down = True
             for server in self.servers.values():
-                server.held.discard(self.proxies[number])
-            self.at(self.now + back, self.restart, number)
+                server.connected_proxies.discard(self.proxies[number])
+            self.schedule(self.now + downtime, self.restart_proxy, number)
+
+    def restart_proxy(self, number: int) -> None:
+        """Start a proxy without any state of its predecessor."""
+        self.proxies[number] = Proxy(self, number, self.copy_endpoints(), self.now)
+        self.perform_due_actions(self.proxies[number])
 
-    def restart(self, number: int) -> None:
-        self.proxies[number] = Proxy(self, number, self.list(), self.now)
-        self.settle(self.proxies[number])
+    # Results
 
-    # What came of it.
+    def peak_overload(self) -> float:
+        """Return the highest peak overload of all cold servers; a server above 1 would have failed."""
+        return max((server.peak_overload for server in self.servers.values()), default=0.0)
 
-    def pushed(self) -> float:
-        """The most, over all cold nodes, of what may come to one before it falls."""
-        return max((server.pushed for server in self.servers.values()), default=0.0)
+    def served_shares(self, first: int = 0, last: int = 1 << 30) -> dict[str, float]:
+        """Return for each class the share of operations that were satisfied within the latency objective.
 
-    def served(self, first: int = 0, last: int = 1 << 30) -> dict[str, float]:
-        """By class: the part satisfied in time of what was asked for in these seconds."""
-        found = {}
+        Args:
+            first: First second in which the counted operations started.
+            last: Second after the last one that counts.
+        """
+        shares = {}
         for load in self.loads:
-            asked, well = (
-                sum(n for (name, at), n in of.items() if name == load.name and first <= at < last)
-                for of in (self.asked, self.in_time)
+            started, satisfied = (
+                sum(n for (name, second), n in counts.items() if name == load.name and first <= second < last)
+                for counts in (self.operations_started, self.operations_satisfied)
             )
-            found[load.name] = well / asked if asked else 1.0
-        return found
+            shares[load.name] = satisfied / started if started else 1.0
+        return shares
 
 
-# Faults that take a part of the fleet, by name.
+# Faults that affect a part of the fleet, by name
 
 
-def restart(swarm: Swarm) -> None:
-    """Seven in ten proxies die and come back after half a second."""
-    swarm.kill(swarm.rng.sample(range(swarm.world.proxies), swarm.world.proxies * 7 // 10), S // 2)
+def restart_proxies(swarm: Swarm) -> None:
+    """Kill seven in ten proxies and start them again after half a second."""
+    swarm.kill_proxies(
+        swarm.rng.sample(range(swarm.world.proxies), swarm.world.proxies * 7 // 10),
+        MICROSECONDS_PER_SECOND // 2,
+    )
 
 
-def replaced(swarm: Swarm) -> None:
-    """Six in ten nodes are replaced by cold ones, a third of them each second."""
-    names = swarm.rng.sample(sorted(swarm.servers), swarm.world.nodes * 6 // 10)
+def replace_servers(swarm: Swarm) -> None:
+    """Replace six in ten servers by cold ones, a third of them each second."""
+    names = swarm.rng.sample(sorted(swarm.servers), swarm.world.servers * 6 // 10)
     for part in range(3):
-        swarm.at(swarm.now + part * S, swarm.replace, names[part::3])
+        swarm.schedule(swarm.now + part * MICROSECONDS_PER_SECOND, swarm.replace_servers, names[part::3])
 
 
-def hung(swarm: Swarm) -> None:
-    """A tenth of the nodes take requests and answer none."""
-    swarm.hang(sorted(swarm.servers)[::10])
+def hang_servers(swarm: Swarm) -> None:
+    """Let a tenth of the servers accept requests without answering them."""
+    swarm.hang_servers(sorted(swarm.servers)[::10])
 
 
-def slowed(swarm: Swarm) -> None:
-    """An eighth of the nodes take six times as long."""
+def slow_down_servers(swarm: Swarm) -> None:
+    """Let an eighth of the servers take six times as long for a request."""
     for name in sorted(swarm.servers)[::8]:
-        swarm.servers[name].slow = 6.0
+        swarm.servers[name].slowdown = 6.0
 
 
-FAULTS = {"restart": restart, "replace": replaced, "hang": hung, "slow": slowed}
+FAULTS = {
+    "restart": restart_proxies,
+    "replace": replace_servers,
+    "hang": hang_servers,
+    "slow": slow_down_servers,
+}
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -1,4 +1,4 @@
-"""Whole fleets of the decisions before shared nodes: no class is shut out, whatever is strained."""
+"""Simulated fleets under overload, restarts, replacements and slow servers: no request class is starved."""
 
 from random import Random
 
@@ -19,217 +19,250 @@
 from ivystack.balancing.slow_start import SlowStart
 from ivystack.balancing.tenant_quotas import TenantQuotas
 from ivystack.model import Outcome, Request, Send, Tenant
-from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, work
+from ivystack.rig.swarm import FAULTS, MIX, Load, Swarm, World, mean_work_seconds
 from ivystack.configuration.instance import InstanceConfiguration
 from ivystack.configuration.errors import ConfigurationError
 
 
-def played(loads, load=1.0, nodes=16, proxies=40, seconds=5, fault=None, **more):
-    """A fleet asked for so much of what its cores can do; with a `fault` to set up."""
-    world = World(nodes=nodes, proxies=proxies, reqs_per_s=nodes * 3 / work(loads) * load, **more)
+def run_swarm(loads, utilization=1.0, servers=16, proxies=40, seconds=5, fault=None, **world_options):
+    """Run a fleet at `utilization` times its capacity; a fault, if any, begins after one second."""
+    world = World(
+        servers=servers,
+        proxies=proxies,
+        requests_per_second=servers * 3 / mean_work_seconds(loads) * utilization,
+        **world_options,
+    )
     swarm = Swarm(Random(5), loads, world)
     if fault:
-        swarm.at(swarm.now + S, FAULTS[fault], swarm)
-    swarm.play(seconds * S)
+        swarm.schedule(swarm.now + S, FAULTS[fault], swarm)
+    swarm.run(seconds * S)
     return swarm
 
 
-def least_of_all(swarm):
-    """What the least served class gets of what all get, without the first second and the last."""
-    served = swarm.served(1, (swarm.now - swarm.begun) // S - 1)
-    every = sum(one.part * served[one.name] for one in swarm.loads) / sum(one.part for one in swarm.loads)
-    return min(served.values()) / every
+def worst_to_mean_served_share(swarm):
+    """Return the lowest served share of a class, relative to that of all classes.
 
+    The first and the last second do not count.
+    """
+    served = swarm.served_shares(1, (swarm.now - swarm.started_at) // S - 1)
+    mean = sum(load.share * served[load.name] for load in swarm.loads) / sum(
+        load.share for load in swarm.loads
+    )
+    return min(served.values()) / mean
 
-@pytest.mark.parametrize("nodes, proxies, seconds", [(16, 40, 5), (50, 230, 4)])
-def test_no_class_is_shut_out_by_rank_when_more_is_asked_than_the_fleet_can_do(nodes, proxies, seconds):
-    swarm = played(MIX, 1.3, nodes, proxies, seconds)
-    assert least_of_all(swarm) > 0.6  # by rank alone 0.50 and 0.54
-    served = swarm.served(1)
-    assert served["sign"] > served["view"] > served["check"]  # rank shapes what is above the floor
 
+@pytest.mark.parametrize("servers, proxies, seconds", [(16, 40, 5), (50, 230, 4)])
+def test_priority_weights_starve_no_class_when_the_fleet_is_overloaded(servers, proxies, seconds):
+    swarm = run_swarm(MIX, 1.3, servers, proxies, seconds)
+    assert worst_to_mean_served_share(swarm) > 0.6  # 0.50 and 0.54 with shedding by priority alone
+    served = swarm.served_shares(1)
+    assert served["sign"] > served["view"] > served["check"]  # priority decides above the guaranteed floor
 
-@pytest.mark.parametrize("worth", [3, 100])
-def test_two_classes_of_like_or_very_unlike_worth(worth):
-    loads = [Load("low", 0.5, 60_000, 1, 750_000), Load("high", 0.5, 60_000, worth, 750_000)]
-    swarm = played(loads, 1.3)
-    assert least_of_all(swarm) > 0.72  # by rank alone 0.71 and 0.64
-    assert swarm.served(1)["high"] > swarm.served(1)["low"]
 
+@pytest.mark.parametrize("priority_weight", [3, 100])
+def test_two_classes_with_similar_or_very_different_priority_weights(priority_weight):
+    loads = [Load("low", 0.5, 60_000, 1, 750_000), Load("high", 0.5, 60_000, priority_weight, 750_000)]
+    swarm = run_swarm(loads, 1.3)
+    assert worst_to_mean_served_share(swarm) > 0.72  # 0.71 and 0.64 with shedding by priority alone
+    assert swarm.served_shares(1)["high"] > swarm.served_shares(1)["low"]
 
-def test_one_class_alone_and_one_of_two_reqs_in_a_hundred():
-    alone = played([Load("only", 1.0, 60_000, 0, 750_000)], 1.3)
-    assert alone.served(1, 4)["only"] > 0.25  # of no worth: once all ranked below all, 0.07
+
+def test_a_single_class_and_a_class_with_two_in_a_hundred_requests():
+    single = run_swarm([Load("only", 1.0, 60_000, 0, 750_000)], 1.3)
+    # With priority weight 0, 0.07 were served when the class ranked below every other request.
+    assert single.served_shares(1, 4)["only"] > 0.25
     loads = [Load("many", 0.98, 60_000, 5, 750_000), Load("few", 0.02, 60_000, 1, 750_000)]
-    assert least_of_all(played(loads, 1.3)) > 0.8  # by rank alone 0.57
+    assert worst_to_mean_served_share(run_swarm(loads, 1.3)) > 0.8  # 0.57 with shedding by priority alone
 
 
-def test_a_non_retryable_class_while_a_tenth_of_the_nodes_hang():
+def test_a_non_retryable_class_while_a_tenth_of_the_servers_hang():
     loads = [MIX[0], Load("pay", 0.2, 90_000, 1, 900_000, "side_effect")]
-    assert least_of_all(played(loads, 0.9, fault="hang")) > 0.9
+    assert worst_to_mean_served_share(run_swarm(loads, 0.9, fault="hang")) > 0.9
 
 
 @pytest.mark.parametrize("fault", ["restart", "replace"])
 def test_mass_restarts_and_replacements(fault):
-    assert least_of_all(played(MIX, 0.9, fault=fault, table=25)) > 0.8
+    assert worst_to_mean_served_share(run_swarm(MIX, 0.9, fault=fault, max_connections=25)) > 0.8
 
 
-def test_excess_of_a_tenant_finds_no_way_round_its_share_by_the_floor():
+def test_a_tenant_beyond_its_quota_cannot_use_the_guaranteed_floor():
     tenants = [Tenant("own", 600.0), Tenant("other", 600.0), Tenant("more", 60.0)]
-    shares = LoadShedder(Random(1), TenantQuotas(tenants, 40), 0.1)
-    parts = {one.name: [] for one in tenants}
-    for turn in range(2000):
-        for tenant, worth in zip(tenants, (5.0, 3.0, 1.0), strict=True):
-            asked = make_request(tenant=tenant, key=turn)
-            asked.request_class.priority_weight = worth
-            parts[tenant.name].append((shares.limit_fraction(asked, turn * 10_000), asked.required_share))
-    excess = [part for part, required_share in parts["more"][400:] if required_share]
-    within = [part for part, required_share in parts["more"][400:] if not required_share]
+    shedder = LoadShedder(Random(1), TenantQuotas(tenants, 40), 0.1)
+    limits = {tenant.name: [] for tenant in tenants}
+    for number in range(2000):
+        for tenant, priority_weight in zip(tenants, (5.0, 3.0, 1.0), strict=True):
+            request = make_request(tenant=tenant, key=number)
+            request.request_class.priority_weight = priority_weight
+            limits[tenant.name].append(
+                (shedder.limit_fraction(request, number * 10_000), request.required_share)
+            )
+    excess = [limit for limit, required_share in limits["more"][400:] if required_share]
+    within = [limit for limit, required_share in limits["more"][400:] if not required_share]
     assert len(excess) > 5 * len(within) > 0
-    assert max(excess) < 0.5 and sum(part > 0.6 for part in within) > len(within) // 5
+    assert max(excess) < 0.5 and sum(limit > 0.6 for limit in within) > len(within) // 5
 
 
-# Clients that give up before any answer can come.
+# Clients that give up before any answer can arrive
 
 
-def test_clients_that_give_up_too_early_do_not_use_up_the_nodes():
-    swarm = played(MIX, 0.9, hurried=0.6, seconds=7)
-    assert min(swarm.served(3, 6).values()) > 0.85  # 0.42 where all their reqs go out
+def test_clients_that_give_up_too_early_do_not_exhaust_the_servers():
+    swarm = run_swarm(MIX, 0.9, impatient_share=0.6, seconds=7)
+    # 0.42 if all requests of these clients are sent to servers.
+    assert min(swarm.served_shares(3, 6).values()) > 0.85
 
 
-def test_an_attempt_that_outlasts_patience_is_told_while_its_queue_still_grows():
-    made = make_balancer(make_servers(4), process_count=100, gossip=True)
-    asked = make_request()
-    node = made.route(asked, 0).server
-    made.suspect_late_attempts(asked, S // 2)
-    assert made.gossip.latest == {node: 2} and node.admitted_share < 1.0
+def test_an_attempt_that_outlasts_the_clients_patience_reduces_the_share_while_the_queue_grows():
+    balancer = make_balancer(make_servers(4), process_count=100, gossip=True)
+    request = make_request()
+    server = balancer.route(request, 0).server
+    balancer.suspect_late_attempts(request, S // 2)
+    assert balancer.gossip.latest == {server: 2} and server.admitted_share < 1.0
 
 
-def test_reqs_without_hope_are_nacked_at_once_but_a_few_which_show_when_there_is_some():
-    made = make_balancer(make_servers(4))
-    asked = make_request()
-    asked.request_class.success_times.extend([300_000] * 64)
+def test_hopeless_requests_are_rejected_at_once_except_for_a_few_probes():
+    balancer = make_balancer(make_servers(4))
+    template = make_request()
+    template.request_class.success_times.extend([300_000] * 64)
 
-    def sent(give_up):
-        again = [Request(asked.request_class, 0, give_up, key) for key in range(400)]
-        return sum(isinstance(made.route(one, 0), Send) for one in again)
+    def count_sent(give_up_at):
+        requests = [Request(template.request_class, 0, give_up_at, key) for key in range(400)]
+        return sum(isinstance(balancer.route(request, 0), Send) for request in requests)
 
-    made.limiter.admits = lambda *_: True
-    assert 1 <= sent(200_000) <= 20 and sent(400_000) == 400
-    # One of fewer chances ranks below one with more, and nothing is known before twenty answers.
-    parts = [
-        made.shedder.limit_fraction(make_request(key=turn), 0, (0.2, 1.0)[turn % 2]) for turn in range(200)
+    balancer.limiter.admits = lambda *_: True
+    assert 1 <= count_sent(200_000) <= 20 and count_sent(400_000) == 400
+    # A request that is less likely to succeed ranks lower. Before twenty answers nothing is estimated.
+    limits = [
+        balancer.shedder.limit_fraction(make_request(key=number), 0, (0.2, 1.0)[number % 2])
+        for number in range(200)
     ]
-    assert sum(parts[100::2]) < sum(parts[101::2]) - 20
-    asked.request_class.success_times.clear()
-    asked.request_class.success_times.extend([300_000] * 15)
-    assert sent(200_000) == 400
-
-
-# Tables of connections.
-
-
-def test_full_tables_of_connections_are_no_jam():
-    # A table holds a third of the proxies, and the nodes have little to do.
-    swarm = played(MIX, 0.5, proxies=75, table=25)
-    assert min(swarm.served(1, 4).values()) > 0.9
-    assert all(len(server.held) <= 25 for server in swarm.servers.values())
-
-
-def test_a_new_connection_turned_away_moves_no_share_and_is_told_to_nobody():
-    made = make_balancer(make_servers(4), process_count=100, gossip=True)
-    asked = make_request()
-    node = made.route(asked, 0).server
-    keep = made.connections.idle_time
-    asked.attempts[0].first_on_connection = True  # as the network part tells
-    made.record_outcome(asked.attempts[0], Outcome.OVERLOADED, 1000)
-    assert (node.admitted_share, made.limiter.common_share, made.gossip.latest) == (1.0, 1.0, {})
-    assert made.connections.idle_time < keep
-    made.next_wakeup(1000)
-    assert isinstance(made.route(asked, 1000), Send) and asked.attempts[1].server is not node
-    # Without one of our own there it is left alone for a while; one that is open still serves.
-    made.connections.idle_since.clear()
-    assert all(made.select_server(make_request(), 2000) is not node for _ in range(20))
-    made.connections.idle_since[node] = 2000
-    assert any(made.select_server(make_request(), 2000) is node for _ in range(20))
-
-
-def test_a_full_queue_still_is_one():
-    made = make_balancer(make_servers(4), process_count=100, gossip=True)
+    assert sum(limits[100::2]) < sum(limits[101::2]) - 20
+    template.request_class.success_times.clear()
+    template.request_class.success_times.extend([300_000] * 15)
+    assert count_sent(200_000) == 400
+
+
+# Connection tables of servers
+
+
+def test_full_connection_tables_cause_no_congestion():
+    # A connection table has room for a third of the proxies, and the servers have little to do.
+    swarm = run_swarm(MIX, 0.5, proxies=75, max_connections=25)
+    assert min(swarm.served_shares(1, 4).values()) > 0.9
+    assert all(len(server.connected_proxies) <= 25 for server in swarm.servers.values())
+
+
+def test_a_rejected_new_connection_changes_no_share_and_is_not_gossiped():
+    balancer = make_balancer(make_servers(4), process_count=100, gossip=True)
+    request = make_request()
+    server = balancer.route(request, 0).server
+    idle_time = balancer.connections.idle_time
+    request.attempts[0].first_on_connection = True  # set by the network code
+    balancer.record_outcome(request.attempts[0], Outcome.OVERLOADED, 1000)
+    assert (server.admitted_share, balancer.limiter.common_share, balancer.gossip.latest) == (1.0, 1.0, {})
+    assert balancer.connections.idle_time < idle_time
+    balancer.next_wakeup(1000)
+    assert isinstance(balancer.route(request, 1000), Send) and request.attempts[1].server is not server
+    # A proxy without a connection to the server avoids it for a while; an open connection is still used.
+    balancer.connections.idle_since.clear()
+    assert all(balancer.select_server(make_request(), 2000) is not server for _ in range(20))
+    balancer.connections.idle_since[server] = 2000
+    assert any(balancer.select_server(make_request(), 2000) is server for _ in range(20))
+
+
+def test_a_rejection_on_an_established_connection_still_means_a_full_queue():
+    balancer = make_balancer(make_servers(4), process_count=100, gossip=True)
     first, second = make_request(), make_request()
-    made.route(first, 0)
-    made.record_outcome(first.attempts[0], Outcome.SUCCEEDED, 1000)
-    node = made.route(second, 2000).server
-    made.record_outcome(second.attempts[0], Outcome.OVERLOADED, 3000)
-    assert node.admitted_share < 1.0 and node in made.gossip.latest
+    balancer.route(first, 0)
+    balancer.record_outcome(first.attempts[0], Outcome.SUCCEEDED, 1000)
+    server = balancer.route(second, 2000).server
+    balancer.record_outcome(second.attempts[0], Outcome.OVERLOADED, 3000)
+    assert server.admitted_share < 1.0 and server in balancer.gossip.latest
 
 
-def test_how_long_idle_connections_stay_settles_by_what_is_turned_away():
-    links, node = ConnectionBudget(60 * S, 200), make_servers(1)[0]
+def test_the_idle_time_of_connections_adapts_to_the_share_of_rejected_ones():
+    budget, server = ConnectionBudget(60 * S, 200), make_servers(1)[0]
     for _ in range(2000):
-        links.record_accepted()
-    assert links.idle_time == 60 * S  # nobody is turned away: for as long as the nodes let them
-    for turn in range(4000):
-        links.record_rejected(node, 0) if turn % 10 == 0 else links.record_accepted()
-    assert links.idle_time < S  # a tenth is
+        budget.record_accepted()
+    assert budget.idle_time == 60 * S  # no connection is rejected: the configured idle time applies
+    for number in range(4000):
+        budget.record_rejected(server, 0) if number % 10 == 0 else budget.record_accepted()
+    assert budget.idle_time < S  # a tenth of the connections is rejected
     assert ConnectionBudget(60 * S, 16).idle_time == 0
 
 
-# Worths that say nothing, and classes that are none.
-
-
-@pytest.mark.parametrize("worth, word", [(-1, ">= 0"), (float("nan"), ">= 0"), (float("inf"), "<= ")])
-def test_a_worth_that_is_none_is_one_clear_line(worth, word):
-    sheet = {"methods": [MIX[0].sheet() | {"criticality": worth}]}
-    with pytest.raises(ConfigurationError, match="criticality") as fault:
-        InstanceConfiguration(1, sheet)
-    assert word in str(fault.value) and "\n" not in str(fault.value)
+# Priority weights that do not discriminate or are invalid, and unknown request classes
 
 
-@pytest.mark.parametrize("worths", [(None, None), (0, 0), (7, 7), (0, 5)])
-def test_classes_of_no_worth_or_one_worth_all_find_a_place_under_strain(worths):
-    sheet = {"methods": [MIX[0].sheet() | {"name": name, "criticality": worth}
-                         for name, worth in zip("ab", worths, strict=True)]}  # fmt: skip
-    made = InstanceConfiguration(1, sheet)
-    shares, methods = made.balancer.shedder, made.request_classes
-    parts = {name: [] for name in methods}
-    for turn in range(600):
-        for name, method in methods.items():
-            parts[name].append(shares.limit_fraction(Request(method, turn, turn + S, turn), turn))
-    for name in parts:  # at half of the share
-        assert sum(part > 0.5 for part in parts[name][200:]) > 400 * 0.2, name
-
-
-def test_no_classes_and_a_req_of_an_unknown_one_get_an_answer_and_no_more():
+@pytest.mark.parametrize(
+    "priority_weight, message", [(-1, ">= 0"), (float("nan"), ">= 0"), (float("inf"), "<= ")]
+)
+def test_an_invalid_priority_weight_is_reported_in_one_line(priority_weight, message):
+    settings = {"methods": [MIX[0].settings() | {"criticality": priority_weight}]}
+    with pytest.raises(ConfigurationError, match="criticality") as error:
+        InstanceConfiguration(1, settings)
+    assert message in str(error.value) and "\n" not in str(error.value)
+
+
+@pytest.mark.parametrize("priority_weights", [(None, None), (0, 0), (7, 7), (0, 5)])
+def test_classes_without_or_with_equal_priority_weights_are_all_admitted_under_overload(priority_weights):
+    settings = {"methods": [MIX[0].settings() | {"name": name, "criticality": weight}
+                            for name, weight in zip("ab", priority_weights, strict=True)]}  # fmt: skip
+    instance = InstanceConfiguration(1, settings)
+    shedder, request_classes = instance.balancer.shedder, instance.request_classes
+    limits = {name: [] for name in request_classes}
+    for number in range(600):
+        for name, request_class in request_classes.items():
+            limits[name].append(
+                shedder.limit_fraction(Request(request_class, number, number + S, number), number)
+            )
+    for name in limits:  # at half of the share
+        assert sum(limit > 0.5 for limit in limits[name][200:]) > 400 * 0.2, name
+
+
+def test_a_request_of_an_unknown_class_is_answered_with_an_error_only():
     for run in (make_process_configuration(methods=[]), None):
-        made = make_proxy(2, run=run)
+        proxy = make_proxy(2, run=run)
         if run is not None:
-            made.settings.request_classes.clear()
-            made.client_server.set_names(made.settings.request_classes, made.settings.tenants)
-        asks = connect_client(made)
-        asks.dataReceived(encode_get(fields=b"c=other,t=t,d=500"))
+            proxy.settings.request_classes.clear()
+            proxy.client_server.set_names(proxy.settings.request_classes, proxy.settings.tenants)
+        client = connect_client(proxy)
+        client.dataReceived(encode_get(fields=b"c=other,t=t,d=500"))
         assert (
-            asks.transport.take_output().startswith(b"-ERR")
-            and not made.request_handler.requests
-            and made.has_ready_server()
+            client.transport.take_output().startswith(b"-ERR")
+            and not proxy.request_handler.requests
+            and proxy.has_ready_server()
         )
 
 
-@pytest.mark.parametrize("overload, fall", [(4.0, S), (2.0, 3 * S // 2)])
-def test_cold_nodes_get_no_more_of_thirty_proxies_than_chance_allows(overload, fall):
-    # Simulated: a third of the nodes replaced at once, a burst, clients that come again.
-    world = World(nodes=12, proxies=30, reqs_per_s=12 * 3 / work(MIX) * 1.2, overload=overload, fall=fall)
+@pytest.mark.parametrize("overload_factor, overload_window", [(4.0, S), (2.0, 3 * S // 2)])
+def test_thirty_proxies_send_cold_servers_no_more_than_random_variation_allows(
+    overload_factor, overload_window
+):
+    # A third of the servers is replaced at once during a load peak, and clients retry.
+    world = World(
+        servers=12,
+        proxies=30,
+        requests_per_second=12 * 3 / mean_work_seconds(MIX) * 1.2,
+        overload_factor=overload_factor,
+        overload_window=overload_window,
+    )
     swarm = Swarm(Random(3), MIX, world)
-    swarm.at(swarm.now + S, swarm.replace, sorted(swarm.servers)[::3])
-    swarm.play(4 * S)
-    assert 0.1 < swarm.pushed() <= 1
+    swarm.schedule(swarm.now + S, swarm.replace_servers, sorted(swarm.servers)[::3])
+    swarm.run(4 * S)
+    assert 0.1 < swarm.peak_overload() <= 1
 
 
-def test_the_count_of_a_cold_nodes_reqs_finds_one_that_is_sent_all(monkeypatch):
+def test_the_peak_overload_detects_a_cold_server_that_receives_its_full_share(monkeypatch):
     monkeypatch.setattr(SlowStart, "warm_fraction", lambda *_: 1.0)
     loads = [Load("only", 1.0, 60_000, 1, 750_000)]
-    world = World(nodes=6, proxies=30, reqs_per_s=6 * 3 / work(loads), overload=1.2, cold_share=0.2)
+    world = World(
+        servers=6,
+        proxies=30,
+        requests_per_second=6 * 3 / mean_work_seconds(loads),
+        overload_factor=1.2,
+        cold_share=0.2,
+    )
     swarm = Swarm(Random(3), loads, world)
-    swarm.at(swarm.now + S, swarm.replace, ["n0000"])
-    swarm.play(4 * S)
-    assert swarm.pushed() > 1
+    swarm.schedule(swarm.now + S, swarm.replace_servers, ["n0000"])
+    swarm.run(4 * S)
+    assert swarm.peak_overload() > 1
