--- a/ivystack/rig/agree.py
+++ b/ivystack/rig/agree.py
@@ -1,6 +1,7 @@
-"""Asks the consensus group of a run for things, as a proxy would, and keeps the history.
+"""Workload on the consensus group of a run, with a recorded history, and a Byzantine peer of the group.
 
-Owns the rig's own link to the members.  It must never count an operation as not done that was not answered.
+The workload reaches the members over links of its own, as a proxy does.  An operation without an answer may
+have been executed, and the history says so.
 """
 
 from __future__ import annotations
@@ -14,118 +15,150 @@
 from ..mesh.keys import KeyRing
 from ..mesh.mesh import Mesh
 from ..net.deadlines import DeadlineQueue
-from .linear import Op
+from .linear import Operation
 
-NAME, LIAR = "rig", "liar"  # the second one has links while it lies alone
-WITHIN = 3_000_000  # microseconds for an answer
-LINKS = 32
-OPEN = 8  # operations at once: a history with more takes long to judge
+MESH_NAME, BYZANTINE_MESH_NAME = "rig", "liar"  # the second mesh has links only while its fault is active
+OPERATION_TIMEOUT = 3_000_000  # microseconds
+MAX_CONNECTIONS = 32
+MAX_OPEN_OPERATIONS = 8  # at once: the check of a history with more concurrent operations takes long
 
 
-class Agreeing:
+class ConsensusWorkload:
+    """Sends random reads and writes of table keys to the consensus group and records their history."""
+
     def __init__(
         self, reactor, now, rng: Random, keys: KeyRing, members: dict[str, tuple[str, int]], bind: str,
-        rate: float, count: int,
+        rate: float, key_count: int,
     ):  # fmt: skip
-        self.reactor, self.now, self.rng, self.rate, self.count = reactor, now, rng, rate, count
+        """Open links to the members of the group.
+
+        Args:
+            reactor: A Twisted reactor.
+            now: Returns the present time in microseconds.
+            rng: Source of all random choices.
+            keys: The key ring of the fleet.
+            members: Address of each member by its name.
+            bind: IP address from which the links are opened.
+            rate: Mean operations per second; 0 for none.
+            key_count: Number of table keys that the operations use.
+        """
+        self.reactor, self.now, self.rng, self.rate, self.key_count = reactor, now, rng, rate, key_count
         deadlines = DeadlineQueue(reactor, now)
-        self.mesh, self.liar = (
-            Mesh(reactor, deadlines, now, rng, name, keys, LINKS, members, None, bind)
-            for name in (NAME, LIAR)
+        self.mesh, self.byzantine_mesh = (
+            Mesh(reactor, deadlines, now, rng, name, keys, MAX_CONNECTIONS, members, None, bind)
+            for name in (MESH_NAME, BYZANTINE_MESH_NAME)
         )
         self.client = Client(deadlines, now, rng, self.mesh, [*members])
-        self.history: list[tuple[str, Op]] = []
-        self.known: dict[str, int] = {}  # versions as last seen
-        self.open: dict[int, tuple[str, int, tuple]] = {}
-        self.number = 0
-        self.done = False
-        self.holder = self.trier = ""  # of slot-order and node-trials, as the group's leader tells
-        self.mesh.handlers["duty"] = self.hear
+        self.history: list[tuple[str, Operation]] = []  # operations with their keys
+        self.last_versions: dict[str, int] = {}  # version by key in the last answer
+        self.open_operations: dict[int, tuple[str, int, tuple]] = {}  # key, start and arguments by number
+        self.operation_count = 0
+        self.stopped = False
+        # Holders of the duties slot-order and node-trials, as the leader of the group announces them.
+        self.slot_order_holder = self.node_trials_holder = ""
+        self.mesh.handlers["duty"] = self.announcement_received
         self.mesh.start()
 
-    def hear(self, frm: str, body) -> None:
-        rows = body[2]
-        self.holder, self.trier = (
-            rows.get(duty, [""])[0].rpartition("/")[0] for duty in ("slot-order", "node-trials")
+    def announcement_received(self, sender: str, body) -> None:
+        """Store the holders of the duties from a lease announcement."""
+        leases = body[2]
+        self.slot_order_holder, self.node_trials_holder = (
+            leases.get(duty, [""])[0].rpartition("/")[0] for duty in ("slot-order", "node-trials")
         )
 
-    def members(self, members: dict[str, tuple[str, int]]) -> None:
+    def set_members(self, members: dict[str, tuple[str, int]]) -> None:
+        """Replace the members of the group and their addresses."""
         self.mesh.set_members(members)
         self.client.members = [*members]
 
-    def led(self) -> defer.Deferred:
-        """Whether the group answers by now."""
+    def has_leader(self) -> defer.Deferred:
+        """Return a Deferred that fires with whether the group answers a query within one second."""
         done: defer.Deferred = defer.Deferred()
-        self.client.query("table", "get", ["a"], lambda good, what: done.callback(good), 1_000_000)
+        self.client.query("table", "get", ["a"], lambda accepted, answer: done.callback(accepted), 1_000_000)
         return done
 
     def start(self) -> None:
-        if self.rate and not self.done:
-            self.ask()
+        """Start operations at exponentially distributed intervals."""
+        if self.rate and not self.stopped:
+            self.start_operation()
             self.reactor.callLater(self.rng.expovariate(self.rate), self.start)
 
-    def ask(self) -> None:
-        if len(self.open) >= OPEN:
+    def start_operation(self) -> None:
+        """Read or write a random key, unless too many operations are open."""
+        if len(self.open_operations) >= MAX_OPEN_OPERATIONS:
             return
-        self.number += 1
-        number, key = self.number, f"k{self.rng.randrange(self.count)}"
+        self.operation_count += 1
+        number, key = self.operation_count, f"k{self.rng.randrange(self.key_count)}"
         if self.rng.random() < 0.4:
             args: tuple = ("get",)
-            call = self.client.query
-            asked = [key]
+            submit = self.client.query
+            fields = [key]
         else:
-            wanted = self.known.get(key, 0) if self.rng.random() < 0.5 else None
-            args = ("set", b"%d" % number, wanted)
-            call = self.client.execute
-            asked = [key, args[1], wanted]
-        self.open[number] = key, self.now(), args
-
-        def done(good: bool, what) -> None:
-            key, called, args = self.open.pop(number)
-            if good and what:
-                self.known[key] = what[1]
-            self.history.append((key, Op(called, self.now() if good else inf, args, what if good else None)))
-
-        call("table", args[0], asked, done, WITHIN)
-
-    lies = False
-
-    def lie(self) -> None:
-        """A peer with a valid key that lies, hundreds of times a second: claims duties in others' names,
-        tokens far ahead, news and votes as if it were a member, an order of no real node, whatever else."""
-        if not self.lies or self.done:
-            return self.liar.stop()
-        self.reactor.callLater(0.01, self.lie)
+            expected_version = self.last_versions.get(key, 0) if self.rng.random() < 0.5 else None
+            args = ("set", b"%d" % number, expected_version)
+            submit = self.client.execute
+            fields = [key, args[1], expected_version]
+        self.open_operations[number] = key, self.now(), args
+
+        def finished(accepted: bool, answer) -> None:
+            key, invoked_at, args = self.open_operations.pop(number)
+            if accepted and answer:
+                self.last_versions[key] = answer[1]
+            self.history.append(
+                (
+                    key,
+                    Operation(
+                        invoked_at, self.now() if accepted else inf, args, answer if accepted else None
+                    ),
+                )
+            )
+
+        submit("table", args[0], fields, finished, OPERATION_TIMEOUT)
+
+    byzantine = False
+
+    def send_byzantine_messages(self) -> None:
+        """Send false messages from a peer with a valid key, hundreds of times per second while `byzantine`.
+
+        The messages claim duties in the names of other proxies and fencing tokens far ahead, announce and
+        vote as if the peer were a member, set a slot order without any real server, or are malformed.
+        """
+        if not self.byzantine or self.stopped:
+            return self.byzantine_mesh.stop()
+        self.reactor.callLater(0.01, self.send_byzantine_messages)
         rng, ahead = self.rng, 1 << 40
-        new = rng.randrange(1 << 20, ahead)
-        victim, me = self.holder or "p0", f"{LIAR}/{self.liar.incarnation}"
-        asks = [
-            ("do", [me, new, "duty", "take", ["slot-order", f"{victim}/false"]]),
-            ("do", [me, new, "duty", "free", ["slot-order", rng.randrange(5)]]),
-            ("do", [me, new, "duty", "put", ["slot-order", ahead, b"xyzuvw"]]),
-            ("do", [me, new, "duty", "take", ["all", me]]),
-            ("do", [me, new, "table", "set", ["k", bytes(200_000), None]]),
-            ("do", [f"{LIAR}/{new}", new, "table", "set", ["k", b"", None]]),
+        number = rng.randrange(1 << 20, ahead)
+        victim, own_id = (
+            self.slot_order_holder or "p0",
+            f"{BYZANTINE_MESH_NAME}/{self.byzantine_mesh.incarnation}",
+        )
+        requests = [
+            ("do", [own_id, number, "duty", "take", ["slot-order", f"{victim}/false"]]),
+            ("do", [own_id, number, "duty", "free", ["slot-order", rng.randrange(5)]]),
+            ("do", [own_id, number, "duty", "put", ["slot-order", ahead, b"xyzuvw"]]),
+            ("do", [own_id, number, "duty", "take", ["all", own_id]]),
+            ("do", [own_id, number, "table", "set", ["k", bytes(200_000), None]]),
+            ("do", [f"{BYZANTINE_MESH_NAME}/{number}", number, "table", "set", ["k", b"", None]]),
             ("do", [f"{victim}/1", 1, "table", "set", ["k", b"", None]]),
             ("look", ["duty", "renew", ["slot-order", 1, f"{victim}/false", 0]]),
-            ("do", [me, new, "nothing", "set", []]),
-            ("do", [me, "one", None, 5, {}]),
+            ("do", [own_id, number, "nothing", "set", []]),
+            ("do", [own_id, "one", None, 5, {}]),
         ]
-        send = self.liar.send
-        for peer in [*self.liar.peers]:
-            send(peer, "duty", (ahead, ahead, {"slot-order": [me, ahead, ahead]}))
+        send = self.byzantine_mesh.send
+        for peer in [*self.byzantine_mesh.peers]:
+            send(peer, "duty", (ahead, ahead, {"slot-order": [own_id, ahead, ahead]}))
             send(peer, "knock", (f"{peer}/ffffffff", True))
             send(peer, "raft", (f"{victim}/0", f"{peer}/0", ["v", ahead, ahead, ahead, False, True]))
-            send(peer, "ask", (rng.randrange(1 << 40), *rng.choice(asks)))
+            send(peer, "ask", (rng.randrange(1 << 40), *rng.choice(requests)))
 
-    def rest(self) -> None:
-        """Asks nothing more."""
-        self.done = True
+    def stop_sending(self) -> None:
+        """Start no more operations; answers to open ones are still recorded."""
+        self.stopped = True
 
     def stop(self) -> None:
-        """What has no answer yet may have been done."""
-        self.done = True
-        for key, called, args in self.open.values():
-            self.history.append((key, Op(called, inf, args)))
-        self.open = {}
+        """Record open operations as possibly executed, and close the links."""
+        self.stopped = True
+        for key, invoked_at, args in self.open_operations.values():
+            self.history.append((key, Operation(invoked_at, inf, args)))
+        self.open_operations = {}
         self.mesh.stop()
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -13,7 +13,7 @@
 
 from ..load.clients import NACKED, SERVED, Class, Try
 from ..standin.ledger import SERVING, Ledger, Taken
-from .linear import Op, linearizable
+from .linear import Operation, linearizable
 
 GRACE = 1_000_000  # after it was told, nothing new goes to a node that drains or is gone
 WINDOW = 1_000_000  # over which a cold node's reqs are counted
@@ -275,7 +275,7 @@
     return (args[1], version + 1), [True, version + 1]
 
 
-def agreed(history: list[tuple[str, Op]]) -> list[Breach]:
+def agreed(history: list[tuple[str, Operation]]) -> list[Breach]:
     """Each key's operations by themselves must be linearizable."""
     found, by_key = [], defaultdict(list)
     for key, op in history:
@@ -284,24 +284,24 @@
         for part, state in windows(ops):
             if not linearizable(part, state, table_step):
                 text = f"{len(part)} operations that no order explains"
-                found.append(Breach("linearizable", int(part[0].called), key, text))
+                found.append(Breach("linearizable", int(part[0].invoked_at), key, text))
                 break
     return found
 
 
-def windows(ops: list[Op]) -> list[tuple[list[Op], tuple[bytes, int]]]:
+def windows(ops: list[Operation]) -> list[tuple[list[Operation], tuple[bytes, int]]]:
     """A key's history cut where nothing is under way and a look tells the state, so that each part is small.
 
     Operations without an answer may take effect later, so after one there is no further cut.
     """
-    ops = sorted(ops, key=lambda op: op.called)
+    ops = sorted(ops, key=lambda op: op.invoked_at)
     parts, state, first, latest = [], (b"", 0), 0, 0.0
     for at, op in enumerate(ops):
-        alone = op.called > latest and (at + 1 == len(ops) or ops[at + 1].called > op.returned)
-        if alone and op.args[0] == "get" and op.returned != inf and at > first:
+        alone = op.invoked_at > latest and (at + 1 == len(ops) or ops[at + 1].invoked_at > op.returned_at)
+        if alone and op.args[0] == "get" and op.returned_at != inf and at > first:
             parts.append((ops[first : at + 1], state))
             state, first = tuple(op.result), at  # it is looked at again as the first of the next part
-        latest = max(latest, op.returned)
+        latest = max(latest, op.returned_at)
     parts.append((ops[first:], state))
     return parts
 
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -60,8 +60,8 @@
             return fault
         known = {
             LEADER: self.rig.agreeing.client.leader or self.rig.rng.choice(self.rig.members),
-            HOLDER: self.rig.agreeing.holder or self.rig.rng.choice([*self.rig.processes]),
-            TRIER: self.rig.agreeing.trier or self.rig.rng.choice([*self.rig.processes]),
+            HOLDER: self.rig.agreeing.slot_order_holder or self.rig.rng.choice([*self.rig.processes]),
+            TRIER: self.rig.agreeing.node_trials_holder or self.rig.rng.choice([*self.rig.processes]),
         }
         who, between = ([known.get(one, one) for one in of] for of in (fault.who, fault.between))
         return replace(fault, who=who, between=between)
@@ -89,14 +89,14 @@
             self.rig.clients.leave(found(fault.who, [*self.rig.processes], "who"), fault.part)
         elif fault.kind in PEER:
             self.mark("rig", fault.kind, undo)
-            self.rig.agreeing.lies = True
-            self.rig.agreeing.liar.start()
-            self.rig.agreeing.lie()
-            undo.append((setattr, self.rig.agreeing, "lies", False))
+            self.rig.agreeing.byzantine = True
+            self.rig.agreeing.byzantine_mesh.start()
+            self.rig.agreeing.send_byzantine_messages()
+            undo.append((setattr, self.rig.agreeing, "byzantine", False))
         elif fault.kind in FILES:
             self.mark("fleet", f"members {' '.join(fault.who)}", undo)
             self.rig.fleet_files(found(fault.who, [*self.rig.processes], "who"))
-            self.rig.agreeing.members({one: self.rig.mesh_doors[one] for one in self.rig.members})
+            self.rig.agreeing.set_members({one: self.rig.mesh_doors[one] for one in self.rig.members})
             self.rig.ports.let_go()
             for process in self.rig.processes.values():
                 process.signal(signal.SIGHUP)
@@ -105,7 +105,7 @@
                 self.to_node(self.rig.nodes[name], fault, undo)
                 if fault.kind == "origin-slow":
                     break
-        self.rig.hub.changed()
+        self.rig.hub.apply_changes()
 
     def end_fault(self, number: int) -> None:
         undo = self.active.pop(number, [])
@@ -278,12 +278,12 @@
     def to_link(self, one: str, other: str, fault: Fault, undo: list) -> None:
         hub, ways = self.rig.hub, []
         if fault.way in ("both", "there"):
-            ways.append(hub.way(one, other))
+            ways.append(hub.direction(one, other))
         if fault.way in ("both", "back"):
-            ways.append(hub.way(other, one))
+            ways.append(hub.direction(other, one))
         if fault.kind == "half-open":
             hub.half_open(one, other)
-            undo.append((hub.whole_again, one, other))
+            undo.append((hub.reset_half_open, one, other))
         name = {"freeze": "frozen", "reset": "reset_after"}.get(fault.kind, fault.kind)
         values = {
             "cut": True, "hole": True, "frozen": True, "delay": fault.ms / 1000, "loss": fault.part,
@@ -294,8 +294,8 @@
             if fault.kind == "delay":
                 sets["jitter"] = fault.jitter_ms / 1000
             for key, value in sets.items():
-                way.begin(key, value)
-                undo.append((way.end, key, value))
+                way.begin_fault(key, value)
+                undo.append((way.end_fault, key, value))
         both = {one, other}
         proxies = [name for name in both if name in self.rig.processes]
         other_side = (both - {*proxies}).pop() if len(proxies) == 1 else None
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -24,12 +24,12 @@
 from ..standin.ledger import SERVING
 from ..standin.node import Node
 from ..standin.origin import Origin
-from .agree import Agreeing
+from .agree import ConsensusWorkload
 from .faults import Faults
 from .logs import logged
 from .processes import Process
 from .record import CLASSES, MULTIPLE, SHARE, US, WINDOW, Record, window
-from .relay import Hub
+from .relay import RelayHub
 from .scenario import Scenario, names
 from .verdict import judged
 
@@ -118,7 +118,7 @@
         self.scenario, self.folder, self.reactor, self.tell = scenario, folder, reactor, tell
         self.program = program  # the folder that holds the package; None: our own
         self.rng = Random(scenario.seed)
-        self.hub = Hub(reactor, Random(self.rng.getrandbits(64)))
+        self.hub = RelayHub(reactor, Random(self.rng.getrandbits(64)))
         self.record = Record(scenario)
         self.ledger = self.record.ledger
         self.faults = Faults(self)
@@ -129,7 +129,7 @@
         self.meshes: dict[str, tuple[str, int]] = {}
         self.mesh_doors: dict[str, tuple[str, int]] = {}
         self.members: list[str] = []
-        self.agreeing: Agreeing | None = None
+        self.agreeing: ConsensusWorkload | None = None
         self.others: list[Process] = []  # beside the first ones
         self.looked = self.now()
         self.build()
@@ -147,33 +147,33 @@
             self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger,
             time=fleet.origin_time, at_once=fleet.origin, windows=windows,
         )  # fmt: skip
-        hosts = {name: hub.host(name, 1, number) for number, name in enumerate(proxies)}
+        hosts = {name: hub.assign_host(name, 1, number) for number, name in enumerate(proxies)}
         self.nodes = {}
         for number, name in enumerate(nodes):
             node = self.nodes[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
                 zone=f"z{number % fleet.zones}", cores=fleet.cores, time=fleet.service,
-                warm=int(fleet.warm * US), memory=fleet.memory, names=hub.names,
+                warm=int(fleet.warm * US), memory=fleet.memory, names=hub.process_names,
             )  # fmt: skip
-            node.listen(hub.host(name, 2, number))
+            node.listen(hub.assign_host(name, 2, number))
         self.discovery = Discovery(
-            self.reactor, self.now, self.ledger, place=self.place_of_node, names=hub.names
+            self.reactor, self.now, self.ledger, place=self.place_of_node, names=hub.process_names
         )
-        self.discovery.listen(hub.host("discovery", 3, 0))
-        hub.host("clients", 4, 0)
+        self.discovery.listen(hub.assign_host("discovery", 3, 0))
+        hub.assign_host("clients", 4, 0)
         self.to_nodes = {
-            (one, other): hub.door(one, other, self.nodes[other].address)
+            (one, other): hub.relay_tcp(one, other, self.nodes[other].address)
             for one in proxies for other in nodes
         }  # fmt: skip
-        self.to_discovery = {one: hub.door(one, "discovery", self.discovery.address) for one in proxies}
+        self.to_discovery = {one: hub.relay_tcp(one, "discovery", self.discovery.address) for one in proxies}
         self.discovery.change(SERVING, *self.nodes.values())
         self.listens = {one: (hosts[one], self.ports.free(hosts[one])) for one in proxies}
-        self.to_proxies = {one: hub.door("clients", one, self.listens[one]) for one in proxies}
+        self.to_proxies = {one: hub.relay_tcp("clients", one, self.listens[one]) for one in proxies}
         self.talks, self.posts = {}, {}
         if fleet.peers:
             talks = {one: self.ports.free(hosts[one], socket.SOCK_DGRAM) for one in proxies}
             self.talks = {one: (hosts[one], talks[one]) for one in proxies}
-            self.posts = {one: hub.post(one, self.talks[one]) for one in proxies}
+            self.posts = {one: hub.relay_udp(one, self.talks[one]) for one in proxies}
         self.admins = {one: (hosts[one], self.ports.free(hosts[one])) for one in proxies}
         if fleet.group:
             self.fleet_files([*hosts][: fleet.group])
@@ -191,7 +191,7 @@
             Random(self.rng.getrandbits(64)),
             self.to_proxies,
             CLASSES,
-            self.hub.refused,
+            self.hub.refused_callers,
             self.scenario.load.reuse == "oldest",
         )
         self.arrivals = drawn(
@@ -210,7 +210,7 @@
                 host = self.hub.hosts[one]
                 self.meshes[one] = host, self.ports.free(host)
                 # A relay's listener has its process's own address, by which a member is known.
-                self.mesh_doors[one] = self.hub.door(None, one, self.meshes[one], host)
+                self.mesh_doors[one] = self.hub.relay_tcp(None, one, self.meshes[one], host)
         if not (self.folder / "fleet.key").exists():
             write_key_file(self.folder / "fleet.key", "k1")
         self.members = members
@@ -291,12 +291,12 @@
         rng = Random(self.rng.getrandbits(64))
         doors = {one: self.mesh_doors[one] for one in self.members}
         keys = read_key_file(self.folder / "fleet.key")
-        self.agreeing = Agreeing(
+        self.agreeing = ConsensusWorkload(
             self.reactor, self.now, rng, keys, doors, self.hub.hosts["clients"],
             self.scenario.agree.rate, self.scenario.agree.keys,
         )  # fmt: skip
         began = self.now()
-        while not await self.agreeing.led():
+        while not await self.agreeing.has_leader():
             if (self.now() - began) / US > GROUP_WITHIN:
                 raise RuntimeError(f"no leader of the consensus group within {GROUP_WITHIN:g} s")
         self.tell(f"the consensus group is led by {self.agreeing.client.leader}")
@@ -314,7 +314,7 @@
         await self.wait(scenario.seconds)
         self.faults.heal()
         if self.agreeing is not None:
-            self.reactor.callLater(scenario.settle, self.agreeing.rest)
+            self.reactor.callLater(scenario.settle, self.agreeing.stop_sending)
         await self.wait(scenario.settle + max(one.wait for one in CLASSES) / US)
         record.end = self.now()
         if scenario.fleet.group:
@@ -386,7 +386,7 @@
         for name, process in self.processes.items():
             (self.hub.down.discard if process.up() else self.hub.down.add)(name)
         if before != self.hub.down:
-            self.hub.changed()
+            self.hub.apply_changes()
 
     def gather(self) -> None:
         """The rest of the record, and the verdict on it."""
--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -2,12 +2,13 @@
 
 This module simulates clients, the timers of the proxies, the queues and caches of the servers, the origin,
 and the outcome of each request by class.  It makes no decision for a proxy and does not change one: each
-proxy is a Balancer that is built from settings and called as the network code calls it.  There are no sockets
-and no frames; a connection is only an entry in the connection table of its server, at most one for each proxy.
+proxy is a Balancer that is built from settings and called as the network code calls it.  There are no
+sockets and no frames; a connection is only an entry in the connection table of its server, at most one for
+each proxy.
 
     swarm = Swarm(Random(1), loads, World(servers=60, proxies=40, requests_per_second=900))
     swarm.run(10_000_000)
-    swarm.served_shares()  # {"read": 0.81, ..}: share of client operations satisfied in time, with all retries
+    swarm.served_shares()  # {"read": 0.81, ..}: share of operations, with all retries, satisfied in time
 """
 
 from __future__ import annotations
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -69,7 +69,7 @@
             if part < hold.each_class:
                 text = f"{part:.3f} of {len(asked)} reqs of {name} in time, {hold.each_class:g} are to be"
                 yield Breach("hold.each_class", int(to), f"third {number + 1}", text)
-    new = sum(one.called >= last and one.returned != inf for _, one in record.agreed)
+    new = sum(one.invoked_at >= last and one.returned_at != inf for _, one in record.agreed)
     if new < hold.agreed_last:
         text = f"{new} answers from the agreed state, {hold.agreed_last} are to be"
         yield Breach("hold.agreed_last", record.end, "group", text)
--- a/tests/test_consensus_state_machine.py
+++ b/tests/test_consensus_state_machine.py
@@ -8,7 +8,7 @@
 from ivystack.consensus.messages import encode
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
 from ivystack.rig.check import agreed
-from ivystack.rig.linear import Op
+from ivystack.rig.linear import Operation
 
 
 def test_a_retried_command_is_executed_once_also_after_a_snapshot():
@@ -53,13 +53,13 @@
     valid, at, version = [], 0, 0
     for number in range(200):
         version += 1
-        valid.append(("k", Op(at, at + 5, ("set", b"%d" % number, None), [True, version])))
-        valid.append(("k", Op(at + 6, at + 7, ("get",), [b"%d" % number, version])))
+        valid.append(("k", Operation(at, at + 5, ("set", b"%d" % number, None), [True, version])))
+        valid.append(("k", Operation(at + 6, at + 7, ("get",), [b"%d" % number, version])))
         at += 10
     assert agreed(valid) == []
-    stale = ("k", Op(at, at + 1, ("get",), [b"198", 199]))
-    unanswered = ("k", Op(at, inf, ("set", b"x", None)))
+    stale = ("k", Operation(at, at + 1, ("get",), [b"198", 199]))
+    unanswered = ("k", Operation(at, inf, ("set", b"x", None)))
     assert [breach.rule for breach in agreed([*valid, stale])] == ["linearizable"]
     assert agreed([*valid, unanswered]) == []
-    conflicting = [("k", Op(at, at + 2, ("set", value, 200), [True, 201])) for value in (b"y", b"z")]
+    conflicting = [("k", Operation(at, at + 2, ("set", value, 200), [True, 201])) for value in (b"y", b"z")]
     assert [breach.rule for breach in agreed([*valid, *conflicting])] == ["linearizable"]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,11 +15,11 @@
 from ivystack.load.clients import Asked, Class, Try
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import Act, Excuse, Terms, duties, rules
-from ivystack.rig.linear import Op, TooLargeError, linearizable
+from ivystack.rig.linear import Operation, TooLargeError, linearizable
 from ivystack.rig.record import Record
 from ivystack.rig.scenario import ScenarioError, checked
 from ivystack.rig.verdict import judged
-from ivystack.rig.ways import HELD, Stream, Way
+from ivystack.rig.ways import MAX_QUEUED_BYTES, LinkDirection, Stream
 from ivystack.standin.ledger import Effect, Ledger, Taken, Told
 
 CLASSES = {"read": Class("read"), "pay": Class("pay", write=True, repeats=False, marked=True)}
@@ -151,10 +151,10 @@
         return (args[1], None) if args[0] == "put" else (state, state)
 
     def put(called, returned, value):
-        return Op(called, returned, ("put", value))
+        return Operation(called, returned, ("put", value))
 
     def get(called, returned, value):
-        return Op(called, returned, ("get",), value)
+        return Operation(called, returned, ("get",), value)
 
     forever = float("inf")
     assert linearizable([put(0, 5, 1), get(1, 2, 0), get(3, 4, 1)], 0, step)
@@ -214,7 +214,7 @@
 
 
 def test_bytes_on_their_way_keep_their_order_under_jitter_and_a_rate_and_hold_their_sender():
-    clock, way = Clock(), Way("a", "b", Random(1))
+    clock, way = Clock(), LinkDirection("a", "b", Random(1))
     way.delay, way.jitter = 0.05, 0.1
     other = Other(way, clock)
     for number in range(50):
@@ -228,32 +228,32 @@
     way.rate = 1000
     other = Other(way, clock)
     for _ in range(3):
-        other.stream.put(bytes(HELD // 2))
+        other.stream.put(bytes(MAX_QUEUED_BYTES // 2))
     assert other.paused and not other.got
-    clock.advance(HELD / 1000 * 2)
+    clock.advance(MAX_QUEUED_BYTES / 1000 * 2)
     assert not other.paused and len(other.got) == 3
 
 
 def test_frozen_bytes_come_later_swallowed_ones_never_and_that_is_known():
-    clock, way = Clock(), Way("a", "b", Random(1))
+    clock, way = Clock(), LinkDirection("a", "b", Random(1))
     other = Other(way, clock)
     way.frozen = True
     other.stream.put(b"x")
     clock.advance(9)
     assert other.got == []
     way.frozen = False
-    other.stream.arm()
+    other.stream.start_timer()
     clock.advance(0)
-    assert other.got == [b"x"] and not other.stream.dirty
+    assert other.got == [b"x"] and not other.stream.lost_bytes
     way.hole = True
     other.stream.put(b"y")
     way.hole = False
     clock.advance(9)
-    assert other.got == [b"x"] and other.stream.dirty
+    assert other.got == [b"x"] and other.stream.lost_bytes
 
 
 def test_a_reset_comes_in_the_middle_of_a_message():
-    clock, way = Clock(), Way("a", "b", Random(1))
+    clock, way = Clock(), LinkDirection("a", "b", Random(1))
     other = Other(way, clock)
     way.reset_after = 5
     other.stream.put(b"123")
@@ -262,18 +262,23 @@
 
 
 def test_faults_of_one_way_that_overlap_end_each_by_itself_and_leave_nothing():
-    way = Way("a", "b", Random(1))
-    way.begin("cut", True), way.begin("cut", True), way.begin("delay", 0.1), way.begin("delay", 0.3)
-    way.end("cut", True), way.end("delay", 0.1)
+    way = LinkDirection("a", "b", Random(1))
+    (
+        way.begin_fault("cut", True),
+        way.begin_fault("cut", True),
+        way.begin_fault("delay", 0.1),
+        way.begin_fault("delay", 0.3),
+    )
+    way.end_fault("cut", True), way.end_fault("delay", 0.1)
     assert way.cut and way.delay == 0.3
-    way.end("cut", True), way.end("delay", 0.3)
-    assert way.plain()
+    way.end_fault("cut", True), way.end_fault("delay", 0.3)
+    assert way.is_transparent()
 
 
 def test_datagrams_are_lost_and_doubled_by_their_parts():
-    way = Way("a", "b", Random(1))
+    way = LinkDirection("a", "b", Random(1))
     way.loss, way.twice = 0.3, 0.5
-    copies = [len(way.datagrams()) for _ in range(4000)]
+    copies = [len(way.datagram_delays()) for _ in range(4000)]
     assert abs(copies.count(0) / 4000 - 0.3) < 0.03 and abs(copies.count(2) / 4000 - 0.35) < 0.03
 
 
