--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -24,7 +24,7 @@
 from ivystack.consensus.storage import Storage
 from ivystack.consensus.storage_files import DATABASE_FILE, connect
 from ivystack.rig.play import Rig
-from ivystack.rig.scenario import checked
+from ivystack.rig.scenario import parse_scenario
 
 PAYLOAD = 100  # bytes
 
@@ -50,13 +50,13 @@
 
 
 async def measure(folder: Path, seconds: float, flying: int) -> tuple[list[float], float, dict]:
-    scene = checked({"version": 1, "seconds": 1, "fleet": {"proxies": 3, "group": 3}}, "bench")
+    scene = parse_scenario({"version": 1, "seconds": 1, "fleet": {"proxies": 3, "group": 3}}, "bench")
     rig = Rig(scene, folder, reactor)
     times: list[float] = []
     try:
-        await rig.begin()
-        await rig.agree()
-        client, end, done = rig.agreeing.client, time.monotonic() + seconds, defer.Deferred()
+        await rig.start_processes()
+        await rig.start_group()
+        client, end, done = rig.group_client.client, time.monotonic() + seconds, defer.Deferred()
         out = 0
 
         def ask() -> None:
@@ -82,11 +82,11 @@
             ask()
         await done
         spent = time.monotonic() - began
-        states = [(await rig.fleet_of(name))["group"] for name in rig.processes]
+        states = [(await rig.fleet_status(name))["group"] for name in rig.processes]
         leader = next(one for one in states if one["role"] == "leader")
         return times, spent, leader
     finally:
-        rig.clear()
+        rig.shut_down()
 
 
 def main() -> None:
--- a/ivystack/rig/__init__.py
+++ b/ivystack/rig/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: several real processes of the program on loopback, and faults between them."""
+"""The rig: a test tool that runs several real processes of the program on loopback, with faults."""
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -1,7 +1,7 @@
-"""What must hold, read out of what was recorded: the four rules, histories of duties.
+"""Checks of a recorded run: the rules that proxies must follow, the replicated table, and the duties.
 
-Owns the verdicts.  It does no I/O and must never call a run good for want of a record, or excuse what no
-fault of the scenario explains.
+These functions do no I/O.  A missing record never counts as a good one, and a breach is passed over only if a
+fault of the scenario explains it (see Exemption).
 """
 
 from __future__ import annotations
@@ -15,160 +15,192 @@
 from ..standin.ledger import SERVING, Ledger, Taken
 from .linear import Op, linearizable
 
-GRACE = 1_000_000  # after it was told, nothing new goes to a node that drains or is gone
-WINDOW = 1_000_000  # over which a cold node's reqs are counted
-GONE, FEW = 300_000, 0.25  # so long after its client has left a req is not sent on; the part that may be
-BEGUN, CHANCE = 100_000, 2  # no attempt, first or further, begins later after that; so many may
+DRAIN_GRACE_US = 1_000_000  # from the news that a server drains or is gone until new requests are a breach
+COLD_WINDOW_US = 1_000_000  # in which the requests to a cold server are counted
+# A waiting request must not be sent to a server later than this after its client left, but for this fraction.
+SENT_AFTER_LEFT_US, MAX_SENT_FRACTION = 300_000, 0.25
+# No attempt, first or further, may begin later than this after its client left, but for this number.
+BEGUN_AFTER_LEFT_US, MAX_BEGUN = 100_000, 2
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
+    """A rule that was broken at the time `at`, in microseconds."""
+
     rule: str
     at: int
-    who: str  # the req, node or duty that it is about
+    subject: str  # the request, server or duty concerned
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Excuse:
-    """From `frm` to `to` that proxy (None: each) may leave clients without answers, since a fault keeps it
-    from them; or, where `node` is named, its word and news to and from there may be late."""
+class Exemption:
+    """A time from `start` to `end` in which a fault excuses a proxy (None: every proxy).
+
+    Without `server`, the proxy may leave clients without answers, and its messages may be late.  With
+    `server`, only messages between the proxy and that server (or discovery) may be late.
+    """
 
-    frm: int
-    to: int
+    start: int
+    end: int
     proxy: str | None = None
-    node: str | None = None
+    server: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the rules go by.  Times are microseconds; `cold`: reqs that a cold node may get in a second."""
+class RuleLimits:
+    """Limits that the rules are checked against.  Times are microseconds."""
 
     classes: dict[str, Class]
-    slack: int  # on the time of a final answer
-    late: int = 50_000  # on all else: what the rig itself may lag
-    lag: int = 0  # how late the rig was: for so long bytes may have lain in its own relays
-    grace: int = GRACE
-    cold: float | None = None
-    end: int | None = None  # tries that are due later are not judged
-    windows: dict[str, int] = field(default_factory=dict)  # of deduplicated classes
-
-
-def rules(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
-    """Every breach of the four rules, and of reqs sent on for nobody, in the order of their times."""
-    found = [
-        *one_answer(tries, ledger, excuses, terms),
-        *one_effect(tries, ledger, terms),
-        *in_its_window(ledger, excuses, terms),
-        *nothing_new(ledger, excuses, terms),
-        *cold_nodes(ledger, terms),
-        *for_nobody(tries, ledger, terms),
-        *begun_for_nobody(tries, ledger, excuses, terms),
-        *sent_after_its_answer(tries, ledger, excuses, terms),
+    answer_slack: int  # added to the time limit of a final answer
+    tolerance: int = 50_000  # added to all other time limits, for the lag of the rig itself
+    relay_lag: int = 0  # the rig's lag: for this long its own relays may have held bytes back
+    drain_grace: int = DRAIN_GRACE_US
+    cold: float | None = None  # requests that a cold server may receive in COLD_WINDOW_US
+    end: int | None = None  # client attempts that are due later are not checked
+    dedup_windows: dict[str, int] = field(default_factory=dict)  # by request class
+
+
+def check_rules(
+    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+) -> list[Breach]:
+    """Return all breaches of the four rules and of the rules on clients that left, in order of time."""
+    breaches = [
+        *check_one_answer(attempts, ledger, exemptions, limits),
+        *check_no_double_effect(attempts, ledger, limits),
+        *check_dedup_windows(ledger, exemptions, limits),
+        *check_draining_servers(ledger, exemptions, limits),
+        *check_cold_servers(ledger, limits),
+        *check_sent_after_client_left(attempts, ledger, limits),
+        *check_begun_after_client_left(attempts, ledger, exemptions, limits),
+        *check_sent_after_end(attempts, ledger, exemptions, limits),
     ]
-    return sorted(found, key=lambda breach: breach.at)
+    return sorted(breaches, key=lambda breach: breach.at)
 
 
-def excused(excuses: list[Excuse], proxy: str, frm: int, to: int) -> bool:
+def is_exempt(exemptions: list[Exemption], proxy: str, start: int, end: int) -> bool:
+    """Return whether the proxy may leave clients without answers at some time from `start` to `end`."""
     return any(
-        one.node is None and one.proxy in (None, proxy) and one.frm <= to and frm <= one.to for one in excuses
+        exemption.server is None
+        and exemption.proxy in (None, proxy)
+        and exemption.start <= end
+        and start <= exemption.end
+        for exemption in exemptions
     )
 
 
-def one_answer(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
-    """Rule 1: each accepted req gets exactly one final answer in time, nothing after it.
+def check_one_answer(
+    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+) -> list[Breach]:
+    """Rule 1: each accepted request gets exactly one final answer in time, and nothing after it.
 
-    One that crossed the end of a kept connection was not accepted, unless a node had it from that proxy.  It
-    did not cross the end if it had lain there for longer than `late`: the proxy had that time to read it.  On
-    a new connection nothing crosses but what the rig itself held back.
+    A request that crossed the end of a reused connection was not accepted, unless a server received it from
+    that proxy.  A request that had arrived more than `tolerance` before the end did not cross it, because the
+    proxy had that time to read it.  On a new connection a request crosses the end only within the time for
+    which the rig itself may have held it back.
     """
-    found, reached = [], {(taken.proxy, taken.ident) for taken in ledger.taken}
-    for one in tries:
-        name, late = one.ident.decode(), one.by + terms.slack
-        if one.left is not None or (terms.end is not None and one.by > terms.end):
+    breaches, received = [], {(taken.proxy, taken.ident) for taken in ledger.taken}
+    for attempt in attempts:
+        name, latest = attempt.ident.decode(), attempt.by + limits.answer_slack
+        if attempt.left is not None or (limits.end is not None and attempt.by > limits.end):
             continue
-        if len(one.answers) > 1:
-            when, _, text = one.answers[1]
-            found.append(Breach("one answer", when, name, f"{one.proxy} answered again: {text[:40]!r}"))
-        crossed = one.ended is not None and one.ended - one.at <= (terms.late if one.crossed else terms.lag)
-        unread = crossed and (one.proxy, one.ident) not in reached
-        if not one.answers and not unread and not excused(excuses, one.proxy, one.at, late):
-            how = "never came"
-            if one.ended is not None:
-                how = f"its connection ended after {(one.ended - one.at) // 1000} ms"
-            found.append(Breach("one answer", one.ended or late, name, f"{one.proxy}: no answer, {how}"))
-        for when, kind, text in one.answers[:1]:
-            if when > late and not excused(excuses, one.proxy, one.at, when):
-                found.append(
-                    Breach("one answer", when, name, f"{one.proxy}: {(when - one.by) // 1000} ms late")
+        if len(attempt.answers) > 1:
+            when, _, text = attempt.answers[1]
+            breaches.append(
+                Breach("one answer", when, name, f"{attempt.proxy} answered again: {text[:40]!r}")
+            )
+        crossed = attempt.ended is not None and attempt.ended - attempt.at <= (
+            limits.tolerance if attempt.crossed else limits.relay_lag
+        )
+        unread = crossed and (attempt.proxy, attempt.ident) not in received
+        if (
+            not attempt.answers
+            and not unread
+            and not is_exempt(exemptions, attempt.proxy, attempt.at, latest)
+        ):
+            how = "none came in time"
+            if attempt.ended is not None:
+                how = f"its connection ended after {(attempt.ended - attempt.at) // 1000} ms"
+            breaches.append(
+                Breach("one answer", attempt.ended or latest, name, f"{attempt.proxy}: no answer, {how}")
+            )
+        for when, kind, text in attempt.answers[:1]:
+            if when > latest and not is_exempt(exemptions, attempt.proxy, attempt.at, when):
+                breaches.append(
+                    Breach(
+                        "one answer", when, name, f"{attempt.proxy}: {(when - attempt.by) // 1000} ms late"
+                    )
                 )
-            if kind == SERVED and one.ident not in text:
-                words = f"{one.proxy}: another's answer, {text[:40]!r}"
-                found.append(Breach("one answer", when, name, words))
-    return found
+            if kind == SERVED and attempt.ident not in text:
+                message = f"{attempt.proxy}: answer to another request, {text[:40]!r}"
+                breaches.append(Breach("one answer", when, name, message))
+    return breaches
 
 
-def one_effect(tries: list[Try], ledger: Ledger, terms: Terms) -> list[Breach]:
-    """Rule 2: no effect twice; nothing nacked that may have run."""
-    found, runs, outs = [], defaultdict(list), defaultdict(list)
-    by_mark = defaultdict(list)
+def check_no_double_effect(attempts: list[Try], ledger: Ledger, limits: RuleLimits) -> list[Breach]:
+    """Rule 2: no effect happens twice, and no request that may have run is nacked."""
+    breaches, runs, sends = [], defaultdict(list), defaultdict(list)
+    by_token = defaultdict(list)
     for effect in ledger.effects:
         runs[effect.ident].append(effect)
         if effect.mark:
-            by_mark[effect.method, effect.mark].append(effect)
+            by_token[effect.method, effect.mark].append(effect)
     for taken in ledger.taken:
         if not taken.busy:
-            outs[taken.ident].append(taken)
-    for (_, mark), effects in by_mark.items():
+            sends[taken.ident].append(taken)
+    for (_, token), effects in by_token.items():
         if len(effects) > 1:
             text = f"carried out {len(effects)} times, at {', '.join(e.node for e in effects)}"
-            found.append(Breach("no effect twice", effects[1].at, mark.decode(), text))
-    sent = defaultdict(list)
-    for one in tries:
-        sent[one.ident].append(one)
-    for ident, of in sent.items():
-        one, name = of[0], ident.decode()
-        method = terms.classes[one.method]
-        if method.repeats:
+            breaches.append(Breach("no effect twice", effects[1].at, token.decode(), text))
+    by_ident = defaultdict(list)
+    for attempt in attempts:
+        by_ident[attempt.ident].append(attempt)
+    for ident, same in by_ident.items():
+        first, name = same[0], ident.decode()
+        request_class = limits.classes[first.method]
+        if request_class.repeats:
             continue
-        if len(outs[ident]) > 1:
-            text = f"written out {len(outs[ident])} times, to {', '.join(t.node for t in outs[ident])}"
-            found.append(Breach("no effect twice", outs[ident][1].at, name, text))
-        nacks = [when for answered in of for when, kind, _ in answered.answers if kind == NACKED]
-        if nacks and outs[ident]:
-            text = f"nacked by {one.proxy}, though {outs[ident][0].node} had taken it"
-            found.append(Breach("no effect twice", nacks[0], name, text))
-        if len(runs[ident]) > 1 and len(outs[ident]) < 2:
-            found.append(Breach("no effect twice", runs[ident][1].at, name, "carried out twice"))
-    return found
-
-
-def in_its_window(ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
-    """Rule 2, as a node sees it that drops repeats just as long as stated: what may have run comes again
-    within the window of the first that may have."""
-    found, first = [], {}
-    for taken in sorted(ledger.taken, key=lambda one: one.at):
-        window = terms.windows.get(taken.method)
+        if len(sends[ident]) > 1:
+            text = f"sent {len(sends[ident])} times, to {', '.join(t.node for t in sends[ident])}"
+            breaches.append(Breach("no effect twice", sends[ident][1].at, name, text))
+        nacks = [when for attempt in same for when, kind, _ in attempt.answers if kind == NACKED]
+        if nacks and sends[ident]:
+            text = f"nacked by {first.proxy}, though {sends[ident][0].node} had accepted it"
+            breaches.append(Breach("no effect twice", nacks[0], name, text))
+        if len(runs[ident]) > 1 and len(sends[ident]) < 2:
+            breaches.append(Breach("no effect twice", runs[ident][1].at, name, "carried out twice"))
+    return breaches
+
+
+def check_dedup_windows(ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits) -> list[Breach]:
+    """Rule 2 for a server that drops repeats for exactly the configured deduplication window.
+
+    A repeat of a request that may have run must arrive within the window of the first attempt that may have.
+    """
+    breaches, first = [], {}
+    for taken in sorted(ledger.taken, key=lambda taken: taken.at):
+        window = limits.dedup_windows.get(taken.method)
         if window is None or taken.busy:
             continue
         before = first.setdefault(taken.ident, taken.at)
-        if taken.at > before + window + terms.late and not held_up(excuses, taken, before):
+        if taken.at > before + window + limits.tolerance and not may_be_delayed(exemptions, taken, before):
             text = f"sent to {taken.node} {(taken.at - before) // 1000} ms after the first"
-            found.append(Breach("no effect twice", taken.at, taken.ident.decode(), text))
-    return found
+            breaches.append(Breach("no effect twice", taken.at, taken.ident.decode(), text))
+    return breaches
 
 
-def held_up(excuses: list[Excuse], taken: Taken, frm: int) -> bool:
-    """A fault of the link may have kept it on its way: when it went out is not known."""
+def may_be_delayed(exemptions: list[Exemption], taken: Taken, start: int) -> bool:
+    """Return whether a fault of the link after `start` may have delayed the request, so that its time of
+    sending is unknown."""
     return any(
-        one.node in (None, taken.node) and one.proxy in (None, taken.proxy)
-        and one.frm <= taken.at and frm <= one.to for one in excuses
+        exemption.server in (None, taken.node) and exemption.proxy in (None, taken.proxy)
+        and exemption.start <= taken.at and start <= exemption.end for exemption in exemptions
     )  # fmt: skip
 
 
-def nothing_new(ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
-    """Rule 3: nothing new to a node that drains or is gone, after the grace."""
-    found, states = [], defaultdict(list)
+def check_draining_servers(ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits) -> list[Breach]:
+    """Rule 3: a server that drains or is gone gets no new requests after the grace."""
+    breaches, states = [], defaultdict(list)
     for told in ledger.told:
         states[told.proxy, told.node].append(told)
     for taken in ledger.taken:
@@ -177,96 +209,121 @@
             if told.at <= taken.at:
                 last = told if told.state != SERVING and (last is None or last.state == SERVING) else last
                 last = None if told.state == SERVING else last
-        if last is None or taken.at <= last.at + terms.grace + terms.late:
+        if last is None or taken.at <= last.at + limits.drain_grace + limits.tolerance:
             continue
-        late = any(
-            one.frm <= taken.at and last.at <= one.to and one.proxy in (None, taken.proxy)
-            and one.node in (None, taken.node, "discovery") for one in excuses
+        delayed = any(
+            exemption.start <= taken.at and last.at <= exemption.end
+            and exemption.proxy in (None, taken.proxy)
+            and exemption.server in (None, taken.node, "discovery") for exemption in exemptions
         )  # fmt: skip
-        if not late:
+        if not delayed:
             ms = (taken.at - last.at) // 1000
-            text = f"{taken.proxy} sent there {ms} ms after it was told {last.state}"
-            found.append(Breach("nothing new to a draining node", taken.at, taken.node, text))
-    return found
+            text = f"{taken.proxy} sent a request {ms} ms after it was informed of the state {last.state}"
+            breaches.append(Breach("nothing new to a draining node", taken.at, taken.node, text))
+    return breaches
 
 
-def cold_nodes(ledger: Ledger, terms: Terms) -> list[Breach]:
-    """Rule 4: a cold node is never pushed over."""
-    if terms.cold is None:
+def check_cold_servers(ledger: Ledger, limits: RuleLimits) -> list[Breach]:
+    """Rule 4: a cold server is never overloaded."""
+    if limits.cold is None:
         return []
-    found, by_node = [], defaultdict(list)
+    breaches, by_server = [], defaultdict(list)
     for taken in ledger.taken:
         if taken.cold and not taken.busy:
-            by_node[taken.node].append(taken.at)
-    for node, times in by_node.items():
+            by_server[taken.node].append(taken.at)
+    for server, times in by_server.items():
         first = 0
         for last, at in enumerate(times):
-            while times[first] <= at - WINDOW:
+            while times[first] <= at - COLD_WINDOW_US:
                 first += 1
-            if last - first + 1 > terms.cold:
-                text = f"{last - first + 1} reqs within a second while cold, {terms.cold:.0f} are its bound"
-                found.append(Breach("a cold node is not pushed over", at, node, text))
+            if last - first + 1 > limits.cold:
+                text = (
+                    f"{last - first + 1} requests within a second while cold, the bound is {limits.cold:.0f}"
+                )
+                breaches.append(Breach("a cold node is not pushed over", at, server, text))
                 break
-    return found
+    return breaches
 
 
-def for_nobody(tries: list[Try], ledger: Ledger, terms: Terms) -> list[Breach]:
-    """A req whose client has left while it waited is not sent on; counted against all that waited."""
-    taken, waited, sent = defaultdict(list), 0, []
-    for went in ledger.taken:
-        taken[went.proxy, went.ident].append(went.at)
-    for one in tries:
-        at = taken[one.proxy, one.ident]
-        if one.left is None or (at and min(at) <= one.left):
+def check_sent_after_client_left(attempts: list[Try], ledger: Ledger, limits: RuleLimits) -> list[Breach]:
+    """A request whose client left while it waited is not sent to a server.
+
+    A breach if the fraction of these requests that were sent exceeds MAX_SENT_FRACTION.
+    """
+    times, waited, sent = defaultdict(list), 0, []
+    for taken in ledger.taken:
+        times[taken.proxy, taken.ident].append(taken.at)
+    for attempt in attempts:
+        at = times[attempt.proxy, attempt.ident]
+        if attempt.left is None or (at and min(at) <= attempt.left):
             continue
         waited += 1
-        sent += [(when, one) for when in at[:1] if when > one.left + GONE + terms.late]
-    if len(sent) <= FEW * waited:
+        sent += [
+            (when, attempt) for when in at[:1] if when > attempt.left + SENT_AFTER_LEFT_US + limits.tolerance
+        ]
+    if len(sent) <= MAX_SENT_FRACTION * waited:
         return []
-    when, one = min(sent, key=lambda found: found[0])
-    text = f"{len(sent)} of {waited} whose client had left while they waited; {one.proxy} sent this one on"
-    text += f" {(when - one.left) // 1000} ms after"
-    return [Breach("nothing is sent on for nobody", when, one.ident.decode(), text)]
-
-
-def begun_for_nobody(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
-    """No attempt begins once the client has gone, but for what crosses its end; the third is a breach."""
-    taken, late = defaultdict(list), []
-    for went in ledger.taken:
-        taken[went.proxy, went.ident].append(went)
-    for one in tries:
-        for went in taken[one.proxy, one.ident] if one.left is not None else ():
-            if went.at > one.left + BEGUN + terms.late and not held_up(excuses, went, one.left):
-                late.append((went.at, one))
-    if len(late) <= CHANCE:
+    when, attempt = min(sent, key=lambda item: item[0])
+    text = (
+        f"{len(sent)} of {waited} requests sent though their clients had left; {attempt.proxy} sent this one"
+    )
+    text += f" {(when - attempt.left) // 1000} ms after"
+    return [Breach("nothing is sent on for nobody", when, attempt.ident.decode(), text)]
+
+
+def check_begun_after_client_left(
+    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+) -> list[Breach]:
+    """No attempt begins after the client has left.
+
+    An attempt may cross the end of its client's connection by chance, so MAX_BEGUN attempts are allowed.
+    """
+    by_request, late = defaultdict(list), []
+    for taken in ledger.taken:
+        by_request[taken.proxy, taken.ident].append(taken)
+    for attempt in attempts:
+        for taken in by_request[attempt.proxy, attempt.ident] if attempt.left is not None else ():
+            if taken.at > attempt.left + BEGUN_AFTER_LEFT_US + limits.tolerance and not may_be_delayed(
+                exemptions, taken, attempt.left
+            ):
+                late.append((taken.at, attempt))
+    if len(late) <= MAX_BEGUN:
         return []
-    when, one = sorted(late, key=lambda found: found[0])[CHANCE]
-    text = f"{len(late)} attempts begun for nobody; {one.proxy} began this one"
-    text += f" {(when - one.left) // 1000} ms after its client had left"
-    return [Breach("nothing is begun for nobody", when, one.ident.decode(), text)]
+    when, attempt = sorted(late, key=lambda item: item[0])[MAX_BEGUN]
+    text = f"{len(late)} attempts begun after their clients had left; {attempt.proxy} began this one"
+    text += f" {(when - attempt.left) // 1000} ms after its client had left"
+    return [Breach("nothing is begun for nobody", when, attempt.ident.decode(), text)]
 
 
-def sent_after_its_answer(
-    tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms
+def check_sent_after_end(
+    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
-    """No attempt reaches a node once the proxy has ended its request: with an answer, or its connection."""
-    taken, found = defaultdict(list), []
-    for went in ledger.taken:
-        taken[went.proxy, went.ident].append(went)
-    for one in tries:
-        ended = one.answers[0][0] if one.answers else one.ended
-        for went in taken[one.proxy, one.ident] if ended is not None else ():
-            if went.at > ended + terms.late and not held_up(excuses, went, ended):
-                text = f"{went.node} had it {(went.at - ended) // 1000} ms after {one.proxy} had ended it"
-                found.append(Breach("nothing is sent after its end", went.at, one.ident.decode(), text))
-    return found
+    """No attempt reaches a server after the proxy has ended its request, by an answer or by closing the
+    connection."""
+    by_request, breaches = defaultdict(list), []
+    for taken in ledger.taken:
+        by_request[taken.proxy, taken.ident].append(taken)
+    for attempt in attempts:
+        ended = attempt.answers[0][0] if attempt.answers else attempt.ended
+        for taken in by_request[attempt.proxy, attempt.ident] if ended is not None else ():
+            if taken.at > ended + limits.tolerance and not may_be_delayed(exemptions, taken, ended):
+                text = (
+                    f"{taken.node} got it {(taken.at - ended) // 1000} ms after {attempt.proxy} had ended it"
+                )
+                breaches.append(
+                    Breach("nothing is sent after its end", taken.at, attempt.ident.decode(), text)
+                )
+    return breaches
+
 
+# --- The replicated table ---
 
-# --- The agreed state ---
 
+def apply_table_operation(state: tuple[bytes, int], args: tuple) -> tuple[tuple[bytes, int], list]:
+    """Apply an operation to a key's (value, version); return the new state and the answer.
 
-def table_step(state: tuple[bytes, int], args: tuple) -> tuple[tuple[bytes, int], list]:
-    """What a key's value and version become, and the answer: ("get",) or ("set", value, wanted version)."""
+    `args` is ("get",) or ("set", value, expected version).
+    """
     value, version = state
     if args[0] == "get":
         return state, [value, version]
@@ -275,24 +332,25 @@
     return (args[1], version + 1), [True, version + 1]
 
 
-def agreed(history: list[tuple[str, Op]]) -> list[Breach]:
-    """Each key's operations by themselves must be linearizable."""
-    found, by_key = [], defaultdict(list)
+def check_table_history(history: list[tuple[str, Op]]) -> list[Breach]:
+    """Check that the operations on each key are linearizable."""
+    breaches, by_key = [], defaultdict(list)
     for key, op in history:
         by_key[key].append(op)
     for key, ops in by_key.items():
-        for part, state in windows(ops):
-            if not linearizable(part, state, table_step):
+        for part, state in split_history(ops):
+            if not linearizable(part, state, apply_table_operation):
                 text = f"{len(part)} operations that no order explains"
-                found.append(Breach("linearizable", int(part[0].called), key, text))
+                breaches.append(Breach("linearizable", int(part[0].called), key, text))
                 break
-    return found
+    return breaches
 
 
-def windows(ops: list[Op]) -> list[tuple[list[Op], tuple[bytes, int]]]:
-    """A key's history cut where nothing is under way and a look tells the state, so that each part is small.
+def split_history(ops: list[Op]) -> list[tuple[list[Op], tuple[bytes, int]]]:
+    """Split a key's history where a "get" without concurrent operations shows the state, into small parts.
 
-    Operations without an answer may take effect later, so after one there is no further cut.
+    Return each part with the state before it.  An operation without an answer may take effect later, so that
+    the history is not split after it.
     """
     ops = sorted(ops, key=lambda op: op.called)
     parts, state, first, latest = [], (b"", 0), 0, 0.0
@@ -300,7 +358,7 @@
         alone = op.called > latest and (at + 1 == len(ops) or ops[at + 1].called > op.returned)
         if alone and op.args[0] == "get" and op.returned != inf and at > first:
             parts.append((ops[first : at + 1], state))
-            state, first = tuple(op.result), at  # it is looked at again as the first of the next part
+            state, first = tuple(op.result), at  # this "get" is also the first operation of the next part
         latest = max(latest, op.returned)
     parts.append((ops[first:], state))
     return parts
@@ -310,54 +368,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    """A receiver was asked to take an act under a duty's token, and took it or not."""
+class DutyAction:
+    """An action under a duty's fencing token, which the receiver accepted or rejected."""
 
     at: int
     duty: str
     holder: str
     token: int
     receiver: str
-    taken: bool
+    accepted: bool
 
 
-LATE = 500_000  # microseconds: a process that was not stopped may log so late that it holds no more
+LOG_DELAY_US = 500_000  # a running process may log the end of its lease this late
 
 
-def overlapping(
-    held: list[tuple[int, int, str, str, int]], stops: list[tuple[str, int, int]]
+def check_overlapping_leases(
+    leases: list[tuple[int, int, str, str, int]], stops: list[tuple[str, int, int]]
 ) -> list[Breach]:
-    """No duty is held by two at once: (from, to, duty, proxy, token).
+    """Check that no duty has two holders at once.
 
-    One that did not run (`stops`: proxy, from, to) holds by its own word until it runs again, and then an
-    older token than its successor's, under which it may do nothing.
+    `leases` are (start, end, duty, proxy, token), `stops` are (proxy, start, end).  A stopped process
+    believes that it holds the duty until it runs again; then its token is older than its successor's, and it
+    cannot act under it.
     """
-    found, held = [], sorted(held, key=lambda one: (one[2], one[4]))
-    for one, other in zip(held, held[1:], strict=False):
-        until = one[1] - LATE
-        ran = not any(proxy == one[3] and frm <= one[1] and other[0] <= to + LATE for proxy, frm, to in stops)
-        both = one[2] == other[2] and one[4] == other[4] and one[3] != other[3]
-        if both or (one[2] == other[2] and other[0] < until and one[3] != other[3] and ran):
-            text = f"{one[3]} and {other[3]} hold it, tokens {one[4]} and {other[4]}"
-            found.append(Breach("one holder", other[0], one[2], text))
-    return found
-
-
-def duties(acts: list[Act]) -> list[Breach]:
-    """No token has two holders, and no receiver takes an act of an older token than it has taken before."""
-    found: list[Breach] = []
+    breaches, leases = [], sorted(leases, key=lambda lease: (lease[2], lease[4]))
+    for lease, other in zip(leases, leases[1:], strict=False):
+        until = lease[1] - LOG_DELAY_US
+        ran = not any(
+            proxy == lease[3] and start <= lease[1] and other[0] <= end + LOG_DELAY_US
+            for proxy, start, end in stops
+        )
+        same_token = lease[2] == other[2] and lease[4] == other[4] and lease[3] != other[3]
+        if same_token or (lease[2] == other[2] and other[0] < until and lease[3] != other[3] and ran):
+            text = f"{lease[3]} and {other[3]} hold it, tokens {lease[4]} and {other[4]}"
+            breaches.append(Breach("one holder", other[0], lease[2], text))
+    return breaches
+
+
+def check_duty_actions(actions: list[DutyAction]) -> list[Breach]:
+    """Check that no token has two holders, and that no receiver accepts a token after a newer one."""
+    breaches: list[Breach] = []
     holders: dict[tuple[str, int], str] = {}
     highest: dict[tuple[str, str], int] = {}
-    for act in sorted(acts, key=lambda act: act.at):
-        if not act.taken:
+    for action in sorted(actions, key=lambda action: action.at):
+        if not action.accepted:
             continue
-        holder = holders.setdefault((act.duty, act.token), act.holder)
-        if act.holder and holder != act.holder:
-            text = f"{act.holder} and {holder} both act under token {act.token}"
-            found.append(Breach("one holder", act.at, act.duty, text))
-        before = highest.get((act.duty, act.receiver), 0)
-        if act.token < before:
-            text = f"{act.receiver} took an act of token {act.token} by {act.holder} after one of {before}"
-            found.append(Breach("fencing", act.at, act.duty, text))
-        highest[act.duty, act.receiver] = max(before, act.token)
-    return found
+        holder = holders.setdefault((action.duty, action.token), action.holder)
+        if action.holder and holder != action.holder:
+            text = f"{action.holder} and {holder} both act under token {action.token}"
+            breaches.append(Breach("one holder", action.at, action.duty, text))
+        before = highest.get((action.duty, action.receiver), 0)
+        if action.token < before:
+            text = f"{action.receiver} accepted token {action.token} of {action.holder} after token {before}"
+            breaches.append(Breach("fencing", action.at, action.duty, text))
+        highest[action.duty, action.receiver] = max(before, action.token)
+    return breaches
--- a/ivystack/rig/draw.py
+++ b/ivystack/rig/draw.py
@@ -1,6 +1,6 @@
-"""Scenarios with faults drawn by chance.
+"""Scenarios with random faults: the same seed always gives the same scenario.
 
-Owns the draw: one seed, one scenario.  It must never draw what no fleet can bear: some of all stay.
+Some proxies and cache servers are always left running, because no fleet could bear the loss of all.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 
 from .scenario import Agree, Fault, Fleet, Hold, Load, Scenario
 
-SHORT = 0.4, 2.5  # seconds that a drawn fault lasts
-ERRORS = {  # errors that a call may return for a moment, as its page of the Linux manual lists them
+DURATION_RANGE_S = 0.4, 2.5  # of a fault
+ERRORS = {  # transient errors of each system call, from its Linux manual page
     "accept": ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED", "EPROTO", "EHOSTUNREACH", "EPERM"],
     "recv": ["ENOMEM", "ENOBUFS", "EINTR", "EAGAIN"],
     "send": ["ENOMEM", "ENOBUFS", "EINTR", "EAGAIN"],
@@ -18,26 +18,28 @@
 }
 
 
-def scenario(seed: int, seconds: float, proxies: int = 4, nodes: int = 5, group: int = 0) -> Scenario:
-    """Between one and two faults each second, all of them taken back before the last three seconds.
+def random_scenario(seed: int, seconds: float, proxies: int = 4, nodes: int = 5, group: int = 0) -> Scenario:
+    """Return a scenario with one to two faults per second, all of which end before the last three seconds.
 
-    At most a third of the proxies is killed or stopped at any moment, and half of the nodes is out.
+    At any time at most a third of the proxies is killed or stopped, and at most half of the cache servers has
+    a fault.
     """
     rng = Random(seed)
     faults: list[Fault] = []
     last = max(0.5, seconds - 3.0)
+    # By "p" (proxies) and "n" (cache servers): start, end and name of each one out of service.
     out: dict[str, list[tuple[float, float, str]]] = {"p": [], "n": []}
 
-    def may(kind: str, name: str, frm: float, to: float) -> bool:
-        """Whether that many are out at once, and this one is not already."""
+    def may_fail(kind: str, name: str, start: float, end: float) -> bool:
+        """Return whether one more may be out of service from `start` to `end`."""
         most = max(1, proxies // 3) if kind == "p" else max(1, nodes // 2)
-        at_once = {one for a, b, one in out[kind] if a < to + 1.0 and frm < b + 1.0}
+        at_once = {other for a, b, other in out[kind] if a < end + 1.0 and start < b + 1.0}
         return name not in at_once and len(at_once) < most
 
     count = rng.randint(max(1, int(seconds) - 3), max(1, 2 * int(seconds) - 5))
     for _ in range(count):
         at = round(rng.uniform(0.3, last), 2)
-        span = round(min(rng.uniform(*SHORT), max(0.1, last + 0.5 - at)), 2)
+        span = round(min(rng.uniform(*DURATION_RANGE_S), max(0.1, last + 0.5 - at)), 2)
         kind = rng.choice(
             ["pause", "pause", "syscall", "syscall", "leave", "kill", "stop", "slow", "restart", "clock",
              "node-die", "node-hang", "node-slow", "node-fail",
@@ -45,7 +47,7 @@
              "rate", "reset", "half-open", "list-silent", "list-refuses"]
         )  # fmt: skip
         fault = Fault(at=at, kind=kind, span=span)
-        proxy, node = f"p{rng.randrange(proxies)}", f"n{rng.randrange(nodes)}"
+        proxy, server = f"p{rng.randrange(proxies)}", f"n{rng.randrange(nodes)}"
         if kind == "pause":
             fault.who, fault.span = [rng.choice([proxy, "p*"])], round(rng.uniform(0.04, 0.14), 3)
             fault.times, fault.every = rng.randint(1, 8), round(rng.uniform(0.2, 0.7), 2)
@@ -56,7 +58,7 @@
             fault.who, fault.part = [rng.choice([proxy, "p*"])], round(rng.uniform(0.2, 1.0), 2)
             fault.span = 0.0
         elif kind in ("kill", "stop", "slow", "restart", "clock"):
-            if kind != "clock" and not may("p", proxy, at, at + span):
+            if kind != "clock" and not may_fail("p", proxy, at, at + span):
                 continue
             out["p"].append((at, at + span, proxy))
             fault.who, fault.duty = [proxy], round(rng.uniform(0.1, 0.6), 2)
@@ -64,15 +66,15 @@
             if kind in ("kill", "restart"):
                 fault.directory = rng.choice(["kept", "kept", "gone", "old"])
         elif kind.startswith("node"):
-            if not may("n", node, at, at + span):
+            if not may_fail("n", server, at, at + span):
                 continue
-            out["n"].append((at, at + span, node))
-            fault.who, fault.factor = [node], round(rng.uniform(3, 30), 1)
+            out["n"].append((at, at + span, server))
+            fault.who, fault.factor = [server], round(rng.uniform(3, 30), 1)
             fault.part, fault.how = round(rng.uniform(0.2, 1), 2), rng.choice(["twice", "noise", "break"])
         elif kind == "origin-slow":
             fault.factor = round(rng.uniform(2, 6), 1)
         elif not kind.startswith("list"):
-            ends = [proxy, rng.choice([node, "discovery", "clients", f"p{rng.randrange(proxies)}"])]
+            ends = [proxy, rng.choice([server, "discovery", "clients", f"p{rng.randrange(proxies)}"])]
             fault.between, fault.way = ends, rng.choice(["both", "there", "back"])
             fault.part, fault.bytes = round(rng.uniform(0.1, 0.9), 2), rng.choice([0, 20, 300, 5000])
             if kind == "rate":
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -1,6 +1,6 @@
-"""The faults of a run: begun when they are due, taken back, noted with what they excuse.
+"""The faults of a run: this module applies them when they are due, reverts them and records them.
 
-Owns what is to be undone.  It must never leave a fault in place that has been taken back.
+Some faults exempt a proxy from rules while they last (see Exemption in check.py); that is recorded with them.
 """
 
 from __future__ import annotations
@@ -11,98 +11,104 @@
 
 from ..standin.ledger import DRAINING, GONE, SERVING
 from ..standin.node import Node
-from .check import Excuse
+from .check import Exemption
 from .processes import Process
-from .record import US, Mark
+from .record import US, FaultRecord
 from .scenario import (  # fmt: skip
-    AIMED,
-    CLIENTS,
-    FILES,
-    HOLDER,
+    CLIENT_FAULTS,
+    DISCOVERY_FAULTS,
     LEADER,
-    LINK,
-    LISTS,
-    PAUSE,
-    PEER,
-    PROCESS,
-    TRIER,
+    LINK_FAULTS,
+    MAX_PAUSE_S,
+    MEMBERSHIP_FAULTS,
+    ORDER_HOLDER,
+    PEER_FAULTS,
+    PROBE_HOLDER,
+    PROCESS_FAULTS,
+    ROLES,
     Fault,
-    found,
+    match_names,
 )
 
 
 class Faults:
+    """Applies the faults of a scenario to the processes, links and servers of a Rig."""
+
     def __init__(self, rig):
         self.rig = rig
-        self.active: dict[int, list] = {}  # by the fault's number: what takes it back
+        self.active: dict[int, list] = {}  # fault number: the calls (function, *arguments) that revert it
 
-    def fault(self, number: int, fault: Fault, left: int | None = None) -> None:
-        if not self.loaded():
+    def schedule(self, number: int, fault: Fault, repetitions: int | None = None) -> None:
+        """Begin the fault, and schedule its end and its further repetitions."""
+        if not self.load_is_running():
             return
-        left = fault.times if left is None else left
-        if left > 1:
-            self.rig.reactor.callLater(fault.every, self.fault, number + 1000, fault, left - 1)
-        fault = self.aimed(fault)
+        repetitions = fault.times if repetitions is None else repetitions
+        if repetitions > 1:
+            self.rig.reactor.callLater(fault.every, self.schedule, number + 1000, fault, repetitions - 1)
+        fault = self.resolve_roles(fault)
         if fault.flap:
-            return self.flap(number, fault, self.rig.now() + int((fault.span or 1e6) * US), True)
+            return self.alternate(number, fault, self.rig.now() + int((fault.span or 1e6) * US), True)
         self.begin_fault(number, fault)
         if fault.span is not None:
             self.rig.reactor.callLater(fault.span, self.end_fault, number)
 
-    def loaded(self) -> bool:
-        """The load goes on: only then faults begin."""
+    def load_is_running(self) -> bool:
+        """Return whether the load is still running; no fault begins after its end."""
         end = self.rig.record.start + self.rig.scenario.seconds * US
-        return not self.rig.over and self.rig.now() < end
+        return not self.rig.finished and self.rig.now() < end
 
-    def aimed(self, fault: Fault) -> Fault:
-        """The group's leader is whoever is thought to be it just now, and so is a duty's holder."""
-        if not AIMED & {*fault.who, *fault.between}:
+    def resolve_roles(self, fault: Fault) -> Fault:
+        """Replace roles by the processes that have them now, as far as the rig knows."""
+        if not ROLES & {*fault.who, *fault.between}:
             return fault
         known = {
-            LEADER: self.rig.agreeing.client.leader or self.rig.rng.choice(self.rig.members),
-            HOLDER: self.rig.agreeing.holder or self.rig.rng.choice([*self.rig.processes]),
-            TRIER: self.rig.agreeing.trier or self.rig.rng.choice([*self.rig.processes]),
+            LEADER: self.rig.group_client.client.leader or self.rig.rng.choice(self.rig.members),
+            ORDER_HOLDER: self.rig.group_client.holder or self.rig.rng.choice([*self.rig.processes]),
+            PROBE_HOLDER: self.rig.group_client.trier or self.rig.rng.choice([*self.rig.processes]),
         }
-        who, between = ([known.get(one, one) for one in of] for of in (fault.who, fault.between))
+        who, between = ([known.get(name, name) for name in names] for names in (fault.who, fault.between))
         return replace(fault, who=who, between=between)
 
-    def flap(self, number: int, fault: Fault, until: int, on: bool) -> None:
-        if self.rig.now() >= until or not self.loaded():
+    def alternate(self, number: int, fault: Fault, until: int, on: bool) -> None:
+        """Switch the fault on or off, and to the other state after `fault.flap` seconds, up to `until`."""
+        if self.rig.now() >= until or not self.load_is_running():
             return self.end_fault(number)
         if on:
             self.begin_fault(number, fault)
         else:
             self.end_fault(number)
-        self.rig.reactor.callLater(fault.flap, self.flap, number, fault, until, not on)
+        self.rig.reactor.callLater(fault.flap, self.alternate, number, fault, until, not on)
 
     def begin_fault(self, number: int, fault: Fault) -> None:
         undo = self.active[number] = []
-        if fault.kind in PROCESS:
-            for name in found(fault.who, [*self.rig.processes], "who"):
-                self.to_process(self.rig.processes[name], fault, undo)
-        elif fault.kind in LINK:
-            self.to_links(fault, undo)
-        elif fault.kind in LISTS:
-            self.to_list(fault, undo)
-        elif fault.kind in CLIENTS:
-            self.mark("clients", f"{fault.kind} {fault.part:g}", undo)
-            self.rig.clients.leave(found(fault.who, [*self.rig.processes], "who"), fault.part)
-        elif fault.kind in PEER:
-            self.mark("rig", fault.kind, undo)
-            self.rig.agreeing.lies = True
-            self.rig.agreeing.liar.start()
-            self.rig.agreeing.lie()
-            undo.append((setattr, self.rig.agreeing, "lies", False))
-        elif fault.kind in FILES:
-            self.mark("fleet", f"members {' '.join(fault.who)}", undo)
-            self.rig.fleet_files(found(fault.who, [*self.rig.processes], "who"))
-            self.rig.agreeing.members({one: self.rig.mesh_doors[one] for one in self.rig.members})
-            self.rig.ports.let_go()
+        if fault.kind in PROCESS_FAULTS:
+            for name in match_names(fault.who, [*self.rig.processes], "who"):
+                self.apply_to_process(self.rig.processes[name], fault, undo)
+        elif fault.kind in LINK_FAULTS:
+            self.apply_to_links(fault, undo)
+        elif fault.kind in DISCOVERY_FAULTS:
+            self.apply_to_discovery(fault, undo)
+        elif fault.kind in CLIENT_FAULTS:
+            self.record_fault("clients", f"{fault.kind} {fault.part:g}", undo)
+            self.rig.clients.leave(match_names(fault.who, [*self.rig.processes], "who"), fault.part)
+        elif fault.kind in PEER_FAULTS:
+            self.record_fault("rig", fault.kind, undo)
+            self.rig.group_client.lies = True
+            self.rig.group_client.liar.start()
+            self.rig.group_client.lie()
+            undo.append((setattr, self.rig.group_client, "lies", False))
+        elif fault.kind in MEMBERSHIP_FAULTS:
+            self.record_fault("fleet", f"members {' '.join(fault.who)}", undo)
+            self.rig.write_fleet_files(match_names(fault.who, [*self.rig.processes], "who"))
+            self.rig.group_client.members(
+                {member: self.rig.mesh_relays[member] for member in self.rig.members}
+            )
+            self.rig.ports.release()
             for process in self.rig.processes.values():
                 process.signal(signal.SIGHUP)
         else:
-            for name in found(fault.who or ["n*"], [*self.rig.nodes], "who"):
-                self.to_node(self.rig.nodes[name], fault, undo)
+            for name in match_names(fault.who or ["n*"], [*self.rig.servers], "who"):
+                self.apply_to_server(self.rig.servers[name], fault, undo)
                 if fault.kind == "origin-slow":
                     break
         self.rig.hub.changed()
@@ -111,198 +117,217 @@
         undo = self.active.pop(number, [])
         for call, *values in undo:
             call(*values)
-        if undo and not self.rig.over:
-            self.rig.follow()
+        if undo and not self.rig.finished:
+            self.rig.update_relays()
 
-    def heal(self) -> None:
+    def end_all(self) -> None:
         for number in [*self.active]:
             self.end_fault(number)
 
-    def mark(self, who: str, word: str, undo: list, excuse: dict | None = None, after: float = 0.0) -> None:
-        """Notes a fault, and what it excuses until it ends and so many seconds more."""
-        made = Mark(self.rig.now(), None, who, word)
-        self.rig.record.marks.append(made)
-        first = len(self.rig.record.excuses)
-        for one in [excuse] if excuse is not None else []:
-            self.rig.record.excuses.append(Excuse(self.rig.now(), 1 << 62, **one))
-        last = len(self.rig.record.excuses)
+    def record_fault(
+        self,
+        target: str,
+        description: str,
+        undo: list,
+        exempt: dict | None = None,
+        extra_seconds: float = 0.0,
+    ) -> None:
+        """Record the begin of a fault, and its end when it is reverted.
+
+        `exempt` gives the proxy and the server of an exemption, which ends `extra_seconds` after the fault.
+        """
+        record = FaultRecord(self.rig.now(), None, target, description)
+        self.rig.record.faults.append(record)
+        first = len(self.rig.record.exemptions)
+        for fields in [exempt] if exempt is not None else []:
+            self.rig.record.exemptions.append(Exemption(self.rig.now(), 1 << 62, **fields))
+        last = len(self.rig.record.exemptions)
 
         def end() -> None:
-            made.to = self.rig.now()
-            for at in range(first, last):
-                one = self.rig.record.excuses[at]
-                self.rig.record.excuses[at] = Excuse(one.frm, made.to + int(after * US), one.proxy, one.node)
+            record.end = self.rig.now()
+            for index in range(first, last):
+                exemption = self.rig.record.exemptions[index]
+                self.rig.record.exemptions[index] = Exemption(
+                    exemption.start, record.end + int(extra_seconds * US), exemption.proxy, exemption.server
+                )
 
         undo.append((end,))
 
-    def to_process(self, process: Process, fault: Fault, undo: list) -> None:
-        name, word = process.name, fault.kind
+    def apply_to_process(self, process: Process, fault: Fault, undo: list) -> None:
+        name, kind = process.name, fault.kind
         if fault.kind == "kill":
-            process.copy()
+            process.save_directory_copy()
             process.kill()
-            self.mark(name, word, undo, {"proxy": name}, 1.0)
+            self.record_fault(name, kind, undo, {"proxy": name}, 1.0)
             if fault.span is not None:
                 undo.append((self.start_again, process, fault.directory))
         elif fault.kind == "restart":
-            process.copy()
-            self.mark(name, word, undo)
-            process.end()
+            process.save_directory_copy()
+            self.record_fault(name, kind, undo)
+            process.terminate()
             self.rig.reactor.callLater(0.1, self.restart, process, fault.directory)
         elif fault.kind == "stop":
-            process.stop()
-            self.mark(name, word, undo, {"proxy": name}, 1.0)
-            undo.append((process.go_on,))
-        elif fault.kind == "pause":  # excuses nothing: the terms name it as what a proxy has to bear
-            process.stop()
-            self.mark(name, word, undo)
-            undo.append((self.pause_over, process, self.rig.now()))
-        elif fault.kind == "syscall":  # nor does this: nothing is lost by such a failure itself
+            process.suspend()
+            self.record_fault(name, kind, undo, {"proxy": name}, 1.0)
+            undo.append((process.resume,))
+        elif fault.kind == "pause":  # no exemption: a proxy must meet its obligations during a short pause
+            process.suspend()
+            self.record_fault(name, kind, undo)
+            undo.append((self.end_pause, process, self.rig.now()))
+        elif fault.kind == "syscall":  # no exemption: such a failure itself loses nothing
             process.fail_call(fault.call, fault.error, fault.part)
-            self.mark(name, f"{word} {fault.call} {fault.error}", undo)
+            self.record_fault(name, f"{kind} {fault.call} {fault.error}", undo)
             undo.append((process.fail_call, fault.call, fault.error, 0.0))
         elif fault.kind == "beside":
-            self.beside(process, undo)
+            self.start_replacement(process, undo)
         elif fault.kind == "slow":
-            process.slow(fault.duty)
-            self.mark(name, f"slow {fault.duty:g}", undo, {"proxy": name}, 1.0)
-            undo.append((process.go_on,))
+            process.throttle(fault.duty)
+            self.record_fault(name, f"slow {fault.duty:g}", undo, {"proxy": name}, 1.0)
+            undo.append((process.resume,))
         else:
-            process.step(fault.hours)
-            self.mark(name, f"clock {fault.hours:+g} h", undo)
-            undo.append((process.step, 0.0))
+            process.set_clock_offset(fault.hours)
+            self.record_fault(name, f"clock {fault.hours:+g} h", undo)
+            undo.append((process.set_clock_offset, 0.0))
 
-    def pause_over(self, process: Process, began: int) -> None:
-        """A pause that the rig, being late itself, has let last for too long is excused as a stop is."""
-        process.go_on()
+    def end_pause(self, process: Process, began_at: int) -> None:
+        """Resume the process; if the pause was too long because the rig lagged, exempt the proxy."""
+        process.resume()
         now = self.rig.now()
-        if now - began > PAUSE * US:
-            self.rig.record.excuses.append(Excuse(began, now + US, process.name))
+        if now - began_at > MAX_PAUSE_S * US:
+            self.rig.record.exemptions.append(Exemption(began_at, now + US, process.name))
+
+    def start_replacement(self, process: Process, undo: list) -> None:
+        """Start a second process with the proxy's name and directory, as in an upgrade.
 
-    def beside(self, process: Process, undo: list) -> None:
-        """A second process of that proxy, as in an upgrade, with its name and its directory; clients do not
-        come to it.  Taking it back ends the first one, and the second goes on alone, with its directory."""
+        Clients do not connect to the second process.  Reverting the fault ends the first process, and the
+        second runs on alone with the directory.
+        """
         name = process.name
-        other = Process(f"{name}-new", self.rig.folder / f"{name}-new", self.rig.reactor, self.rig.now,
-                        environ=self.rig.environ(name) | {"LB_NAME": name})  # fmt: skip
-        other.program = process.program
+        replacement = Process(
+            f"{name}-new", self.rig.folder / f"{name}-new", self.rig.reactor, self.rig.now,
+            environment=self.rig.environment(name) | {"LB_NAME": name},
+        )  # fmt: skip
+        replacement.program = process.program
         host = self.rig.hub.hosts[name]
-        listen, admin = (f"{host}:{self.rig.ports.free(host)}" for _ in range(2))
+        listen, admin = (f"{host}:{self.rig.ports.reserve(host)}" for _ in range(2))
         config = self.rig.config(name) | {"listen": listen, "admin_addr": admin, "peer_listen": None}
-        self.rig.ports.let_go()
-        other.start(config)
-        self.rig.others.append(other)
-        self.rig.record.processes.append(other)
-        self.mark(name, "beside", undo)
+        self.rig.ports.release()
+        replacement.start(config)
+        self.rig.replacements.append(replacement)
+        self.rig.record.processes.append(replacement)
+        self.record_fault(name, "beside", undo)
 
         def end() -> None:
-            process.end()
-            self.mark(name, "ended for the new one", [], {"proxy": name}, 1.0)
+            process.terminate()
+            self.record_fault(name, "ended after the start of its replacement", [], {"proxy": name}, 1.0)
 
         undo.append((end,))
 
     def restart(self, process: Process, directory: str) -> None:
-        if self.rig.over:
+        if self.rig.finished:
             return
-        if process.up():
+        if process.is_running():
             self.rig.reactor.callLater(0.05, self.restart, process, directory)
         else:
             self.start_again(process, directory)
 
     def start_again(self, process: Process, directory: str) -> None:
-        if not self.rig.over and not process.up():
+        if not self.rig.finished and not process.is_running():
             process.start(self.rig.config(process.name), directory)
 
-    def to_node(self, node: Node, fault: Fault, undo: list) -> None:
-        word = fault.kind
+    def apply_to_server(self, server: Node, fault: Fault, undo: list) -> None:
+        kind = fault.kind
         if fault.kind == "node-die":
-            node.die()
-            self.rig.hub.down.add(node.name)
-            undo.append((self.node_back, node))
+            server.die()
+            self.rig.hub.down.add(server.name)
+            undo.append((self.restart_server, server))
         elif fault.kind == "node-hang":
-            node.hangs = True
-            undo.append((setattr, node, "hangs", False))
+            server.hangs = True
+            undo.append((setattr, server, "hangs", False))
         elif fault.kind == "node-slow":
-            node.factor = fault.factor
-            undo.append((setattr, node, "factor", 1.0))
+            server.factor = fault.factor
+            undo.append((setattr, server, "factor", 1.0))
         elif fault.kind == "node-fail":
-            node.fails = fault.part
-            undo.append((setattr, node, "fails", 0.0))
+            server.fails = fault.part
+            undo.append((setattr, server, "fails", 0.0))
         elif fault.kind == "node-spoil":
-            node.spoils = fault.how
-            undo.append((setattr, node, "spoils", ""))
+            server.spoils = fault.how
+            undo.append((setattr, server, "spoils", ""))
         elif fault.kind == "origin-slow":
             self.rig.origin.factor = fault.factor
             undo.append((setattr, self.rig.origin, "factor", 1.0))
         else:
-            self.rig.discovery.change(DRAINING, node)
-            self.rig.reactor.callLater(2.0, self.drained, node)
-            undo.append((self.listed_again, node))
-        who = "origin" if fault.kind == "origin-slow" else node.name
-        self.mark(who, word, undo)
-
-    def node_back(self, node: Node) -> None:
-        self.rig.hub.down.discard(node.name)
-        node.back()
-        if not self.rig.over:
-            self.rig.discovery.change(SERVING, node)
-
-    def drained(self, node: Node) -> None:
-        if not self.rig.over and self.rig.discovery.nodes.get(node.name, (None, ""))[1] == DRAINING:
-            self.rig.discovery.change(GONE, node)
-
-    def listed_again(self, node: Node) -> None:
-        if not self.rig.over:
-            node.started = self.rig.now()
-            node.kept.clear()
-            self.rig.discovery.change(SERVING, node)
-
-    def to_list(self, fault: Fault, undo: list) -> None:
-        name = "silent" if fault.kind == "list-silent" else "refuses"
-        setattr(self.rig.discovery, name, True)
+            self.rig.discovery.change(DRAINING, server)
+            self.rig.reactor.callLater(2.0, self.remove_drained, server)
+            undo.append((self.list_again, server))
+        target = "origin" if fault.kind == "origin-slow" else server.name
+        self.record_fault(target, kind, undo)
+
+    def restart_server(self, server: Node) -> None:
+        self.rig.hub.down.discard(server.name)
+        server.back()
+        if not self.rig.finished:
+            self.rig.discovery.change(SERVING, server)
+
+    def remove_drained(self, server: Node) -> None:
+        if not self.rig.finished and self.rig.discovery.nodes.get(server.name, (None, ""))[1] == DRAINING:
+            self.rig.discovery.change(GONE, server)
+
+    def list_again(self, server: Node) -> None:
+        if not self.rig.finished:
+            server.started = self.rig.now()
+            server.kept.clear()
+            self.rig.discovery.change(SERVING, server)
+
+    def apply_to_discovery(self, fault: Fault, undo: list) -> None:
+        attribute = "silent" if fault.kind == "list-silent" else "refuses"
+        setattr(self.rig.discovery, attribute, True)
 
         def end() -> None:
-            setattr(self.rig.discovery, name, False)
+            setattr(self.rig.discovery, attribute, False)
             self.rig.discovery.tell()
 
         undo.append((end,))
-        self.mark("discovery", fault.kind, undo)
-
-    def to_links(self, fault: Fault, undo: list) -> None:
-        known = [*self.rig.processes, *self.rig.nodes, "discovery", "clients"]
-        ones, others = (found([pattern], known, "between") for pattern in fault.between)
-        for one in ones:
-            for other in others:
-                if one != other:
-                    self.to_link(one, other, fault, undo)
-
-    def to_link(self, one: str, other: str, fault: Fault, undo: list) -> None:
-        hub, ways = self.rig.hub, []
+        self.record_fault("discovery", fault.kind, undo)
+
+    def apply_to_links(self, fault: Fault, undo: list) -> None:
+        known = [*self.rig.processes, *self.rig.servers, "discovery", "clients"]
+        near_ends, far_ends = (match_names([pattern], known, "between") for pattern in fault.between)
+        for near in near_ends:
+            for far in far_ends:
+                if near != far:
+                    self.apply_to_link(near, far, fault, undo)
+
+    def apply_to_link(self, near: str, far: str, fault: Fault, undo: list) -> None:
+        hub, directions = self.rig.hub, []
         if fault.way in ("both", "there"):
-            ways.append(hub.way(one, other))
+            directions.append(hub.way(near, far))
         if fault.way in ("both", "back"):
-            ways.append(hub.way(other, one))
+            directions.append(hub.way(far, near))
         if fault.kind == "half-open":
-            hub.half_open(one, other)
-            undo.append((hub.whole_again, one, other))
+            hub.half_open(near, far)
+            undo.append((hub.whole_again, near, far))
         name = {"freeze": "frozen", "reset": "reset_after"}.get(fault.kind, fault.kind)
         values = {
             "cut": True, "hole": True, "frozen": True, "delay": fault.ms / 1000, "loss": fault.part,
             "twice": fault.part, "rate": fault.bytes, "reset_after": fault.bytes,
         }  # fmt: skip
-        for way in ways if name in values else ():
-            sets = {name: values[name]}
+        for direction in directions if name in values else ():
+            changes = {name: values[name]}
             if fault.kind == "delay":
-                sets["jitter"] = fault.jitter_ms / 1000
-            for key, value in sets.items():
-                way.begin(key, value)
-                undo.append((way.end, key, value))
-        both = {one, other}
-        proxies = [name for name in both if name in self.rig.processes]
-        other_side = (both - {*proxies}).pop() if len(proxies) == 1 else None
-        excuse = None
-        if other_side == "clients":
-            excuse = {"proxy": proxies[0]}
-        elif other_side is not None:
-            excuse = {"proxy": proxies[0], "node": other_side}
-        marks = {"both": "<->", "there": "->", "back": "<-"}
-        self.mark(one, f"{fault.kind} {marks[fault.way]} {other}", undo, excuse, 1.0 + fault.ms / 1000)
+                changes["jitter"] = fault.jitter_ms / 1000
+            for key, value in changes.items():
+                direction.begin(key, value)
+                undo.append((direction.end, key, value))
+        ends = {near, far}
+        proxies = [name for name in ends if name in self.rig.processes]
+        other_end = (ends - {*proxies}).pop() if len(proxies) == 1 else None
+        exempt = None
+        if other_end == "clients":
+            exempt = {"proxy": proxies[0]}
+        elif other_end is not None:
+            exempt = {"proxy": proxies[0], "server": other_end}
+        arrows = {"both": "<->", "there": "->", "back": "<-"}
+        self.record_fault(
+            near, f"{fault.kind} {arrows[fault.way]} {far}", undo, exempt, 1.0 + fault.ms / 1000
+        )
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -1,7 +1,7 @@
-"""Plays a scenario: starts everything, makes the faults when due, takes them back, gathers the record.
+"""Plays a scenario: starts the processes, applies and reverts the faults, and gathers the record of the run.
 
-Owns the run from its start to its end and all that it has started.  It must never judge (verdict.py does),
-leave a process behind, or let two runs share anything but the machine.
+This module ends every process that it has started.  The record is checked by verdict.py.  Two runs on one
+machine share no files and no ports.
 """
 
 from __future__ import annotations
@@ -26,62 +26,67 @@
 from ..standin.origin import Origin
 from .agree import Agreeing
 from .faults import Faults
-from .logs import logged
+from .logs import parse_duty_logs
 from .processes import Process
-from .record import CLASSES, MULTIPLE, SHARE, US, WINDOW, Record, window
+from .record import CLASSES, COLD_SHARE, DEFAULT_DEDUP_WINDOW_US, OVERLOAD_FACTOR, US, Record, dedup_window_us
 from .relay import Hub
-from .scenario import Scenario, names
-from .verdict import judged
+from .scenario import Scenario, process_names
+from .verdict import find_breaches
 
-READY_WITHIN = 60.0  # seconds that the processes may take to start, all of them
-GROUP_WITHIN = 20.0  # that the consensus group may take to begin
-END_WITHIN = 6.0  # after SIGTERM
-STEP = 2_000  # microseconds: less than that the logs do not show
-LOOK = 0.05  # seconds between looks at the processes and at our own lateness
+READY_WITHIN_S = 60.0  # for the start of all processes
+GROUP_WITHIN_S = 20.0  # for the first leader of the consensus group
+END_WITHIN_S = 6.0  # after SIGTERM
+CLOCK_STEP_US = 2_000  # smaller steps of the wall clock do not show in the logs
+CHECK_INTERVAL_S = 0.05  # between checks of the processes and of the reactor's lag
 
 
-def settings(scenario: Scenario, number: int) -> dict:
-    """What a proxy is told in `settings`; times in nanoseconds."""
+def proxy_settings(scenario: Scenario, number: int) -> dict:
+    """Return the `settings` of a proxy's configuration, with times in nanoseconds."""
     ns = 1000
     semantics = {"read": "pure", "put": "token", "pay": "side_effect"}
     methods = [
         {
-            "name": one.name, "semantics": semantics[one.name], "latency_budget": one.budget * ns,
-            "give_up": one.wait * ns, "criticality": scenario.load.worth.get(one.name, 1.0),
-            "tardy_criticality": 0.3, "group": "all", "window": window(scenario) * ns,
+            "name": request_class.name, "semantics": semantics[request_class.name],
+            "latency_budget": request_class.budget * ns, "give_up": request_class.wait * ns,
+            "criticality": scenario.load.worth.get(request_class.name, 1.0),
+            "tardy_criticality": 0.3, "group": "all", "window": dedup_window_us(scenario) * ns,
         }
-        for one in CLASSES
+        for request_class in CLASSES
     ]  # fmt: skip
     limits = {
         "connect_timeout": 250_000 * ns, "conn_idle": 10 * US * ns, "streams_per_conn": 8,
         "most_write_outs": 3, "may_duplicate": True, "retry_after": True, "max_retry_after": 400_000 * ns,
         "peers": scenario.fleet.peers,
     }  # fmt: skip
-    cold = {"cold": int(scenario.fleet.warm * US) * ns, "cold_share": SHARE, "overload_factor": MULTIPLE}
+    cold_rules = {
+        "cold": int(scenario.fleet.warm * US) * ns, "cold_share": COLD_SHARE,
+        "overload_factor": OVERLOAD_FACTOR,
+    }  # fmt: skip
     return {
-        "methods": methods, "limits": limits, "rules": cold, "n_instances": scenario.fleet.proxies,
+        "methods": methods, "limits": limits, "rules": cold_rules, "n_instances": scenario.fleet.proxies,
         "slot_no": number,
     }  # fmt: skip
 
 
 class Ports:
-    """Free ports, kept from being given out again until the processes that want them are started."""
+    """Free ports, each reserved by a bound socket until the process that will listen on it starts."""
 
     def __init__(self):
-        self.kept: list[socket.socket] = []
+        self.sockets: list[socket.socket] = []
 
-    def free(self, host: str, kind=socket.SOCK_STREAM) -> int:
-        one = socket.socket(socket.AF_INET, kind)
-        self.kept.append(one)
-        one.bind((host, 0))
-        return one.getsockname()[1]
+    def reserve(self, host: str, kind=socket.SOCK_STREAM) -> int:
+        """Reserve a free port of this address and return it."""
+        reserved = socket.socket(socket.AF_INET, kind)
+        self.sockets.append(reserved)
+        reserved.bind((host, 0))
+        return reserved.getsockname()[1]
 
-    def let_go(self) -> None:
-        while self.kept:
-            self.kept.pop().close()
+    def release(self) -> None:
+        while self.sockets:
+            self.sockets.pop().close()
 
 
-class Ping(RespProtocol):
+class PingProtocol(RespProtocol):
     def __init__(self, done):
         super().__init__()
         self.done = done
@@ -97,99 +102,112 @@
         self.done(False)
 
 
-class Pinging(ClientFactory):
+class PingFactory(ClientFactory):
     noisy = False
 
     def __init__(self, done):
         self.done = done
 
     def buildProtocol(self, addr):  # noqa: N802
-        return Ping(self.done)
+        return PingProtocol(self.done)
 
     def clientConnectionFailed(self, connector, reason) -> None:  # noqa: N802
         self.done(False)
 
 
 class Rig:
-    """One run of a scenario in `folder`.  `tell` gets a line now and then; `program` is the folder that holds
-    the package which the processes run, ours if None."""
+    """One run of a scenario in `folder`.
+
+    `report` is called with each line of progress.  `program` is the folder of the package that the processes
+    run; None means the package of this module.
+    """
 
-    def __init__(self, scenario: Scenario, folder: Path, reactor, tell=lambda line: None, program=None):
-        self.scenario, self.folder, self.reactor, self.tell = scenario, folder, reactor, tell
-        self.program = program  # the folder that holds the package; None: our own
+    def __init__(self, scenario: Scenario, folder: Path, reactor, report=lambda line: None, program=None):
+        self.scenario, self.folder, self.reactor, self.report = scenario, folder, reactor, report
+        self.program = program
         self.rng = Random(scenario.seed)
         self.hub = Hub(reactor, Random(self.rng.getrandbits(64)))
         self.record = Record(scenario)
         self.ledger = self.record.ledger
         self.faults = Faults(self)
-        self.over = False
+        self.finished = False
         self.ports = Ports()
-        # Wall clock less ours, with the wall's time from which on it was so: a machine's may be set in a run.
-        self.steps = [(0, time.time_ns() // 1000 - self.now())]
-        self.meshes: dict[str, tuple[str, int]] = {}
-        self.mesh_doors: dict[str, tuple[str, int]] = {}
+        # (wall time, wall clock minus monotonic clock from then on): the wall clock may be set during a run.
+        self.clock_offsets = [(0, time.time_ns() // 1000 - self.now())]
+        self.mesh_addresses: dict[str, tuple[str, int]] = {}
+        self.mesh_relays: dict[str, tuple[str, int]] = {}
         self.members: list[str] = []
-        self.agreeing: Agreeing | None = None
-        self.others: list[Process] = []  # beside the first ones
-        self.looked = self.now()
+        self.group_client: Agreeing | None = None
+        self.replacements: list[Process] = []  # started beside a proxy, as in an upgrade
+        self.last_check_at = self.now()
         self.build()
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000
 
-    # What there is.
+    # Set-up.
 
     def build(self) -> None:
         fleet, hub = self.scenario.fleet, self.hub
-        proxies, nodes = names(self.scenario)
-        windows = {one.name: WINDOW for one in CLASSES if one.marked and one.repeats}
+        proxies, servers = process_names(self.scenario)
+        windows = {
+            request_class.name: DEFAULT_DEDUP_WINDOW_US
+            for request_class in CLASSES
+            if request_class.marked and request_class.repeats
+        }
         self.origin = Origin(
             self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger,
             time=fleet.origin_time, at_once=fleet.origin, windows=windows,
         )  # fmt: skip
         hosts = {name: hub.host(name, 1, number) for number, name in enumerate(proxies)}
-        self.nodes = {}
-        for number, name in enumerate(nodes):
-            node = self.nodes[name] = Node(
+        self.servers = {}
+        for number, name in enumerate(servers):
+            server = self.servers[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
                 zone=f"z{number % fleet.zones}", cores=fleet.cores, time=fleet.service,
                 warm=int(fleet.warm * US), memory=fleet.memory, names=hub.names,
             )  # fmt: skip
-            node.listen(hub.host(name, 2, number))
+            server.listen(hub.host(name, 2, number))
         self.discovery = Discovery(
-            self.reactor, self.now, self.ledger, place=self.place_of_node, names=hub.names
+            self.reactor, self.now, self.ledger, place=self.server_address, names=hub.names
         )
         self.discovery.listen(hub.host("discovery", 3, 0))
         hub.host("clients", 4, 0)
-        self.to_nodes = {
-            (one, other): hub.door(one, other, self.nodes[other].address)
-            for one in proxies for other in nodes
+        self.server_relays = {
+            (proxy, server): hub.door(proxy, server, self.servers[server].address)
+            for proxy in proxies for server in servers
         }  # fmt: skip
-        self.to_discovery = {one: hub.door(one, "discovery", self.discovery.address) for one in proxies}
-        self.discovery.change(SERVING, *self.nodes.values())
-        self.listens = {one: (hosts[one], self.ports.free(hosts[one])) for one in proxies}
-        self.to_proxies = {one: hub.door("clients", one, self.listens[one]) for one in proxies}
-        self.talks, self.posts = {}, {}
+        self.discovery_relays = {
+            proxy: hub.door(proxy, "discovery", self.discovery.address) for proxy in proxies
+        }
+        self.discovery.change(SERVING, *self.servers.values())
+        self.listen_addresses = {proxy: (hosts[proxy], self.ports.reserve(hosts[proxy])) for proxy in proxies}
+        self.proxy_relays = {
+            proxy: hub.door("clients", proxy, self.listen_addresses[proxy]) for proxy in proxies
+        }
+        self.gossip_addresses, self.gossip_relays = {}, {}
         if fleet.peers:
-            talks = {one: self.ports.free(hosts[one], socket.SOCK_DGRAM) for one in proxies}
-            self.talks = {one: (hosts[one], talks[one]) for one in proxies}
-            self.posts = {one: hub.post(one, self.talks[one]) for one in proxies}
-        self.admins = {one: (hosts[one], self.ports.free(hosts[one])) for one in proxies}
+            ports = {proxy: self.ports.reserve(hosts[proxy], socket.SOCK_DGRAM) for proxy in proxies}
+            self.gossip_addresses = {proxy: (hosts[proxy], ports[proxy]) for proxy in proxies}
+            self.gossip_relays = {proxy: hub.post(proxy, self.gossip_addresses[proxy]) for proxy in proxies}
+        self.admin_addresses = {proxy: (hosts[proxy], self.ports.reserve(hosts[proxy])) for proxy in proxies}
         if fleet.group:
-            self.fleet_files([*hosts][: fleet.group])
+            self.write_fleet_files([*hosts][: fleet.group])
         self.processes = {
-            one: Process(one, self.folder / one, self.reactor, self.now, environ=self.environ(one))
-            for one in proxies
+            proxy: Process(
+                proxy, self.folder / proxy, self.reactor, self.now, environment=self.environment(proxy)
+            )
+            for proxy in proxies
         }
         for process in self.processes.values():
             process.program = self.program or process.program
-            process.sockets = fleet.sockets
+            process.max_open_files = fleet.sockets
         self.record.processes = [*self.processes.values()]
         self.clients = Clients(
             self.reactor,
             self.now,
             Random(self.rng.getrandbits(64)),
-            self.to_proxies,
+            self.proxy_relays,
             CLASSES,
             self.hub.refused,
             self.scenario.load.reuse == "oldest",
@@ -197,58 +215,65 @@
         self.arrivals = drawn(
             Random(self.rng.getrandbits(64)), self.scenario.seconds, self.scenario.load.rate,
             self.scenario.load.shape, self.scenario.load.keys, self.scenario.load.skew,
-            {one.name: getattr(self.scenario.load, one.name) for one in CLASSES}, fleet.proxies,
+            {cls.name: getattr(self.scenario.load, cls.name) for cls in CLASSES}, fleet.proxies,
         )  # fmt: skip
 
-    def environ(self, name: str) -> dict[str, str]:
+    def environment(self, name: str) -> dict[str, str]:
         return {"LB_FLEET": str(self.folder / f"{name}.fleet.toml")} if self.scenario.fleet.group else {}
 
-    def fleet_files(self, members: list[str]) -> None:
-        """The operators' file for each proxy, with each member where that one reaches it."""
-        for one in members:
-            if one not in self.meshes:
-                host = self.hub.hosts[one]
-                self.meshes[one] = host, self.ports.free(host)
-                # A relay's listener has its process's own address, by which a member is known.
-                self.mesh_doors[one] = self.hub.door(None, one, self.meshes[one], host)
+    def write_fleet_files(self, members: list[str]) -> None:
+        """Write each proxy's operators' file, with the address by which the proxy reaches each member."""
+        for member in members:
+            if member not in self.mesh_addresses:
+                host = self.hub.hosts[member]
+                self.mesh_addresses[member] = host, self.ports.reserve(host)
+                # The relay listens on the address of its process, because that address identifies a member.
+                self.mesh_relays[member] = self.hub.door(None, member, self.mesh_addresses[member], host)
         if not (self.folder / "fleet.key").exists():
             write_key_file(self.folder / "fleet.key", "k1")
         self.members = members
-        for name in self.listens:
+        for name in self.listen_addresses:
             lines = ["version = 1", 'key_file = "fleet.key"', f'directory = "{self.folder}/{{name}}/state"']
-            for one in members:
-                host, port = (self.meshes if one == name else self.mesh_doors)[one]
-                lines += ["[[group.member]]", f'name = "{one}"', f'address = "{host}:{port}"']
+            for member in members:
+                host, port = (self.mesh_addresses if member == name else self.mesh_relays)[member]
+                lines += ["[[group.member]]", f'name = "{member}"', f'address = "{host}:{port}"']
             (self.folder / f"{name}.fleet.toml").write_text("\n".join(lines) + "\n")
 
-    def place_of_node(self, caller: str, node: Node) -> str:
-        return "{}:{}".format(*self.to_nodes[caller, node.name])
+    def server_address(self, caller: str, server: Node) -> str:
+        """Return the address of the relay by which this proxy reaches the cache server."""
+        return "{}:{}".format(*self.server_relays[caller, server.name])
 
     def config(self, name: str) -> dict:
         number = [*self.processes].index(name)
-        made = {
-            "name": name, "listen": "{}:{}".format(*self.listens[name]),
-            "discovery": "{}:{}".format(*self.to_discovery[name]), "seed": f"{self.rng.getrandbits(32):08x}",
-            "admin_addr": "{}:{}".format(*self.admins[name]), "settings": settings(self.scenario, number),
+        config = {
+            "name": name, "listen": "{}:{}".format(*self.listen_addresses[name]),
+            "discovery": "{}:{}".format(*self.discovery_relays[name]),
+            "seed": f"{self.rng.getrandbits(32):08x}",
+            "admin_addr": "{}:{}".format(*self.admin_addresses[name]),
+            "settings": proxy_settings(self.scenario, number),
             "limits": {"sockets": self.scenario.fleet.sockets, "memory_mb": 192},
         }  # fmt: skip
-        if self.posts:
-            made["peer_listen"] = "{}:{}".format(*self.talks[name])
-            made["peers"] = ["{}:{}".format(*place) for place in self.posts.values()]
-        return made
+        if self.gossip_relays:
+            config["peer_listen"] = "{}:{}".format(*self.gossip_addresses[name])
+            config["peers"] = ["{}:{}".format(*address) for address in self.gossip_relays.values()]
+        return config
 
     # The run.
 
     async def play(self) -> Record:
+        """Run the scenario and return its record with the breaches found.
+
+        Raises RuntimeError if a process ends during startup, or processes or the group are not ready in time.
+        """
         try:
-            await self.begin()
+            await self.start_processes()
             if self.scenario.fleet.group:
-                await self.agree()
-            await self.load()
-            await self.finish()
+                await self.start_group()
+            await self.run_load()
+            await self.stop_processes()
         finally:
-            self.clear()
-        self.gather()
+            self.shut_down()
+        self.complete_record()
         return self.record
 
     def wait(self, seconds: float) -> defer.Deferred:
@@ -256,160 +281,186 @@
         self.reactor.callLater(seconds, done.callback, None)
         return done
 
-    async def begin(self) -> None:
-        began = self.now()
-        self.ports.let_go()
+    async def start_processes(self) -> None:
+        """Start every proxy and wait until each answers a PING."""
+        started_at = self.now()
+        self.ports.release()
         for name, process in self.processes.items():
             process.start(self.config(name))
-        self.look()
+        self.check_processes()
         waiting = [*self.processes]
         while waiting:
             for name in [*waiting]:
-                if await self.ready(name):
+                if await self.ping(name):
                     waiting.remove(name)
-                elif not self.processes[name].up():
-                    raise RuntimeError(f"{name} ended at its start; its log is {self.processes[name].log}")
-            if (self.now() - began) / US > READY_WITHIN:
-                raise RuntimeError(f"not ready within {READY_WITHIN:g} s: {', '.join(waiting)}")
+                elif not self.processes[name].is_running():
+                    raise RuntimeError(
+                        f"{name} ended during startup; its log is {self.processes[name].log_file}"
+                    )
+            if (self.now() - started_at) / US > READY_WITHIN_S:
+                raise RuntimeError(f"not ready within {READY_WITHIN_S:g} s: {', '.join(waiting)}")
             await self.wait(0.05)
-        self.record.ready = (self.now() - began) / US
-        self.tell(f"{len(self.processes)} processes ready in {self.record.ready:.1f} s")
+        self.record.startup_seconds = (self.now() - started_at) / US
+        self.report(f"{len(self.processes)} processes ready in {self.record.startup_seconds:.1f} s")
 
-    def ready(self, name: str) -> defer.Deferred:
+    def ping(self, name: str) -> defer.Deferred:
+        """Fire with whether the proxy answers a PING within two seconds."""
         done: defer.Deferred = defer.Deferred()
 
-        def told(yes: bool) -> None:
+        def finish(answered: bool) -> None:
             if not done.called:
-                done.callback(yes)
+                done.callback(answered)
 
-        self.reactor.connectTCP(*self.listens[name], Pinging(told), timeout=1)
-        self.reactor.callLater(2, told, False)
+        self.reactor.connectTCP(*self.listen_addresses[name], PingFactory(finish), timeout=1)
+        self.reactor.callLater(2, finish, False)
         return done
 
-    async def agree(self) -> None:
-        """The consensus group is there, before the load begins."""
+    async def start_group(self) -> None:
+        """Connect to the consensus group and wait until it has a leader."""
         rng = Random(self.rng.getrandbits(64))
-        doors = {one: self.mesh_doors[one] for one in self.members}
+        addresses = {member: self.mesh_relays[member] for member in self.members}
         keys = read_key_file(self.folder / "fleet.key")
-        self.agreeing = Agreeing(
-            self.reactor, self.now, rng, keys, doors, self.hub.hosts["clients"],
+        self.group_client = Agreeing(
+            self.reactor, self.now, rng, keys, addresses, self.hub.hosts["clients"],
             self.scenario.agree.rate, self.scenario.agree.keys,
         )  # fmt: skip
-        began = self.now()
-        while not await self.agreeing.led():
-            if (self.now() - began) / US > GROUP_WITHIN:
-                raise RuntimeError(f"no leader of the consensus group within {GROUP_WITHIN:g} s")
-        self.tell(f"the consensus group is led by {self.agreeing.client.leader}")
-
-    async def load(self) -> None:
+        began_at = self.now()
+        while not await self.group_client.led():
+            if (self.now() - began_at) / US > GROUP_WITHIN_S:
+                raise RuntimeError(f"consensus group: no leader elected within {GROUP_WITHIN_S:g} s")
+        self.report(f"the consensus group is led by {self.group_client.client.leader}")
+
+    async def run_load(self) -> None:
+        """Send the load, apply the faults, and record the state of the fleet after the settling time."""
         record, scenario = self.record, self.scenario
         record.start = self.now()
         self.clients.play(self.arrivals)
-        if self.agreeing is not None:
-            self.agreeing.start()
+        if self.group_client is not None:
+            self.group_client.start()
         for number, fault in enumerate(scenario.fault):
-            self.reactor.callLater(fault.at, self.faults.fault, number, fault)
+            self.reactor.callLater(fault.at, self.faults.schedule, number, fault)
         for second in range(1, int(scenario.seconds) + 1):
-            self.reactor.callLater(second, self.progress, second)
+            self.reactor.callLater(second, self.report_progress, second)
         await self.wait(scenario.seconds)
-        self.faults.heal()
-        if self.agreeing is not None:
-            self.reactor.callLater(scenario.settle, self.agreeing.rest)
-        await self.wait(scenario.settle + max(one.wait for one in CLASSES) / US)
+        self.faults.end_all()
+        if self.group_client is not None:
+            self.reactor.callLater(scenario.settle, self.group_client.rest)
+        await self.wait(scenario.settle + max(request_class.wait for request_class in CLASSES) / US)
         record.end = self.now()
         if scenario.fleet.group:
             for name, process in self.processes.items():
-                if process.up():
-                    record.fleet[name] = await self.fleet_of(name)
+                if process.is_running():
+                    record.fleet_status[name] = await self.fleet_status(name)
 
-    async def fleet_of(self, name: str) -> dict:
-        """What that proxy tells operators of the fleet; nothing if it does not answer within two seconds."""
-        url = "http://{}:{}/_fleet".format(*self.admins[name]).encode()
+    async def fleet_status(self, name: str) -> dict:
+        """Return the fleet status from the proxy's admin port; empty without an answer within two seconds."""
+        url = "http://{}:{}/_fleet".format(*self.admin_addresses[name]).encode()
         call = Agent(self.reactor, connectTimeout=2).request(b"GET", url).addCallback(readBody)
         try:
             return orjson.loads(await call.addTimeout(2, self.reactor))
-        except Exception:  # refused, late, no JSON: a scenario's own terms say what that means
+        except (
+            Exception
+        ):  # refused, late or no JSON: the scenario's conditions decide whether this is a breach
             return {}
 
-    def progress(self, second: int) -> None:
-        asked = self.clients.reqs
-        due = [one for one in asked if one.due < self.now() - US // 2]
-        served = sum(in_time(one) for one in due)
-        down = [name for name, one in self.processes.items() if not one.up()]
-        self.tell(
-            f"{second:4d} s  {len(due)} reqs, {served} served in time"
+    def report_progress(self, second: int) -> None:
+        requests = self.clients.reqs
+        due = [request for request in requests if request.due < self.now() - US // 2]
+        served = sum(in_time(request) for request in due)
+        down = [name for name, process in self.processes.items() if not process.is_running()]
+        self.report(
+            f"{second:4d} s  {len(due)} requests, {served} served in time"
             + (f"  down: {' '.join(down)}" if down else "")
         )
 
-    async def finish(self) -> None:
-        for process in (*self.processes.values(), *self.others):
-            if process.up():
-                process.end()
-        for _ in range(int(END_WITHIN / LOOK)):
-            if not any(process.up() for process in (*self.processes.values(), *self.others)):
+    async def stop_processes(self) -> None:
+        """Send SIGTERM to every process and wait for their ends."""
+        for process in (*self.processes.values(), *self.replacements):
+            if process.is_running():
+                process.terminate()
+        for _ in range(int(END_WITHIN_S / CHECK_INTERVAL_S)):
+            if not any(process.is_running() for process in (*self.processes.values(), *self.replacements)):
                 break
-            await self.wait(LOOK)
-
-    def clear(self) -> None:
-        """Ends all that was started, whatever has happened."""
-        self.over = True
-        for process in (*self.processes.values(), *self.others):
-            process.duty = 0.0
-            if process.up():
+            await self.wait(CHECK_INTERVAL_S)
+
+    def shut_down(self) -> None:
+        """End everything that the run has started, in whatever state it is."""
+        self.finished = True
+        for process in (*self.processes.values(), *self.replacements):
+            process.run_fraction = 0.0
+            if process.is_running():
                 process.kill()
         self.clients.close()
-        if self.agreeing is not None:
-            self.agreeing.stop()
+        if self.group_client is not None:
+            self.group_client.stop()
         self.hub.stop()
-        for node in self.nodes.values():
-            node.die()
+        for server in self.servers.values():
+            server.die()
         self.discovery.stop()
 
-    def look(self) -> None:
-        if self.over:
+    def check_processes(self) -> None:
+        """Record the reactor's lag, steps of the wall clock and ended processes, every CHECK_INTERVAL_S."""
+        if self.finished:
             return
         now = self.now()
         if self.record.start:
-            self.record.lag = max(self.record.lag, now - self.looked - int(LOOK * US))
-        self.looked = now
+            self.record.reactor_lag = max(
+                self.record.reactor_lag, now - self.last_check_at - int(CHECK_INTERVAL_S * US)
+            )
+        self.last_check_at = now
         wall = time.time_ns() // 1000
-        if abs(wall - now - self.steps[-1][1]) > STEP:
-            self.steps.append((wall, wall - now))
+        if abs(wall - now - self.clock_offsets[-1][1]) > CLOCK_STEP_US:
+            self.clock_offsets.append((wall, wall - now))
         before = {*self.hub.down}
-        for process in (*self.processes.values(), *self.others):
-            process.look()
-        self.follow(before)
-        self.reactor.callLater(LOOK, self.look)
+        for process in (*self.processes.values(), *self.replacements):
+            process.poll()
+        self.update_relays(before)
+        self.reactor.callLater(CHECK_INTERVAL_S, self.check_processes)
+
+    def update_relays(self, before: set[str] | None = None) -> None:
+        """Make the relays refuse connections to processes that are down.
 
-    def follow(self, before: set[str] | None = None) -> None:
-        """Where a process is not there, callers are refused; nothing to do where that is as `before`."""
+        Nothing is done if the set of these processes equals `before`.
+        """
         for name, process in self.processes.items():
-            (self.hub.down.discard if process.up() else self.hub.down.add)(name)
+            (self.hub.down.discard if process.is_running() else self.hub.down.add)(name)
         if before != self.hub.down:
             self.hub.changed()
 
-    def gather(self) -> None:
-        """The rest of the record, and the verdict on it."""
+    def complete_record(self) -> None:
+        """Add the results of the clients and the logs to the record, and check it."""
         record, clients = self.record, self.clients
-        record.asked, record.tries, record.times = clients.reqs, clients.tries, clients.times
+        record.requests, record.client_attempts, record.latencies = clients.reqs, clients.tries, clients.times
         record.load_lag, record.members = clients.lag, self.members
-        for mark in record.marks:
-            mark.to = mark.to or record.end
-        if self.agreeing is not None:
-            record.agreed = self.agreeing.history
-        kills = {one.name: [at for at, word in one.events if word == "kill"] for one in record.processes}
-        record.acts, held = logged(self.folder, self.steps, kills)
-        record.held = [one for one in held if one[0] < record.end]
-        record.breaches = judged(record)
-
-
-def kept(record: Record, folder: Path) -> None:
-    """The run's own events, as a log beside the processes': `rig logs` shows them in their order."""
+        for fault in record.faults:
+            fault.end = fault.end or record.end
+        if self.group_client is not None:
+            record.table_history = self.group_client.history
+        kills = {
+            process.name: [at for at, event in process.events if event == "kill"]
+            for process in record.processes
+        }
+        record.duty_actions, leases = parse_duty_logs(self.folder, self.clock_offsets, kills)
+        record.leases = [lease for lease in leases if lease[0] < record.end]
+        record.breaches = find_breaches(record)
+
+
+def save_record(record: Record, folder: Path) -> None:
+    """Write the run's events to rig.log and the clients' attempts to tries.jsonl.
+
+    The lines of rig.log have the form of the processes' logs, so that `rig logs` merges them.
+    """
     offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-    events = [(mark.frm, f"{mark.who}: {mark.word} begins") for mark in record.marks]
-    events += [(mark.to or record.end, f"{mark.who}: {mark.word} ends") for mark in record.marks]
-    events += [(at, f"{one.name}: {word}") for one in record.processes for at, word in one.events]
-    events += [(one.at, f"BREACH {one.rule}: {one.who}: {one.text}") for one in record.breaches]
+    events = [(fault.start, f"{fault.target}: {fault.description} begins") for fault in record.faults]
+    events += [
+        (fault.end or record.end, f"{fault.target}: {fault.description} ends") for fault in record.faults
+    ]
+    events += [
+        (at, f"{process.name}: {event}") for process in record.processes for at, event in process.events
+    ]
+    events += [
+        (breach.at, f"BREACH {breach.rule}: {breach.subject}: {breach.text}") for breach in record.breaches
+    ]
     lines = []
     for at, text in sorted(events):
         seconds, us = divmod(at + offset, US)
@@ -417,11 +468,12 @@
         lines.append(f"{stamp}.{us // 1000:03d} RIG {text}\n")
     (folder / "rig.log").write_text("".join(lines))
     with open(folder / "tries.jsonl", "wb") as file:
-        for one in record.tries:
-            answers = [(at - record.start, kind, str(text[:60])) for at, kind, text in one.answers]
+        for attempt in record.client_attempts:
+            answers = [(at - record.start, kind, str(text[:60])) for at, kind, text in attempt.answers]
             row = {
-                "req": one.number, "id": one.ident.decode(), "class": one.method, "mark": one.mark.decode(),
-                "proxy": one.proxy, "at_us": one.at - record.start, "by_us": one.by - record.start,
-                "answers": answers, "crossed": one.crossed, "left": one.left,
+                "req": attempt.number, "id": attempt.ident.decode(), "class": attempt.method,
+                "mark": attempt.mark.decode(), "proxy": attempt.proxy,
+                "at_us": attempt.at - record.start, "by_us": attempt.by - record.start,
+                "answers": answers, "crossed": attempt.crossed, "left": attempt.left,
             }  # fmt: skip
             file.write(orjson.dumps(row) + b"\n")
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -1,7 +1,4 @@
-"""What a run leaves: what was sent and got, carried out, done to the processes, and held.
-
-Owns these plain types and the classes of the load.  It must never do anything.
-"""
+"""The record of a run: requests, answers, effects, faults and leases; and the request classes of the load."""
 
 from __future__ import annotations
 
@@ -10,14 +7,15 @@
 
 from ..load.clients import Class
 from ..standin.ledger import Ledger
-from .check import Act, Breach, Excuse
+from .check import Breach, DutyAction, Exemption
 from .processes import Process
 from .scenario import Scenario
 
 US = 1_000_000
-WINDOW = 10 * US  # of the deduplicated class: the origin's, and what is stated where a scenario says no less
-MULTIPLE = 4.0  # of what a cold node bears
-SHARE = 0.3  # of a warm node's, what a cold one bears
+# Deduplication window of the origin, and of the proxies' settings unless a scenario sets a shorter one.
+DEFAULT_DEDUP_WINDOW_US = 10 * US
+OVERLOAD_FACTOR = 4.0  # multiple of its capacity that overloads a cold server
+COLD_SHARE = 0.3  # capacity of a cold server as a fraction of a warm one's
 
 CLASSES = [
     Class("read"),
@@ -26,41 +24,43 @@
 ]
 
 
-def window(scenario: Scenario) -> int:
-    """How long the proxies are told that repeats are dropped, in microseconds."""
-    return int(scenario.load.window * US) if scenario.load.window else WINDOW
+def dedup_window_us(scenario: Scenario) -> int:
+    """Return the deduplication window in the proxies' settings, in microseconds."""
+    return int(scenario.load.window * US) if scenario.load.window else DEFAULT_DEDUP_WINDOW_US
 
 
 @dataclass
-class Mark:
-    """A fault as it was: for the account and the plot."""
+class FaultRecord:
+    """A fault that was applied; `end` is None while it lasts."""
 
-    frm: int
-    to: int | None
-    who: str
-    word: str
+    start: int
+    end: int | None
+    target: str
+    description: str
 
 
 @dataclass
 class Record:
-    """All that a run leaves."""
+    """Everything that is recorded in a run.  Times are microseconds of the rig's monotonic clock."""
 
     scenario: Scenario
-    start: int = 0  # of the load; times are microseconds of one clock
+    start: int = 0  # begin of the load
     end: int = 0
-    ready: float = 0.0  # seconds that the start took
-    lag: int = 0  # how late the rig's own reactor was at most
-    load_lag: int = 0  # how late the load was at most
-    members: list[str] = field(default_factory=list)  # of the consensus group, at the end
-    asked: list = field(default_factory=list)
-    tries: list = field(default_factory=list)
+    startup_seconds: float = 0.0  # until all processes were ready
+    reactor_lag: int = 0  # maximum lag of the rig's own reactor
+    load_lag: int = 0  # maximum lag of the load generator
+    members: list[str] = field(default_factory=list)  # members of the consensus group at the end
+    requests: list = field(default_factory=list)
+    client_attempts: list = field(default_factory=list)
     ledger: Ledger = field(default_factory=Ledger)
-    marks: list[Mark] = field(default_factory=list)
-    excuses: list[Excuse] = field(default_factory=list)
-    acts: list[Act] = field(default_factory=list)
-    held: list[tuple[int, int, str, str, int]] = field(default_factory=list)  # from, to, duty, proxy, token
+    faults: list[FaultRecord] = field(default_factory=list)
+    exemptions: list[Exemption] = field(default_factory=list)
+    duty_actions: list[DutyAction] = field(default_factory=list)
+    # Leases of duties: start, end, duty, proxy, fencing token.
+    leases: list[tuple[int, int, str, str, int]] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
     breaches: list[Breach] = field(default_factory=list)
-    agreed: list = field(default_factory=list)  # (key, operation) on the agreed state
-    fleet: dict[str, dict] = field(default_factory=dict)  # what each proxy told of it at the end
-    times: Any = None  # the histogram of what was served
+    table_history: list = field(default_factory=list)  # (key, Op) on the replicated table
+    # The fleet status that each proxy reported at the end.
+    fleet_status: dict[str, dict] = field(default_factory=dict)
+    latencies: Any = None  # histogram of the served requests, in microseconds
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -1,7 +1,7 @@
-"""The verdict on a run: everything that its scenario asks, held against its record.
+"""Checks the record of a run against the conditions of its scenario.
 
-Owns which checks a scenario calls for.  It must never change the record, or pass over what the run did
-not get to record.
+This module selects the checks that the scenario asks for.  The record is not changed, and a part that the run
+did not record never counts as good.
 """
 
 from __future__ import annotations
@@ -10,86 +10,118 @@
 from math import inf
 
 from ..load.clients import in_time
-from .check import Breach, Terms, agreed, duties, overlapping, rules
-from .record import CLASSES, MULTIPLE, SHARE, US, Record, window
+from .check import (
+    Breach,
+    RuleLimits,
+    check_duty_actions,
+    check_overlapping_leases,
+    check_rules,
+    check_table_history,
+)
+from .record import CLASSES, COLD_SHARE, OVERLOAD_FACTOR, US, Record, dedup_window_us
 
-LATE = 50_000  # microseconds: each limit is that much longer, as for the proxies in service
+TOLERANCE_US = 50_000  # added to each limit, as for proxies in production
 
 
-def judged(record: Record) -> list[Breach]:
-    """Every breach."""
+def find_breaches(record: Record) -> list[Breach]:
+    """Return all breaches of the rules and of the scenario's conditions."""
     scenario, hold = record.scenario, record.scenario.hold
-    slack = int(hold.slack_ms * 1000) + record.lag + record.load_lag
-    bears = scenario.fleet.cores / scenario.fleet.service * SHARE * MULTIPLE
-    classes = {one.name: one for one in CLASSES}
-    windows = {one.name: window(scenario) for one in CLASSES if one.marked and one.repeats}
-    terms = Terms(classes, slack, LATE + record.lag, cold=bears, end=record.end, windows=windows,
-                  lag=record.lag)  # fmt: skip
-    found = rules(record.tries, record.ledger, record.excuses, terms) if hold.rules else []
-    found += duties(record.acts) + overlapping(record.held, stops(record)) + agreed(record.agreed)
+    slack = int(hold.slack_ms * 1000) + record.reactor_lag + record.load_lag
+    cold_limit = scenario.fleet.cores / scenario.fleet.service * COLD_SHARE * OVERLOAD_FACTOR
+    classes = {request_class.name: request_class for request_class in CLASSES}
+    windows = {
+        request_class.name: dedup_window_us(scenario)
+        for request_class in CLASSES
+        if request_class.marked and request_class.repeats
+    }
+    limits = RuleLimits(
+        classes, slack, TOLERANCE_US + record.reactor_lag, cold=cold_limit, end=record.end,
+        dedup_windows=windows, relay_lag=record.reactor_lag,
+    )  # fmt: skip
+    breaches = (
+        check_rules(record.client_attempts, record.ledger, record.exemptions, limits) if hold.rules else []
+    )
+    breaches += (
+        check_duty_actions(record.duty_actions)
+        + check_overlapping_leases(record.leases, process_stops(record))
+        + check_table_history(record.table_history)
+    )
     if not hold.crashes:
-        found += crashes(record)
-    found += service(record)
-    found += linked(record) if hold.linked else []
-    found += orders(record) if hold.orders else []
-    return found
+        breaches += check_crashes(record)
+    breaches += check_service(record)
+    breaches += check_links(record) if hold.linked else []
+    breaches += check_slot_orders(record) if hold.orders else []
+    return breaches
 
 
-def stops(record: Record) -> list[tuple[str, int, int | None]]:
-    """Which processes did not run when, or not always."""
-    words = "stop", "slow", "kill"
-    return [(mark.who, mark.frm, mark.to) for mark in record.marks if mark.word.startswith(words)]
+def process_stops(record: Record) -> list[tuple[str, int, int | None]]:
+    """Return the times in which processes were stopped, slowed or killed: (proxy, start, end)."""
+    kinds = "stop", "slow", "kill"
+    return [
+        (fault.target, fault.start, fault.end)
+        for fault in record.faults
+        if fault.description.startswith(kinds)
+    ]
 
 
-def crashes(record: Record) -> Iterator[Breach]:
+def check_crashes(record: Record) -> Iterator[Breach]:
     for process in record.processes:
-        for at, word in process.events:
-            if word.startswith("ended by itself"):
-                yield Breach("no crash", at, process.name, word)
+        for at, event in process.events:
+            if event.startswith("ended by itself"):
+                yield Breach("no crash", at, process.name, event)
 
 
-def service(record: Record) -> Iterator[Breach]:
-    """What must go on, goes on: reqs served in time, the agreed state answering."""
+def check_service(record: Record) -> Iterator[Breach]:
+    """Check the fractions of requests served in time and the number of answers from the replicated table."""
     hold = record.scenario.hold
     last = record.start + int((record.scenario.seconds - hold.last) * US)
-    for key, least, asked in (
-        ("served", hold.served, record.asked),
-        ("served_last", hold.served_last, [one for one in record.asked if one.due >= last]),
+    for key, least, requests in (
+        ("served", hold.served, record.requests),
+        ("served_last", hold.served_last, [request for request in record.requests if request.due >= last]),
     ):
-        part = sum(map(in_time, asked)) / max(1, len(asked))
-        if part < least:
-            text = f"{part:.3f} of {len(asked)} reqs in time, {least:g} are to be"
+        fraction = sum(map(in_time, requests)) / max(1, len(requests))
+        if fraction < least:
+            text = f"{fraction:.3f} of {len(requests)} requests served in time, {least:g} required"
             yield Breach(f"hold.{key}", record.end, "fleet", text)
     third = record.scenario.seconds * US / 3
     for number in range(3):
-        frm, to = record.start + number * third, record.start + (number + 1) * third
-        for name in sorted({one.method.name for one in record.asked} if hold.each_class else ()):
-            asked = [one for one in record.asked if one.method.name == name and frm <= one.due < to]
-            part = sum(map(in_time, asked)) / max(1, len(asked))
-            if part < hold.each_class:
-                text = f"{part:.3f} of {len(asked)} reqs of {name} in time, {hold.each_class:g} are to be"
-                yield Breach("hold.each_class", int(to), f"third {number + 1}", text)
-    new = sum(one.called >= last and one.returned != inf for _, one in record.agreed)
-    if new < hold.agreed_last:
-        text = f"{new} answers from the agreed state, {hold.agreed_last} are to be"
+        start, end = record.start + number * third, record.start + (number + 1) * third
+        for name in sorted({request.method.name for request in record.requests} if hold.each_class else ()):
+            requests = [
+                request
+                for request in record.requests
+                if request.method.name == name and start <= request.due < end
+            ]
+            fraction = sum(map(in_time, requests)) / max(1, len(requests))
+            if fraction < hold.each_class:
+                text = (
+                    f"{fraction:.3f} of {len(requests)} {name} requests served in time,"
+                    f" {hold.each_class:g} required"
+                )
+                yield Breach("hold.each_class", int(end), f"third {number + 1}", text)
+    answered = sum(op.called >= last and op.returned != inf for _, op in record.table_history)
+    if answered < hold.agreed_last:
+        text = f"{answered} answers from the replicated table, {hold.agreed_last} required"
         yield Breach("hold.agreed_last", record.end, "group", text)
 
 
-def linked(record: Record) -> Iterator[Breach]:
-    for name, told in record.fleet.items():
-        there = {name, *told.get("mesh", {}).get("peers", {})}
-        missing = [one for one in record.members if one not in there]
+def check_links(record: Record) -> Iterator[Breach]:
+    """Check that each proxy was connected to every member of the consensus group at the end."""
+    for name, status in record.fleet_status.items():
+        connected = {name, *status.get("mesh", {}).get("peers", {})}
+        missing = [member for member in record.members if member not in connected]
         if missing:
             yield Breach("hold.linked", record.end, name, f"no link to {' '.join(missing)} at the end")
 
 
-def orders(record: Record) -> Iterator[Breach]:
-    told = {name: one.get("duties", {}) for name, one in record.fleet.items()}
-    found = {name: one.get("order") for name, one in told.items()}
-    if len({*found.values()}) > 1:
-        text = ", ".join(f"{name} {order}" for name, order in found.items())
+def check_slot_orders(record: Record) -> Iterator[Breach]:
+    """Check that all proxies had the same slot order at the end, and slot-order had one holder."""
+    duties = {name: status.get("duties", {}) for name, status in record.fleet_status.items()}
+    orders = {name: status.get("order") for name, status in duties.items()}
+    if len({*orders.values()}) > 1:
+        text = ", ".join(f"{name} {order}" for name, order in orders.items())
         yield Breach("hold.orders", record.end, "fleet", text[:300])
-    holders = [name for name, one in told.items() if "slot-order" in one.get("held", {})]
+    holders = [name for name, status in duties.items() if "slot-order" in status.get("held", {})]
     if len(holders) != 1:
         text = f"slot-order is held by {' '.join(holders) or 'nobody'}"
         yield Breach("hold.orders", record.end, "fleet", text)
--- a/tests/test_consensus_state_machine.py
+++ b/tests/test_consensus_state_machine.py
@@ -7,7 +7,7 @@
 from ivystack.consensus.errors import UnknownEntryError
 from ivystack.consensus.messages import encode
 from ivystack.consensus.state_machine import ANSWERS_PER_SESSION, MAX_SESSIONS, KeyValueTable, StateMachine
-from ivystack.rig.check import agreed
+from ivystack.rig.check import check_table_history
 from ivystack.rig.linear import Op
 
 
@@ -56,10 +56,10 @@
         valid.append(("k", Op(at, at + 5, ("set", b"%d" % number, None), [True, version])))
         valid.append(("k", Op(at + 6, at + 7, ("get",), [b"%d" % number, version])))
         at += 10
-    assert agreed(valid) == []
+    assert check_table_history(valid) == []
     stale = ("k", Op(at, at + 1, ("get",), [b"198", 199]))
     unanswered = ("k", Op(at, inf, ("set", b"x", None)))
-    assert [breach.rule for breach in agreed([*valid, stale])] == ["linearizable"]
-    assert agreed([*valid, unanswered]) == []
+    assert [breach.rule for breach in check_table_history([*valid, stale])] == ["linearizable"]
+    assert check_table_history([*valid, unanswered]) == []
     conflicting = [("k", Op(at, at + 2, ("set", value, 200), [True, 201])) for value in (b"y", b"z")]
-    assert [breach.rule for breach in agreed([*valid, *conflicting])] == ["linearizable"]
+    assert [breach.rule for breach in check_table_history([*valid, *conflicting])] == ["linearizable"]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,8 +19,8 @@
 from ivystack.duties.protocol import HealthCheckResults, LeaseAnnouncement, LeaseSummary, MessageKind
 from ivystack.duties.slot_order_duty import OrderFault, SlotOrder
 from ivystack.mesh.protocol import encode
-from ivystack.rig.check import overlapping
-from ivystack.rig.logs import logged
+from ivystack.rig.check import check_overlapping_leases
+from ivystack.rig.logs import parse_duty_logs
 
 MS, S = 1_000, 1_000_000
 LEASE, DRIFT = 3 * S, 0.02
@@ -309,10 +309,10 @@
 
 def test_overlapping_holders_are_detected_unless_one_of_them_was_stopped():
     held = [(0, 5 * S, DUTY, "a", 1), (3 * S, 9 * S, DUTY, "b", 2)]
-    assert len(overlapping(held, [])) == 1
-    assert overlapping(held, [("a", 1 * S, 5 * S)]) == []
-    assert len(overlapping(held, [("b", 1 * S, 5 * S)])) == 1
-    assert len(overlapping([(0, S, DUTY, "a", 1), (2 * S, 3 * S, DUTY, "b", 1)], [])) == 1
+    assert len(check_overlapping_leases(held, [])) == 1
+    assert check_overlapping_leases(held, [("a", 1 * S, 5 * S)]) == []
+    assert len(check_overlapping_leases(held, [("b", 1 * S, 5 * S)])) == 1
+    assert len(check_overlapping_leases([(0, S, DUTY, "a", 1), (2 * S, 3 * S, DUTY, "b", 1)], [])) == 1
 
 
 def test_setting_the_wall_clock_during_a_run_does_not_move_logged_events(tmp_path):
@@ -324,7 +324,7 @@
     day = int(time.mktime((*time.localtime()[:3], 0, 0, 0, 0, 0, -1))) * S
     begin = day + 36_000 * S  # time 0 of the rig's clock; at 3 s the wall clock is set 8 s ahead
     steps = [(0, begin), (begin + 11 * S, begin + 8 * S)]
-    assert logged(tmp_path, steps, {})[1] == [(1 * S, 4 * S, DUTY, "p0", 1)]
+    assert parse_duty_logs(tmp_path, steps, {})[1] == [(1 * S, 4 * S, DUTY, "p0", 1)]
 
 
 # Real processes
