--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
+class LoadClass:
     """What the load knows of a method.  Times are microseconds."""
 
     name: str
@@ -56,7 +56,7 @@
     number: int
     arrival: Arrival
     due: int
-    method: Class
+    method: LoadClass
     mark: bytes
     tries: list[Try] = field(default_factory=list)
     hops: int = 0  # proxies that could not be reached
@@ -117,7 +117,7 @@
     SPAN = 60_000_000  # the histogram's, in microseconds
 
     def __init__(
-        self, reactor, now, rng: Random, places: dict[str, tuple[str, int]], classes: list[Class],
+        self, reactor, now, rng: Random, places: dict[str, tuple[str, int]], classes: list[LoadClass],
         refused: set | None = None, oldest_first: bool = False,
     ):  # fmt: skip
         """`places` are the proxies' addresses as clients reach them, in the order that arrivals number.
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -11,7 +11,7 @@
 
 from math import inf
 
-from ..load.clients import NACKED, SERVED, Class, Try
+from ..load.clients import NACKED, SERVED, LoadClass, Try
 from ..standin.ledger import SERVING, Ledger, Taken
 from .linear import Op, linearizable
 
@@ -44,7 +44,7 @@
 class Terms:
     """What the rules go by.  Times are microseconds; `cold`: reqs that a cold node may get in a second."""
 
-    classes: dict[str, Class]
+    classes: dict[str, LoadClass]
     slack: int  # on the time of a final answer
     late: int = 50_000  # on all else: what the rig itself may lag
     lag: int = 0  # how late the rig was: for so long bytes may have lain in its own relays
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..load.clients import Class
+from ..load.clients import LoadClass
 from ..standin.ledger import Ledger
 from .check import Act, Breach, Excuse
 from .processes import Process
@@ -20,9 +20,9 @@
 SHARE = 0.3  # of a warm node's, what a cold one bears
 
 CLASSES = [
-    Class("read"),
-    Class("put", write=True, marked=True),
-    Class("pay", write=True, repeats=False, marked=True),
+    LoadClass("read"),
+    LoadClass("put", write=True, marked=True),
+    LoadClass("pay", write=True, repeats=False, marked=True),
 ]
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,7 +12,7 @@
 
 import ivystack
 from ivystack.load.arrivals import drawn
-from ivystack.load.clients import Asked, Class, Try
+from ivystack.load.clients import Asked, LoadClass, Try
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import Act, Excuse, Terms, duties, rules
 from ivystack.rig.linear import Op, TooLargeError, linearizable
@@ -22,7 +22,7 @@
 from ivystack.rig.ways import HELD, Stream, Way
 from ivystack.standin.ledger import Effect, Ledger, Taken, Told
 
-CLASSES = {"read": Class("read"), "pay": Class("pay", write=True, repeats=False, marked=True)}
+CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, repeats=False, marked=True)}
 TERMS = Terms(CLASSES, 100_000, 10_000, cold=3)
 PACKAGE = Path(ivystack.__file__).parent
 
@@ -121,7 +121,9 @@
 
 
 def test_a_repeat_that_comes_past_its_window_is_found_though_the_origin_drops_it():
-    terms = Terms({"pay": Class("pay", write=True, marked=True)}, 100_000, 10_000, windows={"pay": 300_000})
+    terms = Terms(
+        {"pay": LoadClass("pay", write=True, marked=True)}, 100_000, 10_000, windows={"pay": 300_000}
+    )
     waits = one("pay", [(400_000, "served", b"a")])  # its answer comes after all of them
     good = [taken(0), taken(310_000, "n1")]
     assert broken([waits], terms=terms, taken=good) == []
