--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class ClientAttempt:
     """One command that was written to a proxy's connection."""
 
     number: int  # of the req, common to its tries
@@ -58,7 +58,7 @@
     due: int
     method: LoadClass
     mark: bytes
-    tries: list[Try] = field(default_factory=list)
+    tries: list[ClientAttempt] = field(default_factory=list)
     hops: int = 0  # proxies that could not be reached
     outcome: str = UNSENT
     ended: int = 0
@@ -74,7 +74,7 @@
         super().__init__()
         self.clients, self.proxy = clients, proxy
         self.asked: Asked | None = None
-        self.last: Try | None = None
+        self.last: ClientAttempt | None = None
         self.sent = 0
         self.here: tuple[str, int] | None = None  # our side's address
 
@@ -131,7 +131,7 @@
         self.idle: dict[str, deque[Link]] = {name: deque() for name in places}
         self.busy: dict[Link, None] = {}
         self.reqs: list[Asked] = []
-        self.tries: list[Try] = []
+        self.tries: list[ClientAttempt] = []
         self.count = 0
         self.lag = 0  # the greatest: how far the generator itself fell behind
         self.shut = False
@@ -171,7 +171,7 @@
         method, now = asked.method, self.now()
         self.count += 1
         ident = b"%012x" % self.count
-        made = Try(asked.number, ident, method.name, asked.mark, link.proxy, now, now + method.wait)
+        made = ClientAttempt(asked.number, ident, method.name, asked.mark, link.proxy, now, now + method.wait)
         asked.tries.append(made)
         self.tries.append(made)
         link.asked, link.last = asked, made
@@ -204,7 +204,7 @@
             self.idle[link.proxy].append(link)
         self.concluded(asked, made, kind, text)
 
-    def waited(self, link: Link, made: Try) -> None:
+    def waited(self, link: Link, made: ClientAttempt) -> None:
         """A second beyond its time: nobody waits any more."""
         if link.last is made and link.asked is not None:
             asked, link.asked = link.asked, None
@@ -253,7 +253,7 @@
         at = (self.names.index(proxy) + self.rng.randrange(1, len(self.names) + 1)) % len(self.names)
         self.send(asked, self.names[at])
 
-    def concluded(self, asked: Asked, made: Try, kind: str, text: bytes) -> None:
+    def concluded(self, asked: Asked, made: ClientAttempt, kind: str, text: bytes) -> None:
         now = self.now()
         asked.outcome, asked.ended = kind, now
         if kind == SERVED:
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -11,7 +11,7 @@
 
 from math import inf
 
-from ..load.clients import NACKED, SERVED, LoadClass, Try
+from ..load.clients import NACKED, SERVED, LoadClass, ClientAttempt
 from ..standin.ledger import SERVING, Ledger, Taken
 from .linear import Op, linearizable
 
@@ -54,7 +54,7 @@
     windows: dict[str, int] = field(default_factory=dict)  # of deduplicated classes
 
 
-def rules(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
+def rules(tries: list[ClientAttempt], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
     """Every breach of the four rules, and of reqs sent on for nobody, in the order of their times."""
     found = [
         *one_answer(tries, ledger, excuses, terms),
@@ -75,7 +75,9 @@
     )
 
 
-def one_answer(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
+def one_answer(
+    tries: list[ClientAttempt], ledger: Ledger, excuses: list[Excuse], terms: Terms
+) -> list[Breach]:
     """Rule 1: each accepted req gets exactly one final answer in time, nothing after it.
 
     One that crossed the end of a kept connection was not accepted, unless a node had it from that proxy.  It
@@ -108,7 +110,7 @@
     return found
 
 
-def one_effect(tries: list[Try], ledger: Ledger, terms: Terms) -> list[Breach]:
+def one_effect(tries: list[ClientAttempt], ledger: Ledger, terms: Terms) -> list[Breach]:
     """Rule 2: no effect twice; nothing nacked that may have run."""
     found, runs, outs = [], defaultdict(list), defaultdict(list)
     by_mark = defaultdict(list)
@@ -210,7 +212,7 @@
     return found
 
 
-def for_nobody(tries: list[Try], ledger: Ledger, terms: Terms) -> list[Breach]:
+def for_nobody(tries: list[ClientAttempt], ledger: Ledger, terms: Terms) -> list[Breach]:
     """A req whose client has left while it waited is not sent on; counted against all that waited."""
     taken, waited, sent = defaultdict(list), 0, []
     for went in ledger.taken:
@@ -229,7 +231,9 @@
     return [Breach("nothing is sent on for nobody", when, one.ident.decode(), text)]
 
 
-def begun_for_nobody(tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
+def begun_for_nobody(
+    tries: list[ClientAttempt], ledger: Ledger, excuses: list[Excuse], terms: Terms
+) -> list[Breach]:
     """No attempt begins once the client has gone, but for what crosses its end; the third is a breach."""
     taken, late = defaultdict(list), []
     for went in ledger.taken:
@@ -247,7 +251,7 @@
 
 
 def sent_after_its_answer(
-    tries: list[Try], ledger: Ledger, excuses: list[Excuse], terms: Terms
+    tries: list[ClientAttempt], ledger: Ledger, excuses: list[Excuse], terms: Terms
 ) -> list[Breach]:
     """No attempt reaches a node once the proxy has ended its request: with an answer, or its connection."""
     taken, found = defaultdict(list), []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,7 +12,7 @@
 
 import ivystack
 from ivystack.load.arrivals import drawn
-from ivystack.load.clients import Asked, LoadClass, Try
+from ivystack.load.clients import Asked, LoadClass, ClientAttempt
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import Act, Excuse, Terms, duties, rules
 from ivystack.rig.linear import Op, TooLargeError, linearizable
@@ -28,7 +28,7 @@
 
 
 def one(method="read", answers=((1000, "served", b"a"),), ident=b"a", **more):
-    return Try(0, ident, method, b"", "p0", 0, 900_000, [*answers], **more)
+    return ClientAttempt(0, ident, method, b"", "p0", 0, 900_000, [*answers], **more)
 
 
 def taken(at=500, node="n0", ident=b"a", cold=False, busy=False):
