--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
+class ClientRequest:
     """One req of the load, with all its tries."""
 
     number: int
@@ -73,7 +73,7 @@
     def __init__(self, clients: Clients, proxy: str):
         super().__init__()
         self.clients, self.proxy = clients, proxy
-        self.asked: Asked | None = None
+        self.asked: ClientRequest | None = None
         self.last: ClientAttempt | None = None
         self.sent = 0
         self.here: tuple[str, int] | None = None  # our side's address
@@ -98,7 +98,7 @@
 class Opening(ClientFactory):
     noisy = False
 
-    def __init__(self, clients: Clients, proxy: str, asked: Asked):
+    def __init__(self, clients: Clients, proxy: str, asked: ClientRequest):
         self.clients, self.proxy, self.asked = clients, proxy, asked
 
     def buildProtocol(self, addr):  # noqa: N802
@@ -130,7 +130,7 @@
         self.oldest_first = oldest_first
         self.idle: dict[str, deque[Link]] = {name: deque() for name in places}
         self.busy: dict[Link, None] = {}
-        self.reqs: list[Asked] = []
+        self.reqs: list[ClientRequest] = []
         self.tries: list[ClientAttempt] = []
         self.count = 0
         self.lag = 0  # the greatest: how far the generator itself fell behind
@@ -144,7 +144,7 @@
         for number, one in enumerate(arrivals):
             method = self.classes[one.method]
             mark = b"m%08d" % number if method.marked else b""
-            self.reqs.append(Asked(number, one, start + one.at, method, mark))
+            self.reqs.append(ClientRequest(number, one, start + one.at, method, mark))
         self.coming = deque(self.reqs)
         self.next()
 
@@ -157,7 +157,7 @@
         if self.coming:
             self.reactor.callLater(max(0, self.coming[0].due - self.now()) / 1e6, self.next)
 
-    def send(self, asked: Asked, proxy: str, fresh: bool = False) -> None:
+    def send(self, asked: ClientRequest, proxy: str, fresh: bool = False) -> None:
         idle = self.idle[proxy]
         if idle and not fresh:
             return self.write(idle.popleft() if self.oldest_first else idle.pop(), asked)
@@ -167,7 +167,7 @@
     def up(self, link: Link) -> None:
         self.write(link, link.asked)
 
-    def write(self, link: Link, asked: Asked) -> None:
+    def write(self, link: Link, asked: ClientRequest) -> None:
         method, now = asked.method, self.now()
         self.count += 1
         ident = b"%012x" % self.count
@@ -244,7 +244,7 @@
                 return self.send(asked, link.proxy, True)
         self.concluded(asked, made, LOST, b"")
 
-    def unreached(self, asked: Asked, proxy: str) -> None:
+    def unreached(self, asked: ClientRequest, proxy: str) -> None:
         """No connection came up: the next proxy is asked, as a front would do."""
         asked.hops += 1
         if asked.hops > self.HOPS or self.now() - asked.due > self.PATIENCE:
@@ -253,7 +253,7 @@
         at = (self.names.index(proxy) + self.rng.randrange(1, len(self.names) + 1)) % len(self.names)
         self.send(asked, self.names[at])
 
-    def concluded(self, asked: Asked, made: ClientAttempt, kind: str, text: bytes) -> None:
+    def concluded(self, asked: ClientRequest, made: ClientAttempt, kind: str, text: bytes) -> None:
         now = self.now()
         asked.outcome, asked.ended = kind, now
         if kind == SERVED:
@@ -276,5 +276,5 @@
                 link.transport.loseConnection()
 
 
-def in_time(asked: Asked) -> bool:
+def in_time(asked: ClientRequest) -> bool:
     return asked.outcome == SERVED and asked.ended - asked.due <= asked.method.budget
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,7 +12,7 @@
 
 import ivystack
 from ivystack.load.arrivals import drawn
-from ivystack.load.clients import Asked, LoadClass, ClientAttempt
+from ivystack.load.clients import ClientRequest, LoadClass, ClientAttempt
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import Act, Excuse, Terms, duties, rules
 from ivystack.rig.linear import Op, TooLargeError, linearizable
@@ -377,7 +377,7 @@
             for method in (pay, read):
                 late = method is pay and 1_000_000 <= at < 2_000_000 and starved
                 ended = at + (800_000 if late else 1000)
-                found.asked.append(Asked(0, None, at, method, b"", outcome="served", ended=ended))
+                found.asked.append(ClientRequest(0, None, at, method, b"", outcome="served", ended=ended))
         return [(breach.rule, breach.who) for breach in judged(found)]
 
     assert record(False) == [] and record(True) == [("hold.each_class", "third 2")]
