--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -12,7 +12,7 @@
 from math import inf
 
 from ..load.clients import NACKED, SERVED, LoadClass, ClientAttempt
-from ..standin.ledger import SERVING, Ledger, Taken
+from ..standin.ledger import SERVING, Ledger, ReceivedCommand
 from .linear import Op, linearizable
 
 GRACE = 1_000_000  # after it was told, nothing new goes to a node that drains or is gone
@@ -160,7 +160,7 @@
     return found
 
 
-def held_up(excuses: list[Excuse], taken: Taken, frm: int) -> bool:
+def held_up(excuses: list[Excuse], taken: ReceivedCommand, frm: int) -> bool:
     """A fault of the link may have kept it on its way: when it went out is not known."""
     return any(
         one.node in (None, taken.node) and one.proxy in (None, taken.proxy)
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class ReceivedCommand:
     """A command that came whole to a node.  Times are whole microseconds of the rig's clock."""
 
     at: int
@@ -48,7 +48,7 @@
 
 @dataclass
 class Ledger:
-    taken: list[Taken] = field(default_factory=list)
+    taken: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
     dropped: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
     told: list[Told] = field(default_factory=list)
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from ..net.resp import MAX_VALUE, RespProtocol, encode_bulk
-from .ledger import Ledger, Taken
+from .ledger import Ledger, ReceivedCommand
 
 BUSY, FAILED, BAD = b"-BUSY\r\n", b"-ERR failed\r\n", b"-SYNTAX\r\n"
 WAIT = re.compile(rb"(?:^|,)d=(\d+)")
@@ -30,7 +30,7 @@
         self.write = args[0].upper() == b"OBJ.SET"
         wait = WAIT.search(args[3])
         self.until = now + 1000 * int(wait[1]) if wait else None
-        self.taken: Taken | None = None
+        self.taken: ReceivedCommand | None = None
 
 
 class Link(RespProtocol):
@@ -153,7 +153,7 @@
     def take(self, command: Command) -> None:
         method = command.fields.get(b"c", b"").decode("latin-1")
         self.ids.append(command.ident)
-        command.taken = Taken(
+        command.taken = ReceivedCommand(
             self.now(), self.name, command.link.caller, command.ident, method, command.write, self.cold()
         )
         self.ledger.taken.append(command.taken)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,7 +20,7 @@
 from ivystack.rig.scenario import ScenarioError, checked
 from ivystack.rig.verdict import judged
 from ivystack.rig.ways import HELD, Stream, Way
-from ivystack.standin.ledger import Effect, Ledger, Taken, Told
+from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, Told
 
 CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, repeats=False, marked=True)}
 TERMS = Terms(CLASSES, 100_000, 10_000, cold=3)
@@ -32,7 +32,7 @@
 
 
 def taken(at=500, node="n0", ident=b"a", cold=False, busy=False):
-    return Taken(at, node, "p0", ident, "pay", True, cold, busy)
+    return ReceivedCommand(at, node, "p0", ident, "pay", True, cold, busy)
 
 
 def broken(tries=(), excuses=(), terms=TERMS, **ledger):
