--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -12,7 +12,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
 
-from .ledger import GONE, Ledger, Told
+from .ledger import GONE, Ledger, StateUpdate
 
 EMPTY = 2.0  # seconds between the empty lines of a watch on which nothing changes
 
@@ -107,7 +107,9 @@
         self.ledger.lines[caller] = self.ledger.lines.get(caller, 0) + 1
         self.watches[request][1] = self.generation
         now = self.now()
-        self.ledger.told += [Told(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]]
+        self.ledger.told += [
+            StateUpdate(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]
+        ]
 
     def beat(self) -> None:
         if self.port is None:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,7 +20,7 @@
 from ivystack.rig.scenario import ScenarioError, checked
 from ivystack.rig.verdict import judged
 from ivystack.rig.ways import HELD, Stream, Way
-from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, Told
+from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, StateUpdate
 
 CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, repeats=False, marked=True)}
 TERMS = Terms(CLASSES, 100_000, 10_000, cold=3)
@@ -53,10 +53,10 @@
     assert broken([one("pay", [(1000, "nacked", b"")])], taken=[taken(busy=True)]) == []
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert broken(effects=marked) == [("no effect twice", 9)]
-    told = [Told(0, "p0", "n0", "DRAINING"), Told(1, "p0", "n0", "DELETED")]
+    told = [StateUpdate(0, "p0", "n0", "DRAINING"), StateUpdate(1, "p0", "n0", "DELETED")]
     assert broken(told=told, taken=[taken(1_000_000)]) == []
     assert broken(told=told, taken=[taken(1_011_000)]) == [("nothing new to a draining node", 1_011_000)]
-    back = [*told, Told(500_000, "p0", "n0", "SERVING")]
+    back = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
     assert broken(told=back, taken=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
     assert broken(taken=cold) == [("a cold node is not pushed over", 900_000)]
