--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -171,7 +171,7 @@
 def nothing_new(ledger: Ledger, excuses: list[Excuse], terms: Terms) -> list[Breach]:
     """Rule 3: nothing new to a node that drains or is gone, after the grace."""
     found, states = [], defaultdict(list)
-    for told in ledger.told:
+    for told in ledger.state_updates:
         states[told.proxy, told.node].append(told)
     for taken in ledger.taken:
         last = None
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -107,7 +107,7 @@
         self.ledger.lines[caller] = self.ledger.lines.get(caller, 0) + 1
         self.watches[request][1] = self.generation
         now = self.now()
-        self.ledger.told += [
+        self.ledger.state_updates += [
             StateUpdate(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]
         ]
 
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -51,7 +51,7 @@
     taken: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
     dropped: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
-    told: list[StateUpdate] = field(default_factory=list)
+    state_updates: list[StateUpdate] = field(default_factory=list)
     calls: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
     lines: dict[str, int] = field(default_factory=dict)
     fetches: int = 0  # at the origin
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -54,10 +54,12 @@
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert broken(effects=marked) == [("no effect twice", 9)]
     told = [StateUpdate(0, "p0", "n0", "DRAINING"), StateUpdate(1, "p0", "n0", "DELETED")]
-    assert broken(told=told, taken=[taken(1_000_000)]) == []
-    assert broken(told=told, taken=[taken(1_011_000)]) == [("nothing new to a draining node", 1_011_000)]
+    assert broken(state_updates=told, taken=[taken(1_000_000)]) == []
+    assert broken(state_updates=told, taken=[taken(1_011_000)]) == [
+        ("nothing new to a draining node", 1_011_000)
+    ]
     back = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
-    assert broken(told=back, taken=[taken(1_500_000)]) == []
+    assert broken(state_updates=back, taken=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
     assert broken(taken=cold) == [("a cold node is not pushed over", 900_000)]
     assert broken(taken=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
