--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -34,7 +34,7 @@
         parts = [f"p{part:g} {at(part) / 1000:.0f} ms" for part in (50, 95, 99)]
         lines.append("from when it was due to its answer: " + ", ".join(parts))
     lines.append(
-        f"attempts {len(ledger.taken)}, effects {len(ledger.effects)}, "
+        f"attempts {len(ledger.commands)}, effects {len(ledger.effects)}, "
         f"repeats recognized {len(ledger.dropped)}, at the origin {ledger.fetches}; "
         f"discovery: {sum(ledger.calls.values())} calls, {sum(ledger.lines.values())} lines"
     )
@@ -70,7 +70,7 @@
     for one in mine:
         events += [(at, f"{one.proxy} answers: {kind} {text[:40]!r}") for at, kind, text in one.answers]
         events += [(one.ended, f"{one.proxy}: the connection ends")] if one.ended else []
-    for taken in record.ledger.taken:
+    for taken in record.ledger.commands:
         if taken.ident in idents:
             how = "turns it away" if taken.busy else "takes it"
             events.append((taken.at, f"{taken.node} {how}, from {taken.proxy}"))
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -84,7 +84,7 @@
     did not cross the end if it had lain there for longer than `late`: the proxy had that time to read it.  On
     a new connection nothing crosses but what the rig itself held back.
     """
-    found, reached = [], {(taken.proxy, taken.ident) for taken in ledger.taken}
+    found, reached = [], {(taken.proxy, taken.ident) for taken in ledger.commands}
     for one in tries:
         name, late = one.ident.decode(), one.by + terms.slack
         if one.left is not None or (terms.end is not None and one.by > terms.end):
@@ -118,7 +118,7 @@
         runs[effect.ident].append(effect)
         if effect.mark:
             by_mark[effect.method, effect.mark].append(effect)
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         if not taken.busy:
             outs[taken.ident].append(taken)
     for (_, mark), effects in by_mark.items():
@@ -149,7 +149,7 @@
     """Rule 2, as a node sees it that drops repeats just as long as stated: what may have run comes again
     within the window of the first that may have."""
     found, first = [], {}
-    for taken in sorted(ledger.taken, key=lambda one: one.at):
+    for taken in sorted(ledger.commands, key=lambda one: one.at):
         window = terms.windows.get(taken.method)
         if window is None or taken.busy:
             continue
@@ -173,7 +173,7 @@
     found, states = [], defaultdict(list)
     for told in ledger.state_updates:
         states[told.proxy, told.node].append(told)
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         last = None
         for told in states[taken.proxy, taken.node]:
             if told.at <= taken.at:
@@ -197,7 +197,7 @@
     if terms.cold is None:
         return []
     found, by_node = [], defaultdict(list)
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         if taken.cold and not taken.busy:
             by_node[taken.node].append(taken.at)
     for node, times in by_node.items():
@@ -215,7 +215,7 @@
 def for_nobody(tries: list[ClientAttempt], ledger: Ledger, terms: Terms) -> list[Breach]:
     """A req whose client has left while it waited is not sent on; counted against all that waited."""
     taken, waited, sent = defaultdict(list), 0, []
-    for went in ledger.taken:
+    for went in ledger.commands:
         taken[went.proxy, went.ident].append(went.at)
     for one in tries:
         at = taken[one.proxy, one.ident]
@@ -236,7 +236,7 @@
 ) -> list[Breach]:
     """No attempt begins once the client has gone, but for what crosses its end; the third is a breach."""
     taken, late = defaultdict(list), []
-    for went in ledger.taken:
+    for went in ledger.commands:
         taken[went.proxy, went.ident].append(went)
     for one in tries:
         for went in taken[one.proxy, one.ident] if one.left is not None else ():
@@ -255,7 +255,7 @@
 ) -> list[Breach]:
     """No attempt reaches a node once the proxy has ended its request: with an answer, or its connection."""
     taken, found = defaultdict(list), []
-    for went in ledger.taken:
+    for went in ledger.commands:
         taken[went.proxy, went.ident].append(went)
     for one in tries:
         ended = one.answers[0][0] if one.answers else one.ended
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -48,7 +48,7 @@
 
 @dataclass
 class Ledger:
-    taken: list[ReceivedCommand] = field(default_factory=list)
+    commands: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
     dropped: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
     state_updates: list[StateUpdate] = field(default_factory=list)
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -156,7 +156,7 @@
         command.taken = ReceivedCommand(
             self.now(), self.name, command.link.caller, command.ident, method, command.write, self.cold()
         )
-        self.ledger.taken.append(command.taken)
+        self.ledger.commands.append(command.taken)
         if self.busy < self.cores:
             self.begin(command)
         elif len(self.waiting) < self.room:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -40,7 +40,7 @@
 
 
 def test_each_rule_is_found_broken_and_a_good_record_is_not():
-    assert broken([one()], taken=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")]) == []
+    assert broken([one()], commands=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")]) == []
     answers = [(1000, "served", b"a"), (2000, "served", b"a")]
     assert broken([one(answers=answers)]) == [("one answer", 2000)]
     assert broken([one(answers=())]) == [("one answer", 1_000_000)]
@@ -48,21 +48,21 @@
     assert broken([one(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
     assert broken([one(answers=[(5, "served", b"b")])]) == [("one answer", 5)]  # another's
     twice = [taken(), taken(600, "n1")]
-    assert broken([one("pay")], taken=twice) == [("no effect twice", 600)]
-    assert broken([one("pay", [(1000, "nacked", b"")])], taken=[taken()]) == [("no effect twice", 1000)]
-    assert broken([one("pay", [(1000, "nacked", b"")])], taken=[taken(busy=True)]) == []
+    assert broken([one("pay")], commands=twice) == [("no effect twice", 600)]
+    assert broken([one("pay", [(1000, "nacked", b"")])], commands=[taken()]) == [("no effect twice", 1000)]
+    assert broken([one("pay", [(1000, "nacked", b"")])], commands=[taken(busy=True)]) == []
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert broken(effects=marked) == [("no effect twice", 9)]
     told = [StateUpdate(0, "p0", "n0", "DRAINING"), StateUpdate(1, "p0", "n0", "DELETED")]
-    assert broken(state_updates=told, taken=[taken(1_000_000)]) == []
-    assert broken(state_updates=told, taken=[taken(1_011_000)]) == [
+    assert broken(state_updates=told, commands=[taken(1_000_000)]) == []
+    assert broken(state_updates=told, commands=[taken(1_011_000)]) == [
         ("nothing new to a draining node", 1_011_000)
     ]
     back = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
-    assert broken(state_updates=back, taken=[taken(1_500_000)]) == []
+    assert broken(state_updates=back, commands=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
-    assert broken(taken=cold) == [("a cold node is not pushed over", 900_000)]
-    assert broken(taken=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
+    assert broken(commands=cold) == [("a cold node is not pushed over", 900_000)]
+    assert broken(commands=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
 
 
 def test_a_fault_excuses_its_own_proxy_in_its_own_time_alone():
@@ -81,16 +81,16 @@
     assert closed(1, False) == [("one answer", 1)]  # on a new connection nothing crosses
     lagged = Terms(CLASSES, 100_000, 30_000, lag=20_000)
     assert closed(20_000, False, lagged) == [] and closed(20_001, False, lagged) == [("one answer", 20_001)]
-    assert broken([one(answers=(), ended=5, crossed=True)], taken=[taken()]) == [("one answer", 5)]  # read
+    assert broken([one(answers=(), ended=5, crossed=True)], commands=[taken()]) == [("one answer", 5)]  # read
 
 
 def test_an_attempt_that_reaches_a_node_after_its_request_has_ended_is_found():
     answered, cut_off = one(), one(answers=(), ended=1000, crossed=True)
     late = taken(11_001)
-    assert broken([answered], taken=[taken(11_000)]) == []
-    assert broken([answered], taken=[late]) == [("nothing is sent after its end", 11_001)]
-    assert ("nothing is sent after its end", 11_001) in broken([cut_off], taken=[late])
-    assert broken([answered], [Excuse(900, 12_000, "p0", "n0")], taken=[late]) == []  # held up on its way
+    assert broken([answered], commands=[taken(11_000)]) == []
+    assert broken([answered], commands=[late]) == [("nothing is sent after its end", 11_001)]
+    assert ("nothing is sent after its end", 11_001) in broken([cut_off], commands=[late])
+    assert broken([answered], [Excuse(900, 12_000, "p0", "n0")], commands=[late]) == []  # held up on its way
 
 
 def test_reqs_that_are_sent_on_after_their_client_has_left_are_found():
@@ -99,7 +99,9 @@
     gone = [one(answers=(), ident=b"%d" % n, left=1000) for n in range(8)]
 
     def of_first(taken):
-        return [found for found in broken(gone, taken=taken) if found[0] == "nothing is sent on for nobody"]
+        return [
+            found for found in broken(gone, commands=taken) if found[0] == "nothing is sent on for nobody"
+        ]
 
     late = [taken(400_000, ident=b"%d" % n) for n in range(3)]
     soon = [taken(300_000, ident=b"%d" % n) for n in range(3, 6)]
@@ -116,10 +118,10 @@
     late = [taken(112_000 + n, "n1", ident=b"%d" % n) for n in range(3)]
     crossed = [taken(111_000, "n1", ident=b"%d" % n) for n in range(5, 12)]
     found = [("nothing is begun for nobody", 112_002)]
-    assert broken(gone, taken=had + crossed + late[:2]) == []
-    assert broken(gone, taken=had + late) == found
-    assert broken(gone, [Excuse(0, 200_000, "p0", "n1")], taken=had + late) == []
-    assert broken(gone, [Excuse(0, 200_000, "p0", "n2")], taken=had + late) == found
+    assert broken(gone, commands=had + crossed + late[:2]) == []
+    assert broken(gone, commands=had + late) == found
+    assert broken(gone, [Excuse(0, 200_000, "p0", "n1")], commands=had + late) == []
+    assert broken(gone, [Excuse(0, 200_000, "p0", "n2")], commands=had + late) == found
 
 
 def test_a_repeat_that_comes_past_its_window_is_found_though_the_origin_drops_it():
@@ -128,17 +130,17 @@
     )
     waits = one("pay", [(400_000, "served", b"a")])  # its answer comes after all of them
     good = [taken(0), taken(310_000, "n1")]
-    assert broken([waits], terms=terms, taken=good) == []
+    assert broken([waits], terms=terms, commands=good) == []
     late = [taken(0), taken(200_000, "n1"), taken(310_001, "n2")]
-    assert broken([waits], terms=terms, taken=late) == [("no effect twice", 310_001)]
-    assert broken([waits], terms=terms, taken=[taken(0, busy=True), *late[2:]]) == []
-    assert broken([waits], [Excuse(0, 1, "p0", "n2")], terms, taken=late) == []
+    assert broken([waits], terms=terms, commands=late) == [("no effect twice", 310_001)]
+    assert broken([waits], terms=terms, commands=[taken(0, busy=True), *late[2:]]) == []
+    assert broken([waits], [Excuse(0, 1, "p0", "n2")], terms, commands=late) == []
 
 
 def test_a_req_that_crossed_an_end_was_not_accepted_unless_a_node_has_had_it():
     crossed = [one("pay", (), ended=700, crossed=True)]
     assert broken(crossed) == []
-    assert broken(crossed, taken=[taken()]) == [("one answer", 700)]
+    assert broken(crossed, commands=[taken()]) == [("one answer", 700)]
 
 
 def test_a_token_with_two_holders_and_an_act_of_an_older_token_are_found():
