--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -26,7 +26,7 @@
 
     name: str
     write: bool = False
-    repeats: bool = True  # it may be tried again though it may have run
+    retryable: bool = True  # it may be tried again though it may have run
     marked: bool = False  # its writes carry a mark
     budget: int = 500_000  # an answer beyond it is late
     wait: int = 900_000  # for the answer to one try
@@ -240,7 +240,7 @@
         if link.sent > 1 and not any(one.crossed for one in asked.tries):
             made.crossed = True
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
-            if asked.method.repeats:
+            if asked.method.retryable:
                 return self.send(asked, link.proxy, True)
         self.concluded(asked, made, LOST, b"")
 
@@ -259,7 +259,7 @@
         if kind == SERVED:
             self.times.record_value(max(1, min(now - asked.due, self.SPAN)))
             return
-        again = kind == NACKED or asked.method.repeats
+        again = kind == NACKED or asked.method.retryable
         if not again or len(asked.tries) >= self.TRIES or now - asked.due > self.PATIENCE:
             return
         rest = self.AGAIN
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -131,7 +131,7 @@
     for ident, of in sent.items():
         one, name = of[0], ident.decode()
         method = terms.classes[one.method]
-        if method.repeats:
+        if method.retryable:
             continue
         if len(outs[ident]) > 1:
             text = f"written out {len(outs[ident])} times, to {', '.join(t.node for t in outs[ident])}"
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -22,7 +22,7 @@
 CLASSES = [
     LoadClass("read"),
     LoadClass("put", write=True, marked=True),
-    LoadClass("pay", write=True, repeats=False, marked=True),
+    LoadClass("pay", write=True, retryable=False, marked=True),
 ]
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,7 +22,7 @@
 from ivystack.rig.ways import HELD, Stream, Way
 from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, StateUpdate
 
-CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, repeats=False, marked=True)}
+CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, retryable=False, marked=True)}
 TERMS = Terms(CLASSES, 100_000, 10_000, cold=3)
 PACKAGE = Path(ivystack.__file__).parent
 
