--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -27,7 +27,7 @@
     name: str
     write: bool = False
     retryable: bool = True  # it may be tried again though it may have run
-    marked: bool = False  # its writes carry a mark
+    sends_idempotency_key: bool = False  # its writes carry a mark
     budget: int = 500_000  # an answer beyond it is late
     wait: int = 900_000  # for the answer to one try
 
@@ -143,7 +143,7 @@
         start = self.now()
         for number, one in enumerate(arrivals):
             method = self.classes[one.method]
-            mark = b"m%08d" % number if method.marked else b""
+            mark = b"m%08d" % number if method.sends_idempotency_key else b""
             self.reqs.append(ClientRequest(number, one, start + one.at, method, mark))
         self.coming = deque(self.reqs)
         self.next()
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -142,7 +142,7 @@
     def build(self) -> None:
         fleet, hub = self.scenario.fleet, self.hub
         proxies, nodes = names(self.scenario)
-        windows = {one.name: WINDOW for one in CLASSES if one.marked and one.retryable}
+        windows = {one.name: WINDOW for one in CLASSES if one.sends_idempotency_key and one.retryable}
         self.origin = Origin(
             self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger,
             time=fleet.origin_time, at_once=fleet.origin, windows=windows,
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -21,8 +21,8 @@
 
 CLASSES = [
     LoadClass("read"),
-    LoadClass("put", write=True, marked=True),
-    LoadClass("pay", write=True, retryable=False, marked=True),
+    LoadClass("put", write=True, sends_idempotency_key=True),
+    LoadClass("pay", write=True, retryable=False, sends_idempotency_key=True),
 ]
 
 
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -22,7 +22,7 @@
     slack = int(hold.slack_ms * 1000) + record.lag + record.load_lag
     bears = scenario.fleet.cores / scenario.fleet.service * SHARE * MULTIPLE
     classes = {one.name: one for one in CLASSES}
-    windows = {one.name: window(scenario) for one in CLASSES if one.marked and one.retryable}
+    windows = {one.name: window(scenario) for one in CLASSES if one.sends_idempotency_key and one.retryable}
     terms = Terms(classes, slack, LATE + record.lag, cold=bears, end=record.end, windows=windows,
                   lag=record.lag)  # fmt: skip
     found = rules(record.tries, record.ledger, record.excuses, terms) if hold.rules else []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,7 +22,10 @@
 from ivystack.rig.ways import HELD, Stream, Way
 from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, StateUpdate
 
-CLASSES = {"read": LoadClass("read"), "pay": LoadClass("pay", write=True, retryable=False, marked=True)}
+CLASSES = {
+    "read": LoadClass("read"),
+    "pay": LoadClass("pay", write=True, retryable=False, sends_idempotency_key=True),
+}
 TERMS = Terms(CLASSES, 100_000, 10_000, cold=3)
 PACKAGE = Path(ivystack.__file__).parent
 
@@ -126,7 +129,10 @@
 
 def test_a_repeat_that_comes_past_its_window_is_found_though_the_origin_drops_it():
     terms = Terms(
-        {"pay": LoadClass("pay", write=True, marked=True)}, 100_000, 10_000, windows={"pay": 300_000}
+        {"pay": LoadClass("pay", write=True, sends_idempotency_key=True)},
+        100_000,
+        10_000,
+        windows={"pay": 300_000},
     )
     waits = one("pay", [(400_000, "served", b"a")])  # its answer comes after all of them
     good = [taken(0), taken(310_000, "n1")]
