--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -219,8 +219,8 @@
             self.rig.hub.down.add(node.name)
             undo.append((self.node_back, node))
         elif fault.kind == "node-hang":
-            node.hangs = True
-            undo.append((setattr, node, "hangs", False))
+            node.unresponsive = True
+            undo.append((setattr, node, "unresponsive", False))
         elif fault.kind == "node-slow":
             node.factor = fault.factor
             undo.append((setattr, node, "factor", 1.0))
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -113,7 +113,7 @@
         self.address: tuple[str, int] | None = None
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
-        self.hangs = False
+        self.unresponsive = False
         self.factor, self.fails, self.spoils = 1.0, 0.0, ""
         self.ids: list[bytes] = []
 
@@ -137,7 +137,7 @@
 
     def mend(self) -> None:
         """Takes all faults back."""
-        self.hangs, self.factor, self.fails, self.spoils, self.drains = False, 1.0, 0.0, "", False
+        self.unresponsive, self.factor, self.fails, self.spoils, self.drains = False, 1.0, 0.0, "", False
 
     def back(self) -> None:
         """Starts again, cold."""
@@ -181,7 +181,7 @@
         self.busy -= 1
         while self.waiting and self.busy < self.cores:
             self.begin(self.waiting.popleft())
-        if self.hangs:
+        if self.unresponsive:
             return
         if self.fails and self.rng.random() < self.fails:
             return self.answer(command, FAILED)
