--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -228,8 +228,8 @@
             node.fails = fault.part
             undo.append((setattr, node, "fails", 0.0))
         elif fault.kind == "node-spoil":
-            node.spoils = fault.how
-            undo.append((setattr, node, "spoils", ""))
+            node.corruption = fault.how
+            undo.append((setattr, node, "corruption", ""))
         elif fault.kind == "origin-slow":
             self.rig.origin.factor = fault.factor
             undo.append((setattr, self.rig.origin, "factor", 1.0))
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -114,7 +114,7 @@
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
         self.unresponsive = False
-        self.factor, self.fails, self.spoils = 1.0, 0.0, ""
+        self.factor, self.fails, self.corruption = 1.0, 0.0, ""
         self.ids: list[bytes] = []
 
     def listen(self, host="127.0.0.1") -> None:
@@ -137,7 +137,7 @@
 
     def mend(self) -> None:
         """Takes all faults back."""
-        self.unresponsive, self.factor, self.fails, self.spoils, self.drains = False, 1.0, 0.0, "", False
+        self.unresponsive, self.factor, self.fails, self.corruption, self.drains = False, 1.0, 0.0, "", False
 
     def back(self) -> None:
         """Starts again, cold."""
@@ -211,11 +211,11 @@
         link = command.link
         if link not in self.links:
             return
-        if self.spoils == "twice":
+        if self.corruption == "twice":
             text += text
-        elif self.spoils == "noise":
+        elif self.corruption == "noise":
             text = b"\x00noise\r\n"
-        elif self.spoils == "break":
+        elif self.corruption == "break":
             link.transport.write(text[: len(text) // 2])
             return link.transport.abortConnection()
         command.place[0] = text
