--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -225,8 +225,8 @@
             node.factor = fault.factor
             undo.append((setattr, node, "factor", 1.0))
         elif fault.kind == "node-fail":
-            node.fails = fault.part
-            undo.append((setattr, node, "fails", 0.0))
+            node.failure_rate = fault.part
+            undo.append((setattr, node, "failure_rate", 0.0))
         elif fault.kind == "node-spoil":
             node.corruption = fault.how
             undo.append((setattr, node, "corruption", ""))
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -114,7 +114,7 @@
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
         self.unresponsive = False
-        self.factor, self.fails, self.corruption = 1.0, 0.0, ""
+        self.factor, self.failure_rate, self.corruption = 1.0, 0.0, ""
         self.ids: list[bytes] = []
 
     def listen(self, host="127.0.0.1") -> None:
@@ -137,7 +137,13 @@
 
     def mend(self) -> None:
         """Takes all faults back."""
-        self.unresponsive, self.factor, self.fails, self.corruption, self.drains = False, 1.0, 0.0, "", False
+        self.unresponsive, self.factor, self.failure_rate, self.corruption, self.drains = (
+            False,
+            1.0,
+            0.0,
+            "",
+            False,
+        )
 
     def back(self) -> None:
         """Starts again, cold."""
@@ -183,7 +189,7 @@
             self.begin(self.waiting.popleft())
         if self.unresponsive:
             return
-        if self.fails and self.rng.random() < self.fails:
+        if self.failure_rate and self.rng.random() < self.failure_rate:
             return self.answer(command, FAILED)
         if self.origin is None:
             return self.made(command, "hit", life)
