--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -253,7 +253,7 @@
     def listed_again(self, node: Node) -> None:
         if not self.rig.over:
             node.started = self.rig.now()
-            node.kept.clear()
+            node.cached_keys.clear()
             self.rig.discovery.change(SERVING, node)
 
     def to_list(self, fault: Fault, undo: list) -> None:
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -104,7 +104,7 @@
         self.room, self.memory, self.warm, self.connections = room, memory, warm, connections
         self.value, self.names = value, names or {}
         self.links: dict[Link, None] = {}
-        self.kept: OrderedDict[bytes, None] = OrderedDict()
+        self.cached_keys: OrderedDict[bytes, None] = OrderedDict()
         self.busy = 0
         self.waiting: deque[Command] = deque()
         self.life = 0  # what was begun in an earlier one ends in nothing
@@ -127,7 +127,7 @@
         self.life += 1
         self.busy = 0
         self.waiting.clear()
-        self.kept.clear()
+        self.cached_keys.clear()
         self.mend()
         if self.port is not None:
             self.port.stopListening()
@@ -193,8 +193,8 @@
             return self.answer(command, FAILED)
         if self.origin is None:
             return self.made(command, "hit", life)
-        if not command.write and command.key in self.kept:
-            self.kept.move_to_end(command.key)
+        if not command.write and command.key in self.cached_keys:
+            self.cached_keys.move_to_end(command.key)
             return self.made(command, "hit", life)
         if not self.origin.ask(lambda: self.made(command, "miss", life)):
             self.answer(command, FAILED)
@@ -207,9 +207,9 @@
         if life != self.life:
             return
         if not command.write:
-            self.kept[command.key] = None
-            if len(self.kept) > self.memory:
-                self.kept.popitem(last=False)
+            self.cached_keys[command.key] = None
+            if len(self.cached_keys) > self.memory:
+                self.cached_keys.popitem(last=False)
         value = self.value or command.ident
         self.answer(command, b"*3\r\n" + encode_bulk(value) + encode_bulk(how.encode()) + b"$-1\r\n")
 
