--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -107,7 +107,7 @@
         self.cached_keys: OrderedDict[bytes, None] = OrderedDict()
         self.busy = 0
         self.waiting: deque[Command] = deque()
-        self.life = 0  # what was begun in an earlier one ends in nothing
+        self.incarnation = 0  # what was begun in an earlier one ends in nothing
         self.started = 0  # long ago
         self.port: Any = None  # a listening port: the reactor is untyped here
         self.address: tuple[str, int] | None = None
@@ -124,7 +124,7 @@
 
     def die(self) -> None:
         """The process ends at once: connections are reset, new ones refused, memory lost."""
-        self.life += 1
+        self.incarnation += 1
         self.busy = 0
         self.waiting.clear()
         self.cached_keys.clear()
@@ -179,10 +179,10 @@
             return self.turn_away(command)
         self.busy += 1
         spent = (self.time if self.steady else self.rng.expovariate(1 / self.time)) if self.time else 0
-        self.reactor.callLater(spent * self.factor, self.through, command, self.life)
+        self.reactor.callLater(spent * self.factor, self.through, command, self.incarnation)
 
-    def through(self, command: Command, life: int) -> None:
-        if life != self.life:
+    def through(self, command: Command, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self.busy -= 1
         while self.waiting and self.busy < self.cores:
@@ -192,19 +192,19 @@
         if self.failure_rate and self.rng.random() < self.failure_rate:
             return self.answer(command, FAILED)
         if self.origin is None:
-            return self.made(command, "hit", life)
+            return self.made(command, "hit", incarnation)
         if not command.write and command.key in self.cached_keys:
             self.cached_keys.move_to_end(command.key)
-            return self.made(command, "hit", life)
-        if not self.origin.ask(lambda: self.made(command, "miss", life)):
+            return self.made(command, "hit", incarnation)
+        if not self.origin.ask(lambda: self.made(command, "miss", incarnation)):
             self.answer(command, FAILED)
 
-    def made(self, command: Command, how: str, life: int) -> None:
+    def made(self, command: Command, how: str, incarnation: int) -> None:
         """It has been through all it needs.  A write's effect is the origin's and stays, whoever died."""
         if command.write and self.origin is not None:
             mark, method = command.fields.get(b"k", b""), command.taken.method
             self.origin.write(self.name, command.ident, command.key, mark, method)
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
         if not command.write:
             self.cached_keys[command.key] = None
