--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -215,7 +215,7 @@
     def to_node(self, node: Node, fault: Fault, undo: list) -> None:
         word = fault.kind
         if fault.kind == "node-die":
-            node.die()
+            node.crash()
             self.rig.hub.down.add(node.name)
             undo.append((self.node_back, node))
         elif fault.kind == "node-hang":
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -362,7 +362,7 @@
             self.agreeing.stop()
         self.hub.stop()
         for node in self.nodes.values():
-            node.die()
+            node.crash()
         self.discovery.stop()
 
     def look(self) -> None:
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -122,7 +122,7 @@
         self.port = self.reactor.listenTCP(at[1], Factory(self), backlog=512, interface=at[0])
         self.address = (self.port.getHost().host, self.port.getHost().port)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """The process ends at once: connections are reset, new ones refused, memory lost."""
         self.incarnation += 1
         self.busy = 0
