--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -242,7 +242,7 @@
 
     def node_back(self, node: Node) -> None:
         self.rig.hub.down.discard(node.name)
-        node.back()
+        node.restart()
         if not self.rig.over:
             self.rig.discovery.change(SERVING, node)
 
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -128,14 +128,14 @@
         self.busy = 0
         self.waiting.clear()
         self.cached_keys.clear()
-        self.mend()
+        self.clear_faults()
         if self.port is not None:
             self.port.stopListening()
             self.port = None
         for link in [*self.links]:
             link.transport.abortConnection()
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         """Takes all faults back."""
         self.unresponsive, self.factor, self.failure_rate, self.corruption, self.drains = (
             False,
@@ -145,7 +145,7 @@
             False,
         )
 
-    def back(self) -> None:
+    def restart(self) -> None:
         """Starts again, cold."""
         self.started = self.now()
         if self.port is None:
