--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -46,7 +46,7 @@
     answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # when, which, what
     ended: int | None = None  # its connection ended then, and nothing had come
     crossed: bool = False  # on a kept connection that ended, it may be before it was read
-    left: int | None = None  # its client went away then, and nothing had come
+    client_left_at: int | None = None  # its client went away then, and nothing had come
 
 
 @dataclass(eq=False, slots=True)
@@ -217,7 +217,7 @@
         for link in [link for link in self.busy if link.proxy in proxies and self.rng.random() < part]:
             asked, link.asked = link.asked, None
             del self.busy[link]
-            link.last.left = asked.ended = self.now()
+            link.last.client_left_at = asked.ended = self.now()
             asked.outcome = LEFT
             if self.rng.random() < 0.5:
                 link.transport.abortConnection()
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -87,7 +87,7 @@
     found, reached = [], {(taken.proxy, taken.ident) for taken in ledger.commands}
     for one in tries:
         name, late = one.ident.decode(), one.by + terms.slack
-        if one.left is not None or (terms.end is not None and one.by > terms.end):
+        if one.client_left_at is not None or (terms.end is not None and one.by > terms.end):
             continue
         if len(one.answers) > 1:
             when, _, text = one.answers[1]
@@ -219,15 +219,15 @@
         taken[went.proxy, went.ident].append(went.at)
     for one in tries:
         at = taken[one.proxy, one.ident]
-        if one.left is None or (at and min(at) <= one.left):
+        if one.client_left_at is None or (at and min(at) <= one.client_left_at):
             continue
         waited += 1
-        sent += [(when, one) for when in at[:1] if when > one.left + GONE + terms.late]
+        sent += [(when, one) for when in at[:1] if when > one.client_left_at + GONE + terms.late]
     if len(sent) <= FEW * waited:
         return []
     when, one = min(sent, key=lambda found: found[0])
     text = f"{len(sent)} of {waited} whose client had left while they waited; {one.proxy} sent this one on"
-    text += f" {(when - one.left) // 1000} ms after"
+    text += f" {(when - one.client_left_at) // 1000} ms after"
     return [Breach("nothing is sent on for nobody", when, one.ident.decode(), text)]
 
 
@@ -239,14 +239,16 @@
     for went in ledger.commands:
         taken[went.proxy, went.ident].append(went)
     for one in tries:
-        for went in taken[one.proxy, one.ident] if one.left is not None else ():
-            if went.at > one.left + BEGUN + terms.late and not held_up(excuses, went, one.left):
+        for went in taken[one.proxy, one.ident] if one.client_left_at is not None else ():
+            if went.at > one.client_left_at + BEGUN + terms.late and not held_up(
+                excuses, went, one.client_left_at
+            ):
                 late.append((went.at, one))
     if len(late) <= CHANCE:
         return []
     when, one = sorted(late, key=lambda found: found[0])[CHANCE]
     text = f"{len(late)} attempts begun for nobody; {one.proxy} began this one"
-    text += f" {(when - one.left) // 1000} ms after its client had left"
+    text += f" {(when - one.client_left_at) // 1000} ms after its client had left"
     return [Breach("nothing is begun for nobody", when, one.ident.decode(), text)]
 
 
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -422,6 +422,6 @@
             row = {
                 "req": one.number, "id": one.ident.decode(), "class": one.method, "mark": one.mark.decode(),
                 "proxy": one.proxy, "at_us": one.at - record.start, "by_us": one.by - record.start,
-                "answers": answers, "crossed": one.crossed, "left": one.left,
+                "answers": answers, "crossed": one.crossed, "left": one.client_left_at,
             }  # fmt: skip
             file.write(orjson.dumps(row) + b"\n")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -99,7 +99,7 @@
 def test_reqs_that_are_sent_on_after_their_client_has_left_are_found():
     # Counted against all that waited: one that a node had before is none of them.
     # What begins over 0.1 s after is a statement of its own, below.
-    gone = [one(answers=(), ident=b"%d" % n, left=1000) for n in range(8)]
+    gone = [one(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(8)]
 
     def of_first(taken):
         return [
@@ -116,7 +116,7 @@
 
 
 def test_attempts_begun_after_their_client_has_left_are_found_from_the_third_on():
-    gone = [one(answers=(), ident=b"%d" % n, left=1000) for n in range(30)]
+    gone = [one(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(30)]
     had = [taken(900, ident=b"%d" % n) for n in range(30)]  # all had a first one
     late = [taken(112_000 + n, "n1", ident=b"%d" % n) for n in range(3)]
     crossed = [taken(111_000, "n1", ident=b"%d" % n) for n in range(5, 12)]
