--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -44,7 +44,7 @@
     at: int
     by: int  # when its answer is due
     answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # when, which, what
-    ended: int | None = None  # its connection ended then, and nothing had come
+    connection_lost_at: int | None = None  # its connection ended then, and nothing had come
     crossed: bool = False  # on a kept connection that ended, it may be before it was read
     client_left_at: int | None = None  # its client went away then, and nothing had come
 
@@ -236,7 +236,7 @@
             asked.tries.remove(made)
             self.tries.remove(made)
             return self.unreached(asked, link.proxy)
-        made.ended = self.now()
+        made.connection_lost_at = self.now()
         if link.sent > 1 and not any(one.crossed for one in asked.tries):
             made.crossed = True
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -69,7 +69,9 @@
     idents = {one.ident for one in mine}
     for one in mine:
         events += [(at, f"{one.proxy} answers: {kind} {text[:40]!r}") for at, kind, text in one.answers]
-        events += [(one.ended, f"{one.proxy}: the connection ends")] if one.ended else []
+        events += (
+            [(one.connection_lost_at, f"{one.proxy}: the connection ends")] if one.connection_lost_at else []
+        )
     for taken in record.ledger.commands:
         if taken.ident in idents:
             how = "turns it away" if taken.busy else "takes it"
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -92,13 +92,17 @@
         if len(one.answers) > 1:
             when, _, text = one.answers[1]
             found.append(Breach("one answer", when, name, f"{one.proxy} answered again: {text[:40]!r}"))
-        crossed = one.ended is not None and one.ended - one.at <= (terms.late if one.crossed else terms.lag)
+        crossed = one.connection_lost_at is not None and one.connection_lost_at - one.at <= (
+            terms.late if one.crossed else terms.lag
+        )
         unread = crossed and (one.proxy, one.ident) not in reached
         if not one.answers and not unread and not excused(excuses, one.proxy, one.at, late):
             how = "never came"
-            if one.ended is not None:
-                how = f"its connection ended after {(one.ended - one.at) // 1000} ms"
-            found.append(Breach("one answer", one.ended or late, name, f"{one.proxy}: no answer, {how}"))
+            if one.connection_lost_at is not None:
+                how = f"its connection ended after {(one.connection_lost_at - one.at) // 1000} ms"
+            found.append(
+                Breach("one answer", one.connection_lost_at or late, name, f"{one.proxy}: no answer, {how}")
+            )
         for when, kind, text in one.answers[:1]:
             if when > late and not excused(excuses, one.proxy, one.at, when):
                 found.append(
@@ -260,7 +264,7 @@
     for went in ledger.commands:
         taken[went.proxy, went.ident].append(went)
     for one in tries:
-        ended = one.answers[0][0] if one.answers else one.ended
+        ended = one.answers[0][0] if one.answers else one.connection_lost_at
         for went in taken[one.proxy, one.ident] if ended is not None else ():
             if went.at > ended + terms.late and not held_up(excuses, went, ended):
                 text = f"{went.node} had it {(went.at - ended) // 1000} ms after {one.proxy} had ended it"
