--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -42,7 +42,7 @@
     mark: bytes
     proxy: str
     at: int
-    by: int  # when its answer is due
+    deadline: int  # when its answer is due
     answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # when, which, what
     connection_lost_at: int | None = None  # its connection ended then, and nothing had come
     crossed: bool = False  # on a kept connection that ended, it may be before it was read
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -86,8 +86,8 @@
     """
     found, reached = [], {(taken.proxy, taken.ident) for taken in ledger.commands}
     for one in tries:
-        name, late = one.ident.decode(), one.by + terms.slack
-        if one.client_left_at is not None or (terms.end is not None and one.by > terms.end):
+        name, late = one.ident.decode(), one.deadline + terms.slack
+        if one.client_left_at is not None or (terms.end is not None and one.deadline > terms.end):
             continue
         if len(one.answers) > 1:
             when, _, text = one.answers[1]
@@ -106,7 +106,7 @@
         for when, kind, text in one.answers[:1]:
             if when > late and not excused(excuses, one.proxy, one.at, when):
                 found.append(
-                    Breach("one answer", when, name, f"{one.proxy}: {(when - one.by) // 1000} ms late")
+                    Breach("one answer", when, name, f"{one.proxy}: {(when - one.deadline) // 1000} ms late")
                 )
             if kind == SERVED and one.ident not in text:
                 words = f"{one.proxy}: another's answer, {text[:40]!r}"
