--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -39,7 +39,7 @@
     number: int  # of the req, common to its tries
     ident: bytes
     method: str
-    mark: bytes
+    idempotency_key: bytes
     proxy: str
     at: int
     deadline: int  # when its answer is due
@@ -57,7 +57,7 @@
     arrival: Arrival
     due: int
     method: LoadClass
-    mark: bytes
+    idempotency_key: bytes
     tries: list[ClientAttempt] = field(default_factory=list)
     hops: int = 0  # proxies that could not be reached
     outcome: str = UNSENT
@@ -171,14 +171,16 @@
         method, now = asked.method, self.now()
         self.count += 1
         ident = b"%012x" % self.count
-        made = ClientAttempt(asked.number, ident, method.name, asked.mark, link.proxy, now, now + method.wait)
+        made = ClientAttempt(
+            asked.number, ident, method.name, asked.idempotency_key, link.proxy, now, now + method.wait
+        )
         asked.tries.append(made)
         self.tries.append(made)
         link.asked, link.last = asked, made
         self.busy[link] = None
         link.sent += 1
         fields = b"c=%b,d=%d" % (method.name.encode(), method.wait // 1000)
-        fields += b",k=%b" % asked.mark if asked.mark else b""
+        fields += b",k=%b" % asked.idempotency_key if asked.idempotency_key else b""
         fields += b",r=1" if len(asked.tries) > 1 else b""
         parts = [b"OBJ.SET" if method.write else b"OBJ.GET", asked.arrival.key, ident, fields]
         link.transport.write(encode_command(*parts, *([b"value of " + ident] if method.write else [])))
--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -64,7 +64,7 @@
     when = (breach.at - record.start) / US
     lines = [f"BREACH of `{breach.rule}` at {when:.3f} s: {breach.who}: {breach.text}"]
     ident = breach.who.encode()
-    mine = [one for one in record.tries if ident in (one.ident, one.mark)]
+    mine = [one for one in record.tries if ident in (one.ident, one.idempotency_key)]
     events = [(one.at, f"client asks {one.proxy} ({one.method}, id {one.ident.decode()})") for one in mine]
     idents = {one.ident for one in mine}
     for one in mine:
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -120,8 +120,8 @@
     by_mark = defaultdict(list)
     for effect in ledger.effects:
         runs[effect.ident].append(effect)
-        if effect.mark:
-            by_mark[effect.method, effect.mark].append(effect)
+        if effect.idempotency_key:
+            by_mark[effect.method, effect.idempotency_key].append(effect)
     for taken in ledger.commands:
         if not taken.busy:
             outs[taken.ident].append(taken)
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -32,7 +32,7 @@
     node: str
     ident: bytes
     key: bytes
-    mark: bytes
+    idempotency_key: bytes
     method: str
 
 
