--- a/ivystack/load/arrivals.py
+++ b/ivystack/load/arrivals.py
@@ -14,7 +14,7 @@
 class Arrival:
     at: int  # microseconds from the start
     key: bytes
-    method: str
+    request_class: str
     client: int  # which proxy it comes to first
 
 
--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -38,7 +38,7 @@
 
     number: int  # of the req, common to its tries
     ident: bytes
-    method: str
+    request_class: str
     idempotency_key: bytes
     proxy: str
     at: int
@@ -56,7 +56,7 @@
     number: int
     arrival: Arrival
     due: int
-    method: LoadClass
+    request_class: LoadClass
     idempotency_key: bytes
     tries: list[ClientAttempt] = field(default_factory=list)
     hops: int = 0  # proxies that could not be reached
@@ -142,7 +142,7 @@
     def play(self, arrivals: list[Arrival]) -> None:
         start = self.now()
         for number, one in enumerate(arrivals):
-            method = self.classes[one.method]
+            method = self.classes[one.request_class]
             mark = b"m%08d" % number if method.sends_idempotency_key else b""
             self.reqs.append(ClientRequest(number, one, start + one.at, method, mark))
         self.coming = deque(self.reqs)
@@ -168,7 +168,7 @@
         self.write(link, link.asked)
 
     def write(self, link: Link, asked: ClientRequest) -> None:
-        method, now = asked.method, self.now()
+        method, now = asked.request_class, self.now()
         self.count += 1
         ident = b"%012x" % self.count
         made = ClientAttempt(
@@ -242,7 +242,7 @@
         if link.sent > 1 and not any(one.crossed for one in asked.tries):
             made.crossed = True
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
-            if asked.method.retryable:
+            if asked.request_class.retryable:
                 return self.send(asked, link.proxy, True)
         self.concluded(asked, made, LOST, b"")
 
@@ -261,7 +261,7 @@
         if kind == SERVED:
             self.times.record_value(max(1, min(now - asked.due, self.SPAN)))
             return
-        again = kind == NACKED or asked.method.retryable
+        again = kind == NACKED or asked.request_class.retryable
         if not again or len(asked.tries) >= self.TRIES or now - asked.due > self.PATIENCE:
             return
         rest = self.AGAIN
@@ -279,4 +279,4 @@
 
 
 def in_time(asked: ClientRequest) -> bool:
-    return asked.outcome == SERVED and asked.ended - asked.due <= asked.method.budget
+    return asked.outcome == SERVED and asked.ended - asked.due <= asked.request_class.budget
--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -26,8 +26,8 @@
     timely = sum(map(in_time, record.asked))
     words = ", ".join(f"{kind} {count}" for kind, count in kinds.most_common())
     lines.append(f"reqs {total}: in time {timely} ({timely / max(1, total):.3f}); last answers: {words}")
-    for name in sorted({one.method.name for one in record.asked}):
-        of = [one for one in record.asked if one.method.name == name]
+    for name in sorted({one.request_class.name for one in record.asked}):
+        of = [one for one in record.asked if one.request_class.name == name]
         lines.append(f"  {name}: {sum(map(in_time, of)) / len(of):.3f} of {len(of)} in time")
     if record.times is not None and record.times.get_total_count():
         at = record.times.get_value_at_percentile
@@ -65,7 +65,9 @@
     lines = [f"BREACH of `{breach.rule}` at {when:.3f} s: {breach.who}: {breach.text}"]
     ident = breach.who.encode()
     mine = [one for one in record.tries if ident in (one.ident, one.idempotency_key)]
-    events = [(one.at, f"client asks {one.proxy} ({one.method}, id {one.ident.decode()})") for one in mine]
+    events = [
+        (one.at, f"client asks {one.proxy} ({one.request_class}, id {one.ident.decode()})") for one in mine
+    ]
     idents = {one.ident for one in mine}
     for one in mine:
         events += [(at, f"{one.proxy} answers: {kind} {text[:40]!r}") for at, kind, text in one.answers]
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -121,7 +121,7 @@
     for effect in ledger.effects:
         runs[effect.ident].append(effect)
         if effect.idempotency_key:
-            by_mark[effect.method, effect.idempotency_key].append(effect)
+            by_mark[effect.request_class, effect.idempotency_key].append(effect)
     for taken in ledger.commands:
         if not taken.busy:
             outs[taken.ident].append(taken)
@@ -134,7 +134,7 @@
         sent[one.ident].append(one)
     for ident, of in sent.items():
         one, name = of[0], ident.decode()
-        method = terms.classes[one.method]
+        method = terms.classes[one.request_class]
         if method.retryable:
             continue
         if len(outs[ident]) > 1:
@@ -154,7 +154,7 @@
     within the window of the first that may have."""
     found, first = [], {}
     for taken in sorted(ledger.commands, key=lambda one: one.at):
-        window = terms.windows.get(taken.method)
+        window = terms.windows.get(taken.request_class)
         if window is None or taken.busy:
             continue
         before = first.setdefault(taken.ident, taken.at)
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -420,7 +420,7 @@
         for one in record.tries:
             answers = [(at - record.start, kind, str(text[:60])) for at, kind, text in one.answers]
             row = {
-                "req": one.number, "id": one.ident.decode(), "class": one.method, "mark": one.idempotency_key.decode(),
+                "req": one.number, "id": one.ident.decode(), "class": one.request_class, "mark": one.idempotency_key.decode(),
                 "proxy": one.proxy, "at_us": one.at - record.start, "by_us": one.deadline - record.start,
                 "answers": answers, "crossed": one.crossed, "left": one.client_left_at,
             }  # fmt: skip
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -63,8 +63,8 @@
     third = record.scenario.seconds * US / 3
     for number in range(3):
         frm, to = record.start + number * third, record.start + (number + 1) * third
-        for name in sorted({one.method.name for one in record.asked} if hold.each_class else ()):
-            asked = [one for one in record.asked if one.method.name == name and frm <= one.due < to]
+        for name in sorted({one.request_class.name for one in record.asked} if hold.each_class else ()):
+            asked = [one for one in record.asked if one.request_class.name == name and frm <= one.due < to]
             part = sum(map(in_time, asked)) / max(1, len(asked))
             if part < hold.each_class:
                 text = f"{part:.3f} of {len(asked)} reqs of {name} in time, {hold.each_class:g} are to be"
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -18,7 +18,7 @@
     node: str
     proxy: str
     ident: bytes
-    method: str
+    request_class: str
     write: bool
     cold: bool  # the node had started less than its warm-up ago
     busy: bool = False  # turned away: it never ran
@@ -33,7 +33,7 @@
     ident: bytes
     key: bytes
     idempotency_key: bytes
-    method: str
+    request_class: str
 
 
 @dataclass(slots=True)
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -202,7 +202,7 @@
     def made(self, command: Command, how: str, incarnation: int) -> None:
         """It has been through all it needs.  A write's effect is the origin's and stays, whoever died."""
         if command.write and self.origin is not None:
-            mark, method = command.fields.get(b"k", b""), command.taken.method
+            mark, method = command.fields.get(b"k", b""), command.taken.request_class
             self.origin.write(self.name, command.ident, command.key, mark, method)
         if incarnation != self.incarnation:
             return
