--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -58,7 +58,7 @@
     due: int
     request_class: LoadClass
     idempotency_key: bytes
-    tries: list[ClientAttempt] = field(default_factory=list)
+    attempts: list[ClientAttempt] = field(default_factory=list)
     hops: int = 0  # proxies that could not be reached
     outcome: str = UNSENT
     ended: int = 0
@@ -130,8 +130,8 @@
         self.oldest_first = oldest_first
         self.idle: dict[str, deque[Link]] = {name: deque() for name in places}
         self.busy: dict[Link, None] = {}
-        self.reqs: list[ClientRequest] = []
-        self.tries: list[ClientAttempt] = []
+        self.requests: list[ClientRequest] = []
+        self.attempts: list[ClientAttempt] = []
         self.count = 0
         self.lag = 0  # the greatest: how far the generator itself fell behind
         self.shut = False
@@ -144,8 +144,8 @@
         for number, one in enumerate(arrivals):
             method = self.classes[one.request_class]
             mark = b"m%08d" % number if method.sends_idempotency_key else b""
-            self.reqs.append(ClientRequest(number, one, start + one.at, method, mark))
-        self.coming = deque(self.reqs)
+            self.requests.append(ClientRequest(number, one, start + one.at, method, mark))
+        self.coming = deque(self.requests)
         self.next()
 
     def next(self) -> None:
@@ -174,14 +174,14 @@
         made = ClientAttempt(
             asked.number, ident, method.name, asked.idempotency_key, link.proxy, now, now + method.wait
         )
-        asked.tries.append(made)
-        self.tries.append(made)
+        asked.attempts.append(made)
+        self.attempts.append(made)
         link.asked, link.last = asked, made
         self.busy[link] = None
         link.sent += 1
         fields = b"c=%b,d=%d" % (method.name.encode(), method.wait // 1000)
         fields += b",k=%b" % asked.idempotency_key if asked.idempotency_key else b""
-        fields += b",r=1" if len(asked.tries) > 1 else b""
+        fields += b",r=1" if len(asked.attempts) > 1 else b""
         parts = [b"OBJ.SET" if method.write else b"OBJ.GET", asked.arrival.key, ident, fields]
         link.transport.write(encode_command(*parts, *([b"value of " + ident] if method.write else [])))
         self.reactor.callLater((method.wait + 1_000_000) / 1e6, self.waited, link, made)
@@ -235,11 +235,11 @@
             return
         if link.here in self.refused:
             self.refused.discard(link.here)
-            asked.tries.remove(made)
-            self.tries.remove(made)
+            asked.attempts.remove(made)
+            self.attempts.remove(made)
             return self.unreached(asked, link.proxy)
         made.connection_lost_at = self.now()
-        if link.sent > 1 and not any(one.crossed for one in asked.tries):
+        if link.sent > 1 and not any(one.crossed for one in asked.attempts):
             made.crossed = True
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
             if asked.request_class.retryable:
@@ -262,7 +262,7 @@
             self.times.record_value(max(1, min(now - asked.due, self.SPAN)))
             return
         again = kind == NACKED or asked.request_class.retryable
-        if not again or len(asked.tries) >= self.TRIES or now - asked.due > self.PATIENCE:
+        if not again or len(asked.attempts) >= self.TRIES or now - asked.due > self.PATIENCE:
             return
         rest = self.AGAIN
         if kind == NACKED and text[6:].isdigit():
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -332,7 +332,7 @@
             return {}
 
     def progress(self, second: int) -> None:
-        asked = self.clients.reqs
+        asked = self.clients.requests
         due = [one for one in asked if one.due < self.now() - US // 2]
         served = sum(in_time(one) for one in due)
         down = [name for name, one in self.processes.items() if not one.up()]
@@ -391,7 +391,7 @@
     def gather(self) -> None:
         """The rest of the record, and the verdict on it."""
         record, clients = self.record, self.clients
-        record.asked, record.tries, record.times = clients.reqs, clients.tries, clients.times
+        record.asked, record.tries, record.times = clients.requests, clients.attempts, clients.times
         record.load_lag, record.members = clients.lag, self.members
         for mark in record.marks:
             mark.to = mark.to or record.end
