--- a/ivystack/load/arrivals.py
+++ b/ivystack/load/arrivals.py
@@ -31,7 +31,7 @@
     return 1.0
 
 
-def drawn(
+def draw_arrivals(
     rng: Random, seconds: float, rate: float, shape: str, keys: int, skew: float,
     parts: dict[str, float], clients: int,
 ) -> list[Arrival]:  # fmt: skip
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -194,7 +194,7 @@
             self.hub.refused,
             self.scenario.load.reuse == "oldest",
         )
-        self.arrivals = drawn(
+        self.arrivals = draw_arrivals(
             Random(self.rng.getrandbits(64)), self.scenario.seconds, self.scenario.load.rate,
             self.scenario.load.shape, self.scenario.load.keys, self.scenario.load.skew,
             {one.name: getattr(self.scenario.load, one.name) for one in CLASSES}, fleet.proxies,
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -211,7 +211,7 @@
 def test_arrivals_are_drawn_alike_from_one_seed_and_their_number_follows_the_rate():
     parts = {"read": 0.5, "pay": 0.5}
     for shape in ("steady", "poisson", "ramp", "surge"):
-        ours, theirs = (drawn(Random(5), 60, 50, shape, 100, 1.0, parts, 3) for _ in range(2))
+        ours, theirs = (draw_arrivals(Random(5), 60, 50, shape, 100, 1.0, parts, 3) for _ in range(2))
         assert ours == theirs and abs(len(ours) - 3000) < 300
         assert [a.at for a in ours] == sorted(a.at for a in ours)
 
