--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -214,7 +214,7 @@
             link.transport.abortConnection()
             self.concluded(asked, made, NEVER, b"")
 
-    def leave(self, proxies: list[str], part: float) -> None:
+    def disconnect(self, proxies: list[str], part: float) -> None:
         """So many of those that wait for an answer go away, half of them with a reset; none asks again."""
         for link in [link for link in self.busy if link.proxy in proxies and self.rng.random() < part]:
             asked, link.asked = link.asked, None
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -86,7 +86,7 @@
             self.to_list(fault, undo)
         elif fault.kind in CLIENTS:
             self.mark("clients", f"{fault.kind} {fault.part:g}", undo)
-            self.rig.clients.leave(found(fault.who, [*self.rig.processes], "who"), fault.part)
+            self.rig.clients.disconnect(found(fault.who, [*self.rig.processes], "who"), fault.part)
         elif fault.kind in PEER:
             self.mark("rig", fault.kind, undo)
             self.rig.agreeing.lies = True
