--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -45,7 +45,7 @@
     deadline: int  # when its answer is due
     answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # when, which, what
     connection_lost_at: int | None = None  # its connection ended then, and nothing had come
-    crossed: bool = False  # on a kept connection that ended, it may be before it was read
+    maybe_unread: bool = False  # on a kept connection that ended, it may be before it was read
     client_left_at: int | None = None  # its client went away then, and nothing had come
 
 
@@ -239,8 +239,8 @@
             self.attempts.remove(made)
             return self.unreached(asked, link.proxy)
         made.connection_lost_at = self.now()
-        if link.sent > 1 and not any(one.crossed for one in asked.attempts):
-            made.crossed = True
+        if link.sent > 1 and not any(one.maybe_unread for one in asked.attempts):
+            made.maybe_unread = True
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
             if asked.request_class.retryable:
                 return self.send(asked, link.proxy, True)
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -93,7 +93,7 @@
             when, _, text = one.answers[1]
             found.append(Breach("one answer", when, name, f"{one.proxy} answered again: {text[:40]!r}"))
         crossed = one.connection_lost_at is not None and one.connection_lost_at - one.at <= (
-            terms.late if one.crossed else terms.lag
+            terms.late if one.maybe_unread else terms.lag
         )
         unread = crossed and (one.proxy, one.ident) not in reached
         if not one.answers and not unread and not excused(excuses, one.proxy, one.at, late):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -78,19 +78,19 @@
 
 def test_what_lay_unread_for_longer_than_a_crossing_takes_was_lost():
     def closed(after, crossed, terms=TERMS):
-        return broken([one(answers=(), connection_lost_at=after, crossed=crossed)], terms=terms)
+        return broken([one(answers=(), connection_lost_at=after, maybe_unread=crossed)], terms=terms)
 
     assert closed(10_000, True) == [] and closed(10_001, True) == [("one answer", 10_001)]
     assert closed(1, False) == [("one answer", 1)]  # on a new connection nothing crosses
     lagged = Terms(CLASSES, 100_000, 30_000, lag=20_000)
     assert closed(20_000, False, lagged) == [] and closed(20_001, False, lagged) == [("one answer", 20_001)]
-    assert broken([one(answers=(), connection_lost_at=5, crossed=True)], commands=[taken()]) == [
+    assert broken([one(answers=(), connection_lost_at=5, maybe_unread=True)], commands=[taken()]) == [
         ("one answer", 5)
     ]  # read
 
 
 def test_an_attempt_that_reaches_a_node_after_its_request_has_ended_is_found():
-    answered, cut_off = one(), one(answers=(), connection_lost_at=1000, crossed=True)
+    answered, cut_off = one(), one(answers=(), connection_lost_at=1000, maybe_unread=True)
     late = taken(11_001)
     assert broken([answered], commands=[taken(11_000)]) == []
     assert broken([answered], commands=[late]) == [("nothing is sent after its end", 11_001)]
@@ -146,7 +146,7 @@
 
 
 def test_a_req_that_crossed_an_end_was_not_accepted_unless_a_node_has_had_it():
-    crossed = [one("pay", (), connection_lost_at=700, crossed=True)]
+    crossed = [one("pay", (), connection_lost_at=700, maybe_unread=True)]
     assert broken(crossed) == []
     assert broken(crossed, commands=[taken()]) == [("one answer", 700)]
 
