--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.web.client import Agent, readBody
 
-from ..load.arrivals import drawn
+from ..load.arrivals import draw_arrivals
 from ..load.clients import Clients, in_time
 from ..mesh.keys import read_key_file, write_key_file
 from ..net.resp import RespProtocol, encode_command
@@ -420,8 +420,8 @@
         for one in record.tries:
             answers = [(at - record.start, kind, str(text[:60])) for at, kind, text in one.answers]
             row = {
-                "req": one.number, "id": one.ident.decode(), "class": one.request_class, "mark": one.idempotency_key.decode(),
-                "proxy": one.proxy, "at_us": one.at - record.start, "by_us": one.deadline - record.start,
-                "answers": answers, "crossed": one.maybe_unread, "left": one.client_left_at,
+                "req": one.number, "id": one.ident.decode(), "class": one.request_class,
+                "mark": one.idempotency_key.decode(), "proxy": one.proxy, "at_us": one.at - record.start,
+                "by_us": one.deadline - record.start, "answers": answers, "crossed": one.maybe_unread, "left": one.client_left_at,
             }  # fmt: skip
             file.write(orjson.dumps(row) + b"\n")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 
 import ivystack
-from ivystack.load.arrivals import drawn
+from ivystack.load.arrivals import draw_arrivals
 from ivystack.load.clients import ClientRequest, LoadClass, ClientAttempt
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import Act, Excuse, Terms, duties, rules
