--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -422,6 +422,7 @@
             row = {
                 "req": one.number, "id": one.ident.decode(), "class": one.request_class,
                 "mark": one.idempotency_key.decode(), "proxy": one.proxy, "at_us": one.at - record.start,
-                "by_us": one.deadline - record.start, "answers": answers, "crossed": one.maybe_unread, "left": one.client_left_at,
+                "by_us": one.deadline - record.start, "answers": answers,
+                "crossed": one.maybe_unread, "left": one.client_left_at,
             }  # fmt: skip
             file.write(orjson.dumps(row) + b"\n")
