--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -16,8 +16,15 @@
 from ..net.resp import MAX_VALUE, RespProtocol, encode_command
 from .arrivals import Arrival
 
-SERVED, NACKED, FAILED, LOST, NEVER, UNSENT = "served", "nacked", "failed", "lost", "never", "unsent"
-LEFT = "left"
+SERVED, REJECTED, FAILED, CONNECTION_LOST, TIMED_OUT, UNSENT = (
+    "served",
+    "nacked",
+    "failed",
+    "lost",
+    "never",
+    "unsent",
+)
+CLIENT_LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,7 +200,7 @@
         if isinstance(value, bytes) or isinstance(value, list) and value and isinstance(value[0], bytes):
             kind = SERVED
         elif isinstance(value, str) and value.split(" ")[0] == "-BUSY":
-            kind = NACKED
+            kind = REJECTED
         text = value if isinstance(value, bytes) else str(value).encode()
         asked, made = link.asked, link.last
         if made is not None:
@@ -212,7 +219,7 @@
             asked, link.asked = link.asked, None
             self.busy.pop(link, None)
             link.transport.abortConnection()
-            self.concluded(asked, made, NEVER, b"")
+            self.concluded(asked, made, TIMED_OUT, b"")
 
     def disconnect(self, proxies: list[str], part: float) -> None:
         """So many of those that wait for an answer go away, half of them with a reset; none asks again."""
@@ -220,7 +227,7 @@
             asked, link.asked = link.asked, None
             del self.busy[link]
             link.last.client_left_at = asked.ended = self.now()
-            asked.outcome = LEFT
+            asked.outcome = CLIENT_LEFT
             if self.rng.random() < 0.5:
                 link.transport.abortConnection()
             else:
@@ -244,7 +251,7 @@
             # A killed proxy's end looks the same, and then it may have run: such a one is let be.
             if asked.request_class.retryable:
                 return self.send(asked, link.proxy, True)
-        self.concluded(asked, made, LOST, b"")
+        self.concluded(asked, made, CONNECTION_LOST, b"")
 
     def unreached(self, asked: ClientRequest, proxy: str) -> None:
         """No connection came up: the next proxy is asked, as a front would do."""
@@ -261,14 +268,14 @@
         if kind == SERVED:
             self.times.record_value(max(1, min(now - asked.due, self.SPAN)))
             return
-        again = kind == NACKED or asked.request_class.retryable
+        again = kind == REJECTED or asked.request_class.retryable
         if not again or len(asked.attempts) >= self.TRIES or now - asked.due > self.PATIENCE:
             return
         rest = self.AGAIN
-        if kind == NACKED and text[6:].isdigit():
+        if kind == REJECTED and text[6:].isdigit():
             rest = 1000 * int(text[6:])
         rest = int(rest * (1 + self.rng.random()))
-        at = made.proxy if kind == NACKED else self.rng.choice(self.names)
+        at = made.proxy if kind == REJECTED else self.rng.choice(self.names)
         self.reactor.callLater(rest / 1e6, self.send, asked, at)
 
     def close(self) -> None:
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -11,7 +11,7 @@
 
 from math import inf
 
-from ..load.clients import NACKED, SERVED, LoadClass, ClientAttempt
+from ..load.clients import REJECTED, SERVED, LoadClass, ClientAttempt
 from ..standin.ledger import SERVING, Ledger, ReceivedCommand
 from .linear import Op, linearizable
 
@@ -140,7 +140,7 @@
         if len(outs[ident]) > 1:
             text = f"written out {len(outs[ident])} times, to {', '.join(t.node for t in outs[ident])}"
             found.append(Breach("no effect twice", outs[ident][1].at, name, text))
-        nacks = [when for answered in of for when, kind, _ in answered.answers if kind == NACKED]
+        nacks = [when for answered in of for when, kind, _ in answered.answers if kind == REJECTED]
         if nacks and outs[ident]:
             text = f"nacked by {one.proxy}, though {outs[ident][0].node} had taken it"
             found.append(Breach("no effect twice", nacks[0], name, text))
