--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -35,8 +35,8 @@
     write: bool = False
     retryable: bool = True  # it may be tried again though it may have run
     sends_idempotency_key: bool = False  # its writes carry a mark
-    budget: int = 500_000  # an answer beyond it is late
-    wait: int = 900_000  # for the answer to one try
+    latency_budget: int = 500_000  # an answer beyond it is late
+    timeout: int = 900_000  # for the answer to one try
 
 
 @dataclass(eq=False, slots=True)
@@ -179,19 +179,19 @@
         self.count += 1
         ident = b"%012x" % self.count
         made = ClientAttempt(
-            asked.number, ident, method.name, asked.idempotency_key, link.proxy, now, now + method.wait
+            asked.number, ident, method.name, asked.idempotency_key, link.proxy, now, now + method.timeout
         )
         asked.attempts.append(made)
         self.attempts.append(made)
         link.asked, link.last = asked, made
         self.busy[link] = None
         link.sent += 1
-        fields = b"c=%b,d=%d" % (method.name.encode(), method.wait // 1000)
+        fields = b"c=%b,d=%d" % (method.name.encode(), method.timeout // 1000)
         fields += b",k=%b" % asked.idempotency_key if asked.idempotency_key else b""
         fields += b",r=1" if len(asked.attempts) > 1 else b""
         parts = [b"OBJ.SET" if method.write else b"OBJ.GET", asked.arrival.key, ident, fields]
         link.transport.write(encode_command(*parts, *([b"value of " + ident] if method.write else [])))
-        self.reactor.callLater((method.wait + 1_000_000) / 1e6, self.waited, link, made)
+        self.reactor.callLater((method.timeout + 1_000_000) / 1e6, self.waited, link, made)
 
     # What comes of it.
 
@@ -286,4 +286,4 @@
 
 
 def in_time(asked: ClientRequest) -> bool:
-    return asked.outcome == SERVED and asked.ended - asked.due <= asked.request_class.budget
+    return asked.outcome == SERVED and asked.ended - asked.due <= asked.request_class.latency_budget
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -46,8 +46,8 @@
     semantics = {"read": "pure", "put": "token", "pay": "side_effect"}
     methods = [
         {
-            "name": one.name, "semantics": semantics[one.name], "latency_budget": one.budget * ns,
-            "give_up": one.wait * ns, "criticality": scenario.load.worth.get(one.name, 1.0),
+            "name": one.name, "semantics": semantics[one.name], "latency_budget": one.latency_budget * ns,
+            "give_up": one.timeout * ns, "criticality": scenario.load.worth.get(one.name, 1.0),
             "tardy_criticality": 0.3, "group": "all", "window": window(scenario) * ns,
         }
         for one in CLASSES
@@ -315,7 +315,7 @@
         self.faults.heal()
         if self.agreeing is not None:
             self.reactor.callLater(scenario.settle, self.agreeing.rest)
-        await self.wait(scenario.settle + max(one.wait for one in CLASSES) / US)
+        await self.wait(scenario.settle + max(one.timeout for one in CLASSES) / US)
         record.end = self.now()
         if scenario.fleet.group:
             for name, process in self.processes.items():
