--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -157,7 +157,7 @@
             )  # fmt: skip
             node.listen(hub.host(name, 2, number))
         self.discovery = Discovery(
-            self.reactor, self.now, self.ledger, place=self.place_of_node, names=hub.names
+            self.reactor, self.now, self.ledger, address_for=self.place_of_node, names=hub.names
         )
         self.discovery.listen(hub.host("discovery", 3, 0))
         hub.host("clients", 4, 0)
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -38,9 +38,9 @@
 class Discovery:
     """`place(caller, node)` is where that caller reaches the node, "host:port"; `names` tells who calls."""
 
-    def __init__(self, reactor, now, ledger: Ledger, *, place=None, names=None):
+    def __init__(self, reactor, now, ledger: Ledger, *, address_for=None, names=None):
         self.reactor, self.now, self.ledger = reactor, now, ledger
-        self.place = place or (lambda caller, node: "{}:{}".format(*node.address))
+        self.address_for = address_for or (lambda caller, node: "{}:{}".format(*node.address))
         self.names = names or {}
         self.nodes: dict[str, tuple] = {}  # name to (node, state)
         self.generation = 0
@@ -69,7 +69,7 @@
 
     def entry(self, caller: str, node, state: str) -> dict:
         return {
-            "instanceId": node.name, "hostPort": self.place(caller, node), "zone": node.zone,
+            "instanceId": node.name, "hostPort": self.address_for(caller, node), "zone": node.zone,
             "lifecycle": state, "weight": 1.0, "startedAtMs": node.started // 1000,
         }  # fmt: skip
 
