--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -145,14 +145,14 @@
         windows = {one.name: WINDOW for one in CLASSES if one.sends_idempotency_key and one.retryable}
         self.origin = Origin(
             self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger,
-            time=fleet.origin_time, at_once=fleet.origin, windows=windows,
+            service_time=fleet.origin_time, at_once=fleet.origin, windows=windows,
         )  # fmt: skip
         hosts = {name: hub.host(name, 1, number) for number, name in enumerate(proxies)}
         self.nodes = {}
         for number, name in enumerate(nodes):
             node = self.nodes[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
-                zone=f"z{number % fleet.zones}", cores=fleet.cores, time=fleet.service,
+                zone=f"z{number % fleet.zones}", cores=fleet.cores, service_time=fleet.service,
                 warm=int(fleet.warm * US), memory=fleet.memory, names=hub.names,
             )  # fmt: skip
             node.listen(hub.host(name, 2, number))
--- a/ivystack/standin/apart.py
+++ b/ivystack/standin/apart.py
@@ -42,7 +42,7 @@
         from twisted.internet import reactor
 
         self.real = caches.Node(
-            "", reactor, now, Random(1), Ledger(), time=wait, steady=True, cores=10_000, value=value
+            "", reactor, now, Random(1), Ledger(), service_time=wait, steady=True, cores=10_000, value=value
         )
         in_reactor(self.real.listen)
         self.ids = self.real.ids
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -97,10 +97,16 @@
 
     def __init__(
         self, name: str, reactor, now, rng: Random, ledger: Ledger, origin=None, *, zone="", cores=4,
-        time=0.004, steady=False, room=64, memory=100_000, warm=0, connections=1_000, value=None, names=None,
+        service_time=0.004, steady=False, room=64, memory=100_000, warm=0, connections=1_000, value=None, names=None,
     ):  # fmt: skip
         self.name, self.reactor, self.now, self.rng, self.ledger = name, reactor, now, rng, ledger
-        self.origin, self.zone, self.cores, self.time, self.steady = origin, zone, cores, time, steady
+        self.origin, self.zone, self.cores, self.service_time, self.steady = (
+            origin,
+            zone,
+            cores,
+            service_time,
+            steady,
+        )
         self.room, self.memory, self.warm, self.connections = room, memory, warm, connections
         self.value, self.names = value, names or {}
         self.links: dict[Link, None] = {}
@@ -178,7 +184,11 @@
         if command.until is not None and self.now() > command.until:
             return self.turn_away(command)
         self.busy += 1
-        spent = (self.time if self.steady else self.rng.expovariate(1 / self.time)) if self.time else 0
+        spent = (
+            (self.service_time if self.steady else self.rng.expovariate(1 / self.service_time))
+            if self.service_time
+            else 0
+        )
         self.reactor.callLater(spent * self.factor, self.through, command, self.incarnation)
 
     def through(self, command: Command, incarnation: int) -> None:
--- a/ivystack/standin/origin.py
+++ b/ivystack/standin/origin.py
@@ -14,12 +14,21 @@
 
 class Origin:
     def __init__(
-        self, reactor, now, rng: Random, ledger: Ledger, *, time=0.02, at_once=32, queue=512, windows=None
+        self,
+        reactor,
+        now,
+        rng: Random,
+        ledger: Ledger,
+        *,
+        service_time=0.02,
+        at_once=32,
+        queue=512,
+        windows=None,
     ):
         """`time` in seconds is an exponential's mean; `windows` names the deduplicated classes, with the
         window of each in microseconds."""
         self.reactor, self.now, self.rng, self.ledger = reactor, now, rng, ledger
-        self.time, self.at_once, self.queue = time, at_once, queue
+        self.service_time, self.at_once, self.queue = service_time, at_once, queue
         self.windows = windows or {}
         self.factor = 1.0  # slower by it
         self.busy = 0
@@ -39,7 +48,7 @@
     def begin(self, done) -> None:
         self.busy += 1
         self.ledger.fetches += 1
-        spent = self.rng.expovariate(1 / self.time) * self.factor if self.time else 0
+        spent = self.rng.expovariate(1 / self.service_time) * self.factor if self.service_time else 0
         self.reactor.callLater(spent, self.ended, done)
 
     def ended(self, done) -> None:
