--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -82,7 +82,7 @@
     def asked(self, request):
         host = request.getClientAddress().host
         caller = self.names.get(host, host)
-        self.ledger.calls[caller] = self.ledger.calls.get(caller, 0) + 1
+        self.ledger.discovery_requests[caller] = self.ledger.discovery_requests.get(caller, 0) + 1
         if self.refuses:
             request.setResponseCode(503)
             return b""
@@ -104,7 +104,7 @@
             return
         listing = self.listing(caller, since)
         request.write(orjson.dumps(listing) + b"\n")
-        self.ledger.lines[caller] = self.ledger.lines.get(caller, 0) + 1
+        self.ledger.watch_updates[caller] = self.ledger.watch_updates.get(caller, 0) + 1
         self.watches[request][1] = self.generation
         now = self.now()
         self.ledger.state_updates += [
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -50,8 +50,8 @@
 class Ledger:
     commands: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
-    dropped: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
+    dropped_repeats: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
     state_updates: list[StateUpdate] = field(default_factory=list)
-    calls: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
-    lines: dict[str, int] = field(default_factory=dict)
-    fetches: int = 0  # at the origin
+    discovery_requests: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
+    watch_updates: dict[str, int] = field(default_factory=dict)
+    origin_requests: int = 0  # at the origin
--- a/ivystack/standin/origin.py
+++ b/ivystack/standin/origin.py
@@ -47,7 +47,7 @@
 
     def begin(self, done) -> None:
         self.busy += 1
-        self.ledger.fetches += 1
+        self.ledger.origin_requests += 1
         spent = self.rng.expovariate(1 / self.service_time) * self.factor if self.service_time else 0
         self.reactor.callLater(spent, self.ended, done)
 
@@ -64,7 +64,7 @@
         if window is not None and mark:
             before = self.marks.get((method, mark))
             if before is not None and effect.at - before < window:
-                self.ledger.dropped.append(effect)
+                self.ledger.dropped_repeats.append(effect)
                 return
             self.marks[method, mark] = effect.at
         self.ledger.effects.append(effect)
