--- a/ivystack/load/__init__.py
+++ b/ivystack/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: arrivals drawn ahead, clients that send them when they are due, what came of each."""
+"""Open-loop load: arrivals drawn before the run, and clients that send them when due and record the outcomes."""
--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -1,7 +1,8 @@
-"""Clients that send each req when it is due, whatever became of those before, and try again as clients do.
+"""An open-loop load generator of RESP2 clients.
 
-Owns the connections to proxies and the record of each try.  It must never send less because answers are slow,
-or try a non-retryable req again that may have run.
+The clients send each request when it is due, whatever became of earlier requests: slow answers do not reduce
+the load. They retry as real clients do. A request that is not retryable must not be sent again once it may
+have been executed. This module opens the connections to the proxies and records each attempt.
 """
 
 from __future__ import annotations
@@ -16,49 +17,45 @@
 from ..net.resp import MAX_VALUE, RespProtocol, encode_command
 from .arrivals import Arrival
 
+# Outcomes of a request.
 SERVED, REJECTED, FAILED, CONNECTION_LOST, TIMED_OUT, UNSENT = (
-    "served",
-    "nacked",
-    "failed",
-    "lost",
-    "never",
-    "unsent",
-)
+    "served", "nacked", "failed", "lost", "never", "unsent"
+)  # fmt: skip
 CLIENT_LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class LoadClass:
-    """What the load knows of a method.  Times are microseconds."""
+    """A request class as the load generator sees it. Times are in microseconds."""
 
     name: str
     write: bool = False
-    retryable: bool = True  # it may be tried again though it may have run
-    sends_idempotency_key: bool = False  # its writes carry a mark
-    latency_budget: int = 500_000  # an answer beyond it is late
-    timeout: int = 900_000  # for the answer to one try
+    retryable: bool = True  # may be sent again although it may have been executed
+    sends_idempotency_key: bool = False  # each request carries an idempotency key
+    latency_budget: int = 500_000  # a later answer does not count as in time
+    timeout: int = 900_000  # for the answer to one attempt
 
 
 @dataclass(eq=False, slots=True)
 class ClientAttempt:
-    """One command that was written to a proxy's connection."""
+    """One command that was written to a connection to a proxy. Times are in microseconds."""
 
-    number: int  # of the req, common to its tries
+    number: int  # of the request; all its attempts have the same number
     ident: bytes
     request_class: str
     idempotency_key: bytes
     proxy: str
     at: int
-    deadline: int  # when its answer is due
-    answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # when, which, what
-    connection_lost_at: int | None = None  # its connection ended then, and nothing had come
-    maybe_unread: bool = False  # on a kept connection that ended, it may be before it was read
-    client_left_at: int | None = None  # its client went away then, and nothing had come
+    deadline: int  # by which the answer is due
+    answers: list[tuple[int, str, bytes]] = field(default_factory=list)  # time, outcome, body
+    connection_lost_at: int | None = None  # if no answer had arrived by then
+    maybe_unread: bool = False  # a reused connection closed, perhaps before the proxy read the command
+    client_left_at: int | None = None  # if no answer had arrived by then
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One req of the load, with all its tries."""
+    """One request of the load, with all its attempts. Times are in microseconds."""
 
     number: int
     arrival: Arrival
@@ -66,224 +63,280 @@
     request_class: LoadClass
     idempotency_key: bytes
     attempts: list[ClientAttempt] = field(default_factory=list)
-    hops: int = 0  # proxies that could not be reached
+    reroutes: int = 0  # failed connections, each followed by another proxy
     outcome: str = UNSENT
     ended: int = 0
-    lag: int = 0  # how much later than due it was sent
+    lag: int = 0  # delay of the first send after `due`
 
 
-class Link(RespProtocol):
-    """A connection to a proxy, one command at a time."""
+class ProxyConnection(RespProtocol):
+    """A client's connection to a proxy. It carries one command at a time."""
 
     max_value_size = MAX_VALUE
 
     def __init__(self, clients: Clients, proxy: str):
         super().__init__()
         self.clients, self.proxy = clients, proxy
-        self.asked: ClientRequest | None = None
-        self.last: ClientAttempt | None = None
-        self.sent = 0
-        self.here: tuple[str, int] | None = None  # our side's address
+        self.request: ClientRequest | None = None
+        self.last_attempt: ClientAttempt | None = None
+        self.commands_sent = 0
+        self.local_address: tuple[str, int] | None = None  # of the client's socket
 
     def connectionMade(self) -> None:  # noqa: N802
         self.transport.setTcpNoDelay(True)
-        here = self.transport.getHost()
-        self.here = here.host, here.port
-        self.clients.up(self)
+        local = self.transport.getHost()
+        self.local_address = local.host, local.port
+        self.clients.connected(self)
 
     def value_received(self, value) -> None:
-        self.clients.answered(self, value)
+        self.clients.response_received(self, value)
 
-    def fail_protocol(self, why: str) -> None:
-        self.clients.answered(self, "!" + why)
-        self.abort(why)
+    def fail_protocol(self, reason: str) -> None:
+        self.clients.response_received(self, "!" + reason)
+        self.abort(reason)
 
     def connectionLost(self, reason) -> None:  # noqa: N802
-        self.clients.lost(self)
+        self.clients.connection_lost(self)
 
 
-class Opening(ClientFactory):
+class ProxyConnectionFactory(ClientFactory):
+    """Opens a connection to a proxy for one request."""
+
     noisy = False
 
-    def __init__(self, clients: Clients, proxy: str, asked: ClientRequest):
-        self.clients, self.proxy, self.asked = clients, proxy, asked
+    def __init__(self, clients: Clients, proxy: str, request: ClientRequest):
+        self.clients, self.proxy, self.request = clients, proxy, request
 
     def buildProtocol(self, addr):  # noqa: N802
-        link = Link(self.clients, self.proxy)
-        link.asked = self.asked
-        return link
+        connection = ProxyConnection(self.clients, self.proxy)
+        connection.request = self.request
+        return connection
 
     def clientConnectionFailed(self, connector, reason) -> None:  # noqa: N802
-        self.clients.unreached(self.asked, self.proxy)
+        self.clients.connect_failed(self.request, self.proxy)
 
 
 class Clients:
-    TRIES, HOPS = 4, 3
-    PATIENCE = 2_500_000  # after the req was due nobody tries again
-    AGAIN = 50_000  # before a failed one that may be repeated
-    SPAN = 60_000_000  # the histogram's, in microseconds
+    """The clients of a run: they send the requests when due, retry them, and record the attempts."""
+
+    MAX_ATTEMPTS, MAX_REROUTES = 4, 3
+    RETRY_WINDOW_US = 2_500_000  # no retry later than this after the request was due
+    RETRY_DELAY_US = 50_000  # before the retry of a failed request, plus up to as much of jitter
+    HISTOGRAM_MAX_US = 60_000_000
 
     def __init__(
-        self, reactor, now, rng: Random, places: dict[str, tuple[str, int]], classes: list[LoadClass],
-        refused: set | None = None, oldest_first: bool = False,
+        self, reactor, now, rng: Random, proxy_addresses: dict[str, tuple[str, int]], classes: list[LoadClass],
+        refused_addresses: set | None = None, oldest_first: bool = False,
     ):  # fmt: skip
-        """`places` are the proxies' addresses as clients reach them, in the order that arrivals number.
-        `refused` holds our side's address of each connection that only a relay has accepted.  Of resting
-        connections the one used last is used next, or with `oldest_first` the one that has rested longest."""
+        """Create the clients; `play` starts the load.
+
+        `now` returns the time in microseconds. `proxy_addresses` maps each proxy's name to the address at
+        which clients reach it, in the order of the numbers in `Arrival.client`. `refused_addresses` holds the
+        client's local address of each connection that a relay accepted but could not forward. The idle
+        connection used last is reused first; with `oldest_first` it is the one that has been idle longest.
+        """
         self.reactor, self.now, self.rng = reactor, now, rng
-        self.places, self.names = places, [*places]
-        self.classes = {one.name: one for one in classes}
-        self.refused = refused if refused is not None else set()
+        self.proxy_addresses, self.proxy_names = proxy_addresses, [*proxy_addresses]
+        self.classes = {request_class.name: request_class for request_class in classes}
+        self.refused_addresses = refused_addresses if refused_addresses is not None else set()
         self.oldest_first = oldest_first
-        self.idle: dict[str, deque[Link]] = {name: deque() for name in places}
-        self.busy: dict[Link, None] = {}
+        self.idle_connections: dict[str, deque[ProxyConnection]] = {name: deque() for name in proxy_addresses}
+        self.busy_connections: dict[ProxyConnection, None] = {}
         self.requests: list[ClientRequest] = []
         self.attempts: list[ClientAttempt] = []
-        self.count = 0
-        self.lag = 0  # the greatest: how far the generator itself fell behind
-        self.shut = False
-        self.times = HdrHistogram(1, self.SPAN, 3)  # of what was served, from when it was due
+        self.attempt_count = 0
+        self.lag = 0  # the largest delay of a first send: how far the generator itself fell behind
+        self.closing = False
+        self.times = HdrHistogram(1, self.HISTOGRAM_MAX_US, 3)  # latencies from the due time, served only
 
-    # Sending.
+    # --- Sending ---
 
     def play(self, arrivals: list[Arrival]) -> None:
+        """Send these requests when they are due, counted from now."""
         start = self.now()
-        for number, one in enumerate(arrivals):
-            method = self.classes[one.request_class]
-            mark = b"m%08d" % number if method.sends_idempotency_key else b""
-            self.requests.append(ClientRequest(number, one, start + one.at, method, mark))
-        self.coming = deque(self.requests)
-        self.next()
-
-    def next(self) -> None:
-        while self.coming and self.coming[0].due <= self.now():
-            asked = self.coming.popleft()
-            asked.lag = self.now() - asked.due
-            self.lag = max(self.lag, asked.lag)
-            self.send(asked, self.names[asked.arrival.client % len(self.names)])
-        if self.coming:
-            self.reactor.callLater(max(0, self.coming[0].due - self.now()) / 1e6, self.next)
-
-    def send(self, asked: ClientRequest, proxy: str, fresh: bool = False) -> None:
-        idle = self.idle[proxy]
-        if idle and not fresh:
-            return self.write(idle.popleft() if self.oldest_first else idle.pop(), asked)
-        host, port = self.places[proxy]
-        self.reactor.connectTCP(host, port, Opening(self, proxy, asked), timeout=0.5)
-
-    def up(self, link: Link) -> None:
-        self.write(link, link.asked)
-
-    def write(self, link: Link, asked: ClientRequest) -> None:
-        method, now = asked.request_class, self.now()
-        self.count += 1
-        ident = b"%012x" % self.count
-        made = ClientAttempt(
-            asked.number, ident, method.name, asked.idempotency_key, link.proxy, now, now + method.timeout
+        for number, arrival in enumerate(arrivals):
+            request_class = self.classes[arrival.request_class]
+            idempotency_key = b"m%08d" % number if request_class.sends_idempotency_key else b""
+            self.requests.append(
+                ClientRequest(number, arrival, start + arrival.at, request_class, idempotency_key)
+            )
+        self.pending = deque(self.requests)
+        self.send_due()
+
+    def send_due(self) -> None:
+        """Send all requests that are due, and schedule the next call."""
+        while self.pending and self.pending[0].due <= self.now():
+            request = self.pending.popleft()
+            request.lag = self.now() - request.due
+            self.lag = max(self.lag, request.lag)
+            self.send(request, self.proxy_names[request.arrival.client % len(self.proxy_names)])
+        if self.pending:
+            self.reactor.callLater(max(0, self.pending[0].due - self.now()) / 1e6, self.send_due)
+
+    def send(self, request: ClientRequest, proxy: str, new_connection: bool = False) -> None:
+        """Send the request on an idle connection to the proxy, or on a new one."""
+        idle = self.idle_connections[proxy]
+        if idle and not new_connection:
+            return self.write_command(idle.popleft() if self.oldest_first else idle.pop(), request)
+        host, port = self.proxy_addresses[proxy]
+        self.reactor.connectTCP(host, port, ProxyConnectionFactory(self, proxy, request), timeout=0.5)
+
+    def connected(self, connection: ProxyConnection) -> None:
+        """Send the request for which the connection was opened."""
+        self.write_command(connection, connection.request)
+
+    def write_command(self, connection: ProxyConnection, request: ClientRequest) -> None:
+        """Write the request as a command, as a new attempt with an id of its own."""
+        request_class, now = request.request_class, self.now()
+        self.attempt_count += 1
+        ident = b"%012x" % self.attempt_count
+        attempt = ClientAttempt(
+            request.number,
+            ident,
+            request_class.name,
+            request.idempotency_key,
+            connection.proxy,
+            now,
+            now + request_class.timeout,
+        )
+        request.attempts.append(attempt)
+        self.attempts.append(attempt)
+        connection.request, connection.last_attempt = request, attempt
+        self.busy_connections[connection] = None
+        connection.commands_sent += 1
+        fields = b"c=%b,d=%d" % (request_class.name.encode(), request_class.timeout // 1000)
+        fields += b",k=%b" % request.idempotency_key if request.idempotency_key else b""
+        fields += b",r=1" if len(request.attempts) > 1 else b""
+        parts = [b"OBJ.SET" if request_class.write else b"OBJ.GET", request.arrival.key, ident, fields]
+        connection.transport.write(
+            encode_command(*parts, *([b"value of " + ident] if request_class.write else []))
+        )
+        self.reactor.callLater(
+            (request_class.timeout + 1_000_000) / 1e6, self.attempt_timed_out, connection, attempt
         )
-        asked.attempts.append(made)
-        self.attempts.append(made)
-        link.asked, link.last = asked, made
-        self.busy[link] = None
-        link.sent += 1
-        fields = b"c=%b,d=%d" % (method.name.encode(), method.timeout // 1000)
-        fields += b",k=%b" % asked.idempotency_key if asked.idempotency_key else b""
-        fields += b",r=1" if len(asked.attempts) > 1 else b""
-        parts = [b"OBJ.SET" if method.write else b"OBJ.GET", asked.arrival.key, ident, fields]
-        link.transport.write(encode_command(*parts, *([b"value of " + ident] if method.write else [])))
-        self.reactor.callLater((method.timeout + 1_000_000) / 1e6, self.waited, link, made)
-
-    # What comes of it.
-
-    def answered(self, link: Link, value) -> None:
-        kind = FAILED
+
+    # --- Outcomes ---
+
+    def response_received(self, connection: ProxyConnection, value) -> None:
+        """Record an answer, and make the connection idle."""
+        outcome = FAILED
         if isinstance(value, bytes) or isinstance(value, list) and value and isinstance(value[0], bytes):
-            kind = SERVED
+            outcome = SERVED
         elif isinstance(value, str) and value.split(" ")[0] == "-BUSY":
-            kind = REJECTED
-        text = value if isinstance(value, bytes) else str(value).encode()
-        asked, made = link.asked, link.last
-        if made is not None:
-            made.answers.append((self.now(), kind, text))
-        if asked is None:  # something came that nothing was owed for: the record has it
+            outcome = REJECTED
+        body = value if isinstance(value, bytes) else str(value).encode()
+        request, attempt = connection.request, connection.last_attempt
+        if attempt is not None:
+            attempt.answers.append((self.now(), outcome, body))
+        if request is None:  # an answer without a pending request; it stays in the attempt's record
             return
-        link.asked = None
-        self.busy.pop(link, None)
-        if not self.shut:
-            self.idle[link.proxy].append(link)
-        self.concluded(asked, made, kind, text)
-
-    def waited(self, link: Link, made: ClientAttempt) -> None:
-        """A second beyond its time: nobody waits any more."""
-        if link.last is made and link.asked is not None:
-            asked, link.asked = link.asked, None
-            self.busy.pop(link, None)
-            link.transport.abortConnection()
-            self.concluded(asked, made, TIMED_OUT, b"")
-
-    def disconnect(self, proxies: list[str], part: float) -> None:
-        """So many of those that wait for an answer go away, half of them with a reset; none asks again."""
-        for link in [link for link in self.busy if link.proxy in proxies and self.rng.random() < part]:
-            asked, link.asked = link.asked, None
-            del self.busy[link]
-            link.last.client_left_at = asked.ended = self.now()
-            asked.outcome = CLIENT_LEFT
+        connection.request = None
+        self.busy_connections.pop(connection, None)
+        if not self.closing:
+            self.idle_connections[connection.proxy].append(connection)
+        self.attempt_finished(request, attempt, outcome, body)
+
+    def attempt_timed_out(self, connection: ProxyConnection, attempt: ClientAttempt) -> None:
+        """Give up an attempt that has no answer one second after its deadline."""
+        if connection.last_attempt is attempt and connection.request is not None:
+            request, connection.request = connection.request, None
+            self.busy_connections.pop(connection, None)
+            connection.transport.abortConnection()
+            self.attempt_finished(request, attempt, TIMED_OUT, b"")
+
+    def disconnect(self, proxies: list[str], share: float) -> None:
+        """Disconnect a random share of the clients that wait for an answer of these proxies.
+
+        Half of them reset the connection. Their requests are not retried.
+        """
+        for connection in [
+            connection
+            for connection in self.busy_connections
+            if connection.proxy in proxies and self.rng.random() < share
+        ]:
+            request, connection.request = connection.request, None
+            del self.busy_connections[connection]
+            connection.last_attempt.client_left_at = request.ended = self.now()
+            request.outcome = CLIENT_LEFT
             if self.rng.random() < 0.5:
-                link.transport.abortConnection()
+                connection.transport.abortConnection()
             else:
-                link.transport.loseConnection()
-
-    def lost(self, link: Link) -> None:
-        if link in self.idle[link.proxy]:
-            self.idle[link.proxy].remove(link)
-        self.busy.pop(link, None)
-        asked, made, link.asked = link.asked, link.last, None
-        if asked is None or made is None:
+                connection.transport.loseConnection()
+
+    def connection_lost(self, connection: ProxyConnection) -> None:
+        """Conclude the attempt that was pending on a closed connection.
+
+        - If only a relay had accepted the connection, it counts as a failed connection attempt.
+        - If a reused connection closed, the proxy may not have read the command: a retryable request is sent
+          once more, at once and on a new connection.
+        - Else the attempt has failed.
+        """
+        if connection in self.idle_connections[connection.proxy]:
+            self.idle_connections[connection.proxy].remove(connection)
+        self.busy_connections.pop(connection, None)
+        request, attempt, connection.request = connection.request, connection.last_attempt, None
+        if request is None or attempt is None:
             return
-        if link.here in self.refused:
-            self.refused.discard(link.here)
-            asked.attempts.remove(made)
-            self.attempts.remove(made)
-            return self.unreached(asked, link.proxy)
-        made.connection_lost_at = self.now()
-        if link.sent > 1 and not any(one.maybe_unread for one in asked.attempts):
-            made.maybe_unread = True
-            # A killed proxy's end looks the same, and then it may have run: such a one is let be.
-            if asked.request_class.retryable:
-                return self.send(asked, link.proxy, True)
-        self.concluded(asked, made, CONNECTION_LOST, b"")
-
-    def unreached(self, asked: ClientRequest, proxy: str) -> None:
-        """No connection came up: the next proxy is asked, as a front would do."""
-        asked.hops += 1
-        if asked.hops > self.HOPS or self.now() - asked.due > self.PATIENCE:
-            asked.ended = self.now()
+        if connection.local_address in self.refused_addresses:
+            self.refused_addresses.discard(connection.local_address)
+            request.attempts.remove(attempt)
+            self.attempts.remove(attempt)
+            return self.connect_failed(request, connection.proxy)
+        attempt.connection_lost_at = self.now()
+        if connection.commands_sent > 1 and not any(earlier.maybe_unread for earlier in request.attempts):
+            attempt.maybe_unread = True
+            # A killed proxy closes connections in the same way, but may have executed the command before.
+            # A request that is not retryable is therefore not sent again.
+            if request.request_class.retryable:
+                return self.send(request, connection.proxy, True)
+        self.attempt_finished(request, attempt, CONNECTION_LOST, b"")
+
+    def connect_failed(self, request: ClientRequest, proxy: str) -> None:
+        """Send the request to another proxy, as a front-end load balancer would do."""
+        request.reroutes += 1
+        if request.reroutes > self.MAX_REROUTES or self.now() - request.due > self.RETRY_WINDOW_US:
+            request.ended = self.now()
             return
-        at = (self.names.index(proxy) + self.rng.randrange(1, len(self.names) + 1)) % len(self.names)
-        self.send(asked, self.names[at])
+        index = (self.proxy_names.index(proxy) + self.rng.randrange(1, len(self.proxy_names) + 1)) % len(
+            self.proxy_names
+        )
+        self.send(request, self.proxy_names[index])
+
+    def attempt_finished(
+        self, request: ClientRequest, attempt: ClientAttempt, outcome: str, body: bytes
+    ) -> None:
+        """Record the outcome of an attempt, and schedule a retry if the request may have one.
 
-    def concluded(self, asked: ClientRequest, made: ClientAttempt, kind: str, text: bytes) -> None:
+        A rejected request goes to the same proxy after the delay that the answer asks for, a failed one to a
+        random proxy after the default delay. Up to the same time again is added as jitter.
+        """
         now = self.now()
-        asked.outcome, asked.ended = kind, now
-        if kind == SERVED:
-            self.times.record_value(max(1, min(now - asked.due, self.SPAN)))
+        request.outcome, request.ended = outcome, now
+        if outcome == SERVED:
+            self.times.record_value(max(1, min(now - request.due, self.HISTOGRAM_MAX_US)))
             return
-        again = kind == REJECTED or asked.request_class.retryable
-        if not again or len(asked.attempts) >= self.TRIES or now - asked.due > self.PATIENCE:
+        may_retry = outcome == REJECTED or request.request_class.retryable
+        if (
+            not may_retry
+            or len(request.attempts) >= self.MAX_ATTEMPTS
+            or now - request.due > self.RETRY_WINDOW_US
+        ):
             return
-        rest = self.AGAIN
-        if kind == REJECTED and text[6:].isdigit():
-            rest = 1000 * int(text[6:])
-        rest = int(rest * (1 + self.rng.random()))
-        at = made.proxy if kind == REJECTED else self.rng.choice(self.names)
-        self.reactor.callLater(rest / 1e6, self.send, asked, at)
+        delay = self.RETRY_DELAY_US
+        if outcome == REJECTED and body[6:].isdigit():
+            delay = 1000 * int(body[6:])
+        delay = int(delay * (1 + self.rng.random()))
+        proxy = attempt.proxy if outcome == REJECTED else self.rng.choice(self.proxy_names)
+        self.reactor.callLater(delay / 1e6, self.send, request, proxy)
 
     def close(self) -> None:
-        self.shut = True
-        for links in self.idle.values():
-            for link in [*links]:
-                link.transport.loseConnection()
+        """Close idle connections now, and let no further connection become idle."""
+        self.closing = True
+        for connections in self.idle_connections.values():
+            for connection in [*connections]:
+                connection.transport.loseConnection()
 
 
-def in_time(asked: ClientRequest) -> bool:
-    return asked.outcome == SERVED and asked.ended - asked.due <= asked.request_class.latency_budget
+def in_time(request: ClientRequest) -> bool:
+    """Return whether the request was served within the latency budget of its class."""
+    return request.outcome == SERVED and request.ended - request.due <= request.request_class.latency_budget
