--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -26,8 +26,8 @@
     lines.append(
         f"requests {total}: served in time {timely} ({timely / max(1, total):.3f}); outcomes: {counts}"
     )
-    for name in sorted({request.method.name for request in record.requests}):
-        of_class = [request for request in record.requests if request.method.name == name]
+    for name in sorted({request.request_class.name for request in record.requests}):
+        of_class = [request for request in record.requests if request.request_class.name == name]
         lines.append(
             f"  {name}: {sum(map(in_time, of_class)) / len(of_class):.3f} of {len(of_class)} served in time"
         )
@@ -36,9 +36,9 @@
         percentiles = [f"p{percent:g} {at(percent) / 1000:.0f} ms" for percent in (50, 95, 99)]
         lines.append("latency from the due time to the answer: " + ", ".join(percentiles))
     lines.append(
-        f"attempts {len(ledger.taken)}, effects {len(ledger.effects)}, "
-        f"dropped repeats {len(ledger.dropped)}, fetches from the origin {ledger.fetches}; "
-        f"discovery: {sum(ledger.calls.values())} calls, {sum(ledger.lines.values())} lines"
+        f"attempts {len(ledger.commands)}, effects {len(ledger.effects)}, "
+        f"dropped repeats {len(ledger.dropped_repeats)}, fetches from the origin {ledger.origin_requests}; "
+        f"discovery: {sum(ledger.discovery_requests.values())} calls, {sum(ledger.watch_updates.values())} lines"
     )
     cpu = sum(process.cpu_seconds for process in record.processes) / max(1, len(record.processes))
     rss = max((process.max_rss for process in record.processes), default=0) / 2**20
@@ -68,11 +68,13 @@
     when = (breach.at - record.start) / US
     lines = [f"BREACH of `{breach.rule}` at {when:.3f} s: {breach.subject}: {breach.text}"]
     ident = breach.subject.encode()
-    attempts = [attempt for attempt in record.client_attempts if ident in (attempt.ident, attempt.mark)]
+    attempts = [
+        attempt for attempt in record.client_attempts if ident in (attempt.ident, attempt.idempotency_key)
+    ]
     events = [
         (
             attempt.at,
-            f"client sends a request to {attempt.proxy} ({attempt.method}, id {attempt.ident.decode()})",
+            f"client sends a request to {attempt.proxy} ({attempt.request_class}, id {attempt.ident.decode()})",
         )
         for attempt in attempts
     ]
@@ -81,8 +83,12 @@
         events += [
             (at, f"{attempt.proxy} answers: {kind} {text[:40]!r}") for at, kind, text in attempt.answers
         ]
-        events += [(attempt.ended, f"{attempt.proxy}: connection closed")] if attempt.ended else []
-    for taken in record.ledger.taken:
+        events += (
+            [(attempt.connection_lost_at, f"{attempt.proxy}: connection closed")]
+            if attempt.connection_lost_at
+            else []
+        )
+    for taken in record.ledger.commands:
         if taken.ident in idents:
             how = "rejects it as overloaded" if taken.busy else "accepts it"
             events.append((taken.at, f"{taken.node} {how}, from {taken.proxy}"))
--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -11,8 +11,8 @@
 
 from math import inf
 
-from ..load.clients import NACKED, SERVED, Class, Try
-from ..standin.ledger import SERVING, Ledger, Taken
+from ..load.clients import REJECTED, SERVED, LoadClass, ClientAttempt
+from ..standin.ledger import SERVING, Ledger, ReceivedCommand
 from .linear import Operation, linearizable
 
 DRAIN_GRACE_US = 1_000_000  # from the news that a server drains or is gone until new requests are a breach
@@ -51,7 +51,7 @@
 class RuleLimits:
     """Limits that the rules are checked against.  Times are microseconds."""
 
-    classes: dict[str, Class]
+    classes: dict[str, LoadClass]
     answer_slack: int  # added to the time limit of a final answer
     tolerance: int = 50_000  # added to all other time limits, for the lag of the rig itself
     relay_lag: int = 0  # the rig's lag: for this long its own relays may have held bytes back
@@ -62,7 +62,7 @@
 
 
 def check_rules(
-    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+    attempts: list[ClientAttempt], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
     """Return all breaches of the four rules and of the rules on clients that left, in order of time."""
     breaches = [
@@ -90,7 +90,7 @@
 
 
 def check_one_answer(
-    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+    attempts: list[ClientAttempt], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
     """Rule 1: each accepted request gets exactly one final answer in time, and nothing after it.
 
@@ -99,18 +99,18 @@
     proxy had that time to read it.  On a new connection a request crosses the end only within the time for
     which the rig itself may have held it back.
     """
-    breaches, received = [], {(taken.proxy, taken.ident) for taken in ledger.taken}
+    breaches, received = [], {(taken.proxy, taken.ident) for taken in ledger.commands}
     for attempt in attempts:
-        name, latest = attempt.ident.decode(), attempt.by + limits.answer_slack
-        if attempt.left is not None or (limits.end is not None and attempt.by > limits.end):
+        name, latest = attempt.ident.decode(), attempt.deadline + limits.answer_slack
+        if attempt.client_left_at is not None or (limits.end is not None and attempt.deadline > limits.end):
             continue
         if len(attempt.answers) > 1:
             when, _, text = attempt.answers[1]
             breaches.append(
                 Breach("one answer", when, name, f"{attempt.proxy} answered again: {text[:40]!r}")
             )
-        crossed = attempt.ended is not None and attempt.ended - attempt.at <= (
-            limits.tolerance if attempt.crossed else limits.relay_lag
+        crossed = attempt.connection_lost_at is not None and attempt.connection_lost_at - attempt.at <= (
+            limits.tolerance if attempt.maybe_unread else limits.relay_lag
         )
         unread = crossed and (attempt.proxy, attempt.ident) not in received
         if (
@@ -119,16 +119,24 @@
             and not is_exempt(exemptions, attempt.proxy, attempt.at, latest)
         ):
             how = "none came in time"
-            if attempt.ended is not None:
-                how = f"its connection ended after {(attempt.ended - attempt.at) // 1000} ms"
+            if attempt.connection_lost_at is not None:
+                how = f"its connection ended after {(attempt.connection_lost_at - attempt.at) // 1000} ms"
             breaches.append(
-                Breach("one answer", attempt.ended or latest, name, f"{attempt.proxy}: no answer, {how}")
+                Breach(
+                    "one answer",
+                    attempt.connection_lost_at or latest,
+                    name,
+                    f"{attempt.proxy}: no answer, {how}",
+                )
             )
         for when, kind, text in attempt.answers[:1]:
             if when > latest and not is_exempt(exemptions, attempt.proxy, attempt.at, when):
                 breaches.append(
                     Breach(
-                        "one answer", when, name, f"{attempt.proxy}: {(when - attempt.by) // 1000} ms late"
+                        "one answer",
+                        when,
+                        name,
+                        f"{attempt.proxy}: {(when - attempt.deadline) // 1000} ms late",
                     )
                 )
             if kind == SERVED and attempt.ident not in text:
@@ -137,15 +145,15 @@
     return breaches
 
 
-def check_no_double_effect(attempts: list[Try], ledger: Ledger, limits: RuleLimits) -> list[Breach]:
+def check_no_double_effect(attempts: list[ClientAttempt], ledger: Ledger, limits: RuleLimits) -> list[Breach]:
     """Rule 2: no effect happens twice, and no request that may have run is nacked."""
     breaches, runs, sends = [], defaultdict(list), defaultdict(list)
     by_token = defaultdict(list)
     for effect in ledger.effects:
         runs[effect.ident].append(effect)
-        if effect.mark:
-            by_token[effect.method, effect.mark].append(effect)
-    for taken in ledger.taken:
+        if effect.idempotency_key:
+            by_token[effect.request_class, effect.idempotency_key].append(effect)
+    for taken in ledger.commands:
         if not taken.busy:
             sends[taken.ident].append(taken)
     for (_, token), effects in by_token.items():
@@ -157,13 +165,13 @@
         by_ident[attempt.ident].append(attempt)
     for ident, same in by_ident.items():
         first, name = same[0], ident.decode()
-        request_class = limits.classes[first.method]
-        if request_class.repeats:
+        request_class = limits.classes[first.request_class]
+        if request_class.retryable:
             continue
         if len(sends[ident]) > 1:
             text = f"sent {len(sends[ident])} times, to {', '.join(t.node for t in sends[ident])}"
             breaches.append(Breach("no effect twice", sends[ident][1].at, name, text))
-        nacks = [when for attempt in same for when, kind, _ in attempt.answers if kind == NACKED]
+        nacks = [when for attempt in same for when, kind, _ in attempt.answers if kind == REJECTED]
         if nacks and sends[ident]:
             text = f"nacked by {first.proxy}, though {sends[ident][0].node} had accepted it"
             breaches.append(Breach("no effect twice", nacks[0], name, text))
@@ -178,8 +186,8 @@
     A repeat of a request that may have run must arrive within the window of the first attempt that may have.
     """
     breaches, first = [], {}
-    for taken in sorted(ledger.taken, key=lambda taken: taken.at):
-        window = limits.dedup_windows.get(taken.method)
+    for taken in sorted(ledger.commands, key=lambda taken: taken.at):
+        window = limits.dedup_windows.get(taken.request_class)
         if window is None or taken.busy:
             continue
         before = first.setdefault(taken.ident, taken.at)
@@ -189,7 +197,7 @@
     return breaches
 
 
-def may_be_delayed(exemptions: list[Exemption], taken: Taken, start: int) -> bool:
+def may_be_delayed(exemptions: list[Exemption], taken: ReceivedCommand, start: int) -> bool:
     """Return whether a fault of the link after `start` may have delayed the request, so that its time of
     sending is unknown."""
     return any(
@@ -201,9 +209,9 @@
 def check_draining_servers(ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits) -> list[Breach]:
     """Rule 3: a server that drains or is gone gets no new requests after the grace."""
     breaches, states = [], defaultdict(list)
-    for told in ledger.told:
+    for told in ledger.state_updates:
         states[told.proxy, told.node].append(told)
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         last = None
         for told in states[taken.proxy, taken.node]:
             if told.at <= taken.at:
@@ -228,7 +236,7 @@
     if limits.cold is None:
         return []
     breaches, by_server = [], defaultdict(list)
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         if taken.cold and not taken.busy:
             by_server[taken.node].append(taken.at)
     for server, times in by_server.items():
@@ -245,21 +253,25 @@
     return breaches
 
 
-def check_sent_after_client_left(attempts: list[Try], ledger: Ledger, limits: RuleLimits) -> list[Breach]:
+def check_sent_after_client_left(
+    attempts: list[ClientAttempt], ledger: Ledger, limits: RuleLimits
+) -> list[Breach]:
     """A request whose client left while it waited is not sent to a server.
 
     A breach if the fraction of these requests that were sent exceeds MAX_SENT_FRACTION.
     """
     times, waited, sent = defaultdict(list), 0, []
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         times[taken.proxy, taken.ident].append(taken.at)
     for attempt in attempts:
         at = times[attempt.proxy, attempt.ident]
-        if attempt.left is None or (at and min(at) <= attempt.left):
+        if attempt.client_left_at is None or (at and min(at) <= attempt.client_left_at):
             continue
         waited += 1
         sent += [
-            (when, attempt) for when in at[:1] if when > attempt.left + SENT_AFTER_LEFT_US + limits.tolerance
+            (when, attempt)
+            for when in at[:1]
+            if when > attempt.client_left_at + SENT_AFTER_LEFT_US + limits.tolerance
         ]
     if len(sent) <= MAX_SENT_FRACTION * waited:
         return []
@@ -267,44 +279,45 @@
     text = (
         f"{len(sent)} of {waited} requests sent though their clients had left; {attempt.proxy} sent this one"
     )
-    text += f" {(when - attempt.left) // 1000} ms after"
+    text += f" {(when - attempt.client_left_at) // 1000} ms after"
     return [Breach("nothing is sent on for nobody", when, attempt.ident.decode(), text)]
 
 
 def check_begun_after_client_left(
-    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+    attempts: list[ClientAttempt], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
     """No attempt begins after the client has left.
 
     An attempt may cross the end of its client's connection by chance, so MAX_BEGUN attempts are allowed.
     """
     by_request, late = defaultdict(list), []
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         by_request[taken.proxy, taken.ident].append(taken)
     for attempt in attempts:
-        for taken in by_request[attempt.proxy, attempt.ident] if attempt.left is not None else ():
-            if taken.at > attempt.left + BEGUN_AFTER_LEFT_US + limits.tolerance and not may_be_delayed(
-                exemptions, taken, attempt.left
+        for taken in by_request[attempt.proxy, attempt.ident] if attempt.client_left_at is not None else ():
+            if (
+                taken.at > attempt.client_left_at + BEGUN_AFTER_LEFT_US + limits.tolerance
+                and not may_be_delayed(exemptions, taken, attempt.client_left_at)
             ):
                 late.append((taken.at, attempt))
     if len(late) <= MAX_BEGUN:
         return []
     when, attempt = sorted(late, key=lambda item: item[0])[MAX_BEGUN]
     text = f"{len(late)} attempts begun after their clients had left; {attempt.proxy} began this one"
-    text += f" {(when - attempt.left) // 1000} ms after its client had left"
+    text += f" {(when - attempt.client_left_at) // 1000} ms after its client had left"
     return [Breach("nothing is begun for nobody", when, attempt.ident.decode(), text)]
 
 
 def check_sent_after_end(
-    attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
+    attempts: list[ClientAttempt], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
     """No attempt reaches a server after the proxy has ended its request, by an answer or by closing the
     connection."""
     by_request, breaches = defaultdict(list), []
-    for taken in ledger.taken:
+    for taken in ledger.commands:
         by_request[taken.proxy, taken.ident].append(taken)
     for attempt in attempts:
-        ended = attempt.answers[0][0] if attempt.answers else attempt.ended
+        ended = attempt.answers[0][0] if attempt.answers else attempt.connection_lost_at
         for taken in by_request[attempt.proxy, attempt.ident] if ended is not None else ():
             if taken.at > ended + limits.tolerance and not may_be_delayed(exemptions, taken, ended):
                 text = (
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -92,7 +92,7 @@
             self.apply_to_discovery(fault, undo)
         elif fault.kind in CLIENT_FAULTS:
             self.record_fault("clients", f"{fault.kind} {fault.part:g}", undo)
-            self.rig.clients.leave(match_names(fault.who, [*self.rig.processes], "who"), fault.part)
+            self.rig.clients.disconnect(match_names(fault.who, [*self.rig.processes], "who"), fault.part)
         elif fault.kind in PEER_FAULTS:
             self.record_fault("rig", fault.kind, undo)
             self.rig.group_client.byzantine = True
@@ -240,21 +240,21 @@
     def apply_to_server(self, server: Node, fault: Fault, undo: list) -> None:
         kind = fault.kind
         if fault.kind == "node-die":
-            server.die()
+            server.crash()
             self.rig.hub.down.add(server.name)
             undo.append((self.restart_server, server))
         elif fault.kind == "node-hang":
-            server.hangs = True
-            undo.append((setattr, server, "hangs", False))
+            server.unresponsive = True
+            undo.append((setattr, server, "unresponsive", False))
         elif fault.kind == "node-slow":
             server.factor = fault.factor
             undo.append((setattr, server, "factor", 1.0))
         elif fault.kind == "node-fail":
-            server.fails = fault.part
-            undo.append((setattr, server, "fails", 0.0))
+            server.failure_rate = fault.part
+            undo.append((setattr, server, "failure_rate", 0.0))
         elif fault.kind == "node-spoil":
-            server.spoils = fault.how
-            undo.append((setattr, server, "spoils", ""))
+            server.corruption = fault.how
+            undo.append((setattr, server, "corruption", ""))
         elif fault.kind == "origin-slow":
             self.rig.origin.factor = fault.factor
             undo.append((setattr, self.rig.origin, "factor", 1.0))
@@ -267,7 +267,7 @@
 
     def restart_server(self, server: Node) -> None:
         self.rig.hub.down.discard(server.name)
-        server.back()
+        server.restart()
         if not self.rig.finished:
             self.rig.discovery.change(SERVING, server)
 
@@ -278,7 +278,7 @@
     def list_again(self, server: Node) -> None:
         if not self.rig.finished:
             server.started = self.rig.now()
-            server.kept.clear()
+            server.cached_keys.clear()
             self.rig.discovery.change(SERVING, server)
 
     def apply_to_discovery(self, fault: Fault, undo: list) -> None:
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.web.client import Agent, readBody
 
-from ..load.arrivals import drawn
+from ..load.arrivals import draw_arrivals
 from ..load.clients import Clients, in_time
 from ..mesh.keys import read_key_file, write_key_file
 from ..net.resp import RespProtocol, encode_command
@@ -47,7 +47,7 @@
     methods = [
         {
             "name": request_class.name, "semantics": semantics[request_class.name],
-            "latency_budget": request_class.budget * ns, "give_up": request_class.wait * ns,
+            "latency_budget": request_class.latency_budget * ns, "give_up": request_class.timeout * ns,
             "criticality": scenario.load.worth.get(request_class.name, 1.0),
             "tardy_criticality": 0.3, "group": "all", "window": dedup_window_us(scenario) * ns,
         }
@@ -153,23 +153,23 @@
         windows = {
             request_class.name: DEFAULT_DEDUP_WINDOW_US
             for request_class in CLASSES
-            if request_class.marked and request_class.repeats
+            if request_class.sends_idempotency_key and request_class.retryable
         }
         self.origin = Origin(
             self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger,
-            time=fleet.origin_time, at_once=fleet.origin, windows=windows,
+            service_time=fleet.origin_time, at_once=fleet.origin, windows=windows,
         )  # fmt: skip
         hosts = {name: hub.assign_host(name, 1, number) for number, name in enumerate(proxies)}
         self.servers = {}
         for number, name in enumerate(servers):
             server = self.servers[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
-                zone=f"z{number % fleet.zones}", cores=fleet.cores, time=fleet.service,
+                zone=f"z{number % fleet.zones}", cores=fleet.cores, service_time=fleet.service,
                 warm=int(fleet.warm * US), memory=fleet.memory, names=hub.process_names,
             )  # fmt: skip
             server.listen(hub.assign_host(name, 2, number))
         self.discovery = Discovery(
-            self.reactor, self.now, self.ledger, place=self.server_address, names=hub.process_names
+            self.reactor, self.now, self.ledger, address_for=self.server_address, names=hub.process_names
         )
         self.discovery.listen(hub.assign_host("discovery", 3, 0))
         hub.assign_host("clients", 4, 0)
@@ -214,7 +214,7 @@
             self.hub.refused_callers,
             self.scenario.load.reuse == "oldest",
         )
-        self.arrivals = drawn(
+        self.arrivals = draw_arrivals(
             Random(self.rng.getrandbits(64)), self.scenario.seconds, self.scenario.load.rate,
             self.scenario.load.shape, self.scenario.load.keys, self.scenario.load.skew,
             {cls.name: getattr(self.scenario.load, cls.name) for cls in CLASSES}, fleet.proxies,
@@ -347,7 +347,7 @@
         self.faults.end_all()
         if self.group_client is not None:
             self.reactor.callLater(scenario.settle, self.group_client.stop_sending)
-        await self.wait(scenario.settle + max(request_class.wait for request_class in CLASSES) / US)
+        await self.wait(scenario.settle + max(request_class.timeout for request_class in CLASSES) / US)
         record.end = self.now()
         if scenario.fleet.group:
             for name, process in self.processes.items():
@@ -366,7 +366,7 @@
             return {}
 
     def report_progress(self, second: int) -> None:
-        requests = self.clients.reqs
+        requests = self.clients.requests
         due = [request for request in requests if request.due < self.now() - US // 2]
         served = sum(in_time(request) for request in due)
         down = [name for name, process in self.processes.items() if not process.is_running()]
@@ -397,7 +397,7 @@
             self.group_client.stop()
         self.hub.stop()
         for server in self.servers.values():
-            server.die()
+            server.crash()
         self.discovery.stop()
 
     def check_processes(self) -> None:
@@ -432,7 +432,11 @@
     def complete_record(self) -> None:
         """Add the results of the clients and the logs to the record, and check it."""
         record, clients = self.record, self.clients
-        record.requests, record.client_attempts, record.latencies = clients.reqs, clients.tries, clients.times
+        record.requests, record.client_attempts, record.latencies = (
+            clients.requests,
+            clients.attempts,
+            clients.times,
+        )
         record.load_lag, record.members = clients.lag, self.members
         for fault in record.faults:
             fault.end = fault.end or record.end
@@ -473,9 +477,9 @@
         for attempt in record.client_attempts:
             answers = [(at - record.start, kind, str(text[:60])) for at, kind, text in attempt.answers]
             row = {
-                "req": attempt.number, "id": attempt.ident.decode(), "class": attempt.method,
-                "mark": attempt.mark.decode(), "proxy": attempt.proxy,
-                "at_us": attempt.at - record.start, "by_us": attempt.by - record.start,
-                "answers": answers, "crossed": attempt.crossed, "left": attempt.left,
+                "req": attempt.number, "id": attempt.ident.decode(), "class": attempt.request_class,
+                "mark": attempt.idempotency_key.decode(), "proxy": attempt.proxy,
+                "at_us": attempt.at - record.start, "by_us": attempt.deadline - record.start,
+                "answers": answers, "crossed": attempt.maybe_unread, "left": attempt.client_left_at,
             }  # fmt: skip
             file.write(orjson.dumps(row) + b"\n")
--- a/ivystack/rig/record.py
+++ b/ivystack/rig/record.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..load.clients import Class
+from ..load.clients import LoadClass
 from ..standin.ledger import Ledger
 from .check import Breach, DutyAction, Exemption
 from .processes import Process
@@ -18,9 +18,9 @@
 COLD_SHARE = 0.3  # capacity of a cold server as a fraction of a warm one's
 
 CLASSES = [
-    Class("read"),
-    Class("put", write=True, marked=True),
-    Class("pay", write=True, repeats=False, marked=True),
+    LoadClass("read"),
+    LoadClass("put", write=True, sends_idempotency_key=True),
+    LoadClass("pay", write=True, retryable=False, sends_idempotency_key=True),
 ]
 
 
--- a/ivystack/rig/verdict.py
+++ b/ivystack/rig/verdict.py
@@ -32,7 +32,7 @@
     windows = {
         request_class.name: dedup_window_us(scenario)
         for request_class in CLASSES
-        if request_class.marked and request_class.repeats
+        if request_class.sends_idempotency_key and request_class.retryable
     }
     limits = RuleLimits(
         classes, slack, TOLERANCE_US + record.reactor_lag, cold=cold_limit, end=record.end,
@@ -86,11 +86,13 @@
     third = record.scenario.seconds * US / 3
     for number in range(3):
         start, end = record.start + number * third, record.start + (number + 1) * third
-        for name in sorted({request.method.name for request in record.requests} if hold.each_class else ()):
+        for name in sorted(
+            {request.request_class.name for request in record.requests} if hold.each_class else ()
+        ):
             requests = [
                 request
                 for request in record.requests
-                if request.method.name == name and start <= request.due < end
+                if request.request_class.name == name and start <= request.due < end
             ]
             fraction = sum(map(in_time, requests)) / max(1, len(requests))
             if fraction < hold.each_class:
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -12,7 +12,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
 
-from .ledger import GONE, Ledger, Told
+from .ledger import GONE, Ledger, StateUpdate
 
 EMPTY = 2.0  # seconds between the empty lines of a watch on which nothing changes
 
@@ -38,9 +38,9 @@
 class Discovery:
     """`place(caller, node)` is where that caller reaches the node, "host:port"; `names` tells who calls."""
 
-    def __init__(self, reactor, now, ledger: Ledger, *, place=None, names=None):
+    def __init__(self, reactor, now, ledger: Ledger, *, address_for=None, names=None):
         self.reactor, self.now, self.ledger = reactor, now, ledger
-        self.place = place or (lambda caller, node: "{}:{}".format(*node.address))
+        self.address_for = address_for or (lambda caller, node: "{}:{}".format(*node.address))
         self.names = names or {}
         self.nodes: dict[str, tuple] = {}  # name to (node, state)
         self.generation = 0
@@ -69,7 +69,7 @@
 
     def entry(self, caller: str, node, state: str) -> dict:
         return {
-            "instanceId": node.name, "hostPort": self.place(caller, node), "zone": node.zone,
+            "instanceId": node.name, "hostPort": self.address_for(caller, node), "zone": node.zone,
             "lifecycle": state, "weight": 1.0, "startedAtMs": node.started // 1000,
         }  # fmt: skip
 
@@ -82,7 +82,7 @@
     def asked(self, request):
         host = request.getClientAddress().host
         caller = self.names.get(host, host)
-        self.ledger.calls[caller] = self.ledger.calls.get(caller, 0) + 1
+        self.ledger.discovery_requests[caller] = self.ledger.discovery_requests.get(caller, 0) + 1
         if self.refuses:
             request.setResponseCode(503)
             return b""
@@ -104,10 +104,12 @@
             return
         listing = self.listing(caller, since)
         request.write(orjson.dumps(listing) + b"\n")
-        self.ledger.lines[caller] = self.ledger.lines.get(caller, 0) + 1
+        self.ledger.watch_updates[caller] = self.ledger.watch_updates.get(caller, 0) + 1
         self.watches[request][1] = self.generation
         now = self.now()
-        self.ledger.told += [Told(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]]
+        self.ledger.state_updates += [
+            StateUpdate(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]
+        ]
 
     def beat(self) -> None:
         if self.port is None:
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -11,14 +11,14 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class ReceivedCommand:
     """A command that came whole to a node.  Times are whole microseconds of the rig's clock."""
 
     at: int
     node: str
     proxy: str
     ident: bytes
-    method: str
+    request_class: str
     write: bool
     cold: bool  # the node had started less than its warm-up ago
     busy: bool = False  # turned away: it never ran
@@ -32,12 +32,12 @@
     node: str
     ident: bytes
     key: bytes
-    mark: bytes
-    method: str
+    idempotency_key: bytes
+    request_class: str
 
 
 @dataclass(slots=True)
-class Told:
+class StateUpdate:
     """Discovery wrote to that proxy's watch what state a node is in."""
 
     at: int
@@ -48,10 +48,10 @@
 
 @dataclass
 class Ledger:
-    taken: list[Taken] = field(default_factory=list)
+    commands: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
-    dropped: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
-    told: list[Told] = field(default_factory=list)
-    calls: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
-    lines: dict[str, int] = field(default_factory=dict)
-    fetches: int = 0  # at the origin
+    dropped_repeats: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
+    state_updates: list[StateUpdate] = field(default_factory=list)
+    discovery_requests: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
+    watch_updates: dict[str, int] = field(default_factory=dict)
+    origin_requests: int = 0  # at the origin
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from ..net.resp import MAX_VALUE, RespProtocol, encode_bulk
-from .ledger import Ledger, Taken
+from .ledger import Ledger, ReceivedCommand
 
 BUSY, FAILED, BAD = b"-BUSY\r\n", b"-ERR failed\r\n", b"-SYNTAX\r\n"
 WAIT = re.compile(rb"(?:^|,)d=(\d+)")
@@ -30,7 +30,7 @@
         self.write = args[0].upper() == b"OBJ.SET"
         wait = WAIT.search(args[3])
         self.until = now + 1000 * int(wait[1]) if wait else None
-        self.taken: Taken | None = None
+        self.taken: ReceivedCommand | None = None
 
 
 class Link(RespProtocol):
@@ -97,24 +97,30 @@
 
     def __init__(
         self, name: str, reactor, now, rng: Random, ledger: Ledger, origin=None, *, zone="", cores=4,
-        time=0.004, steady=False, room=64, memory=100_000, warm=0, connections=1_000, value=None, names=None,
+        service_time=0.004, steady=False, room=64, memory=100_000, warm=0, connections=1_000, value=None, names=None,
     ):  # fmt: skip
         self.name, self.reactor, self.now, self.rng, self.ledger = name, reactor, now, rng, ledger
-        self.origin, self.zone, self.cores, self.time, self.steady = origin, zone, cores, time, steady
+        self.origin, self.zone, self.cores, self.service_time, self.steady = (
+            origin,
+            zone,
+            cores,
+            service_time,
+            steady,
+        )
         self.room, self.memory, self.warm, self.connections = room, memory, warm, connections
         self.value, self.names = value, names or {}
         self.links: dict[Link, None] = {}
-        self.kept: OrderedDict[bytes, None] = OrderedDict()
+        self.cached_keys: OrderedDict[bytes, None] = OrderedDict()
         self.busy = 0
         self.waiting: deque[Command] = deque()
-        self.life = 0  # what was begun in an earlier one ends in nothing
+        self.incarnation = 0  # what was begun in an earlier one ends in nothing
         self.started = 0  # long ago
         self.port: Any = None  # a listening port: the reactor is untyped here
         self.address: tuple[str, int] | None = None
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
-        self.hangs = False
-        self.factor, self.fails, self.spoils = 1.0, 0.0, ""
+        self.unresponsive = False
+        self.factor, self.failure_rate, self.corruption = 1.0, 0.0, ""
         self.ids: list[bytes] = []
 
     def listen(self, host="127.0.0.1") -> None:
@@ -122,24 +128,30 @@
         self.port = self.reactor.listenTCP(at[1], Factory(self), backlog=512, interface=at[0])
         self.address = (self.port.getHost().host, self.port.getHost().port)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """The process ends at once: connections are reset, new ones refused, memory lost."""
-        self.life += 1
+        self.incarnation += 1
         self.busy = 0
         self.waiting.clear()
-        self.kept.clear()
-        self.mend()
+        self.cached_keys.clear()
+        self.clear_faults()
         if self.port is not None:
             self.port.stopListening()
             self.port = None
         for link in [*self.links]:
             link.transport.abortConnection()
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         """Takes all faults back."""
-        self.hangs, self.factor, self.fails, self.spoils, self.drains = False, 1.0, 0.0, "", False
+        self.unresponsive, self.factor, self.failure_rate, self.corruption, self.drains = (
+            False,
+            1.0,
+            0.0,
+            "",
+            False,
+        )
 
-    def back(self) -> None:
+    def restart(self) -> None:
         """Starts again, cold."""
         self.started = self.now()
         if self.port is None:
@@ -153,10 +165,10 @@
     def take(self, command: Command) -> None:
         method = command.fields.get(b"c", b"").decode("latin-1")
         self.ids.append(command.ident)
-        command.taken = Taken(
+        command.taken = ReceivedCommand(
             self.now(), self.name, command.link.caller, command.ident, method, command.write, self.cold()
         )
-        self.ledger.taken.append(command.taken)
+        self.ledger.commands.append(command.taken)
         if self.busy < self.cores:
             self.begin(command)
         elif len(self.waiting) < self.room:
@@ -172,38 +184,42 @@
         if command.until is not None and self.now() > command.until:
             return self.turn_away(command)
         self.busy += 1
-        spent = (self.time if self.steady else self.rng.expovariate(1 / self.time)) if self.time else 0
-        self.reactor.callLater(spent * self.factor, self.through, command, self.life)
+        spent = (
+            (self.service_time if self.steady else self.rng.expovariate(1 / self.service_time))
+            if self.service_time
+            else 0
+        )
+        self.reactor.callLater(spent * self.factor, self.through, command, self.incarnation)
 
-    def through(self, command: Command, life: int) -> None:
-        if life != self.life:
+    def through(self, command: Command, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self.busy -= 1
         while self.waiting and self.busy < self.cores:
             self.begin(self.waiting.popleft())
-        if self.hangs:
+        if self.unresponsive:
             return
-        if self.fails and self.rng.random() < self.fails:
+        if self.failure_rate and self.rng.random() < self.failure_rate:
             return self.answer(command, FAILED)
         if self.origin is None:
-            return self.made(command, "hit", life)
-        if not command.write and command.key in self.kept:
-            self.kept.move_to_end(command.key)
-            return self.made(command, "hit", life)
-        if not self.origin.ask(lambda: self.made(command, "miss", life)):
+            return self.made(command, "hit", incarnation)
+        if not command.write and command.key in self.cached_keys:
+            self.cached_keys.move_to_end(command.key)
+            return self.made(command, "hit", incarnation)
+        if not self.origin.ask(lambda: self.made(command, "miss", incarnation)):
             self.answer(command, FAILED)
 
-    def made(self, command: Command, how: str, life: int) -> None:
+    def made(self, command: Command, how: str, incarnation: int) -> None:
         """It has been through all it needs.  A write's effect is the origin's and stays, whoever died."""
         if command.write and self.origin is not None:
-            mark, method = command.fields.get(b"k", b""), command.taken.method
+            mark, method = command.fields.get(b"k", b""), command.taken.request_class
             self.origin.write(self.name, command.ident, command.key, mark, method)
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
         if not command.write:
-            self.kept[command.key] = None
-            if len(self.kept) > self.memory:
-                self.kept.popitem(last=False)
+            self.cached_keys[command.key] = None
+            if len(self.cached_keys) > self.memory:
+                self.cached_keys.popitem(last=False)
         value = self.value or command.ident
         self.answer(command, b"*3\r\n" + encode_bulk(value) + encode_bulk(how.encode()) + b"$-1\r\n")
 
@@ -211,11 +227,11 @@
         link = command.link
         if link not in self.links:
             return
-        if self.spoils == "twice":
+        if self.corruption == "twice":
             text += text
-        elif self.spoils == "noise":
+        elif self.corruption == "noise":
             text = b"\x00noise\r\n"
-        elif self.spoils == "break":
+        elif self.corruption == "break":
             link.transport.write(text[: len(text) // 2])
             return link.transport.abortConnection()
         command.place[0] = text
--- a/ivystack/standin/origin.py
+++ b/ivystack/standin/origin.py
@@ -14,12 +14,21 @@
 
 class Origin:
     def __init__(
-        self, reactor, now, rng: Random, ledger: Ledger, *, time=0.02, at_once=32, queue=512, windows=None
+        self,
+        reactor,
+        now,
+        rng: Random,
+        ledger: Ledger,
+        *,
+        service_time=0.02,
+        at_once=32,
+        queue=512,
+        windows=None,
     ):
         """`time` in seconds is an exponential's mean; `windows` names the deduplicated classes, with the
         window of each in microseconds."""
         self.reactor, self.now, self.rng, self.ledger = reactor, now, rng, ledger
-        self.time, self.at_once, self.queue = time, at_once, queue
+        self.service_time, self.at_once, self.queue = service_time, at_once, queue
         self.windows = windows or {}
         self.factor = 1.0  # slower by it
         self.busy = 0
@@ -38,8 +47,8 @@
 
     def begin(self, done) -> None:
         self.busy += 1
-        self.ledger.fetches += 1
-        spent = self.rng.expovariate(1 / self.time) * self.factor if self.time else 0
+        self.ledger.origin_requests += 1
+        spent = self.rng.expovariate(1 / self.service_time) * self.factor if self.service_time else 0
         self.reactor.callLater(spent, self.ended, done)
 
     def ended(self, done) -> None:
@@ -55,7 +64,7 @@
         if window is not None and mark:
             before = self.marks.get((method, mark))
             if before is not None and effect.at - before < window:
-                self.ledger.dropped.append(effect)
+                self.ledger.dropped_repeats.append(effect)
                 return
             self.marks[method, mark] = effect.at
         self.ledger.effects.append(effect)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,8 +11,8 @@
 from twisted.internet.task import Clock
 
 import ivystack
-from ivystack.load.arrivals import drawn
-from ivystack.load.clients import Asked, Class, Try
+from ivystack.load.arrivals import draw_arrivals
+from ivystack.load.clients import ClientRequest, LoadClass, ClientAttempt
 from ivystack.rig import draw, scenario
 from ivystack.rig.check import DutyAction, Exemption, RuleLimits, check_duty_actions, check_rules
 from ivystack.rig.linear import Operation, TooLargeError, linearizable
@@ -20,19 +20,22 @@
 from ivystack.rig.scenario import ScenarioError, parse_scenario
 from ivystack.rig.verdict import find_breaches
 from ivystack.rig.ways import MAX_QUEUED_BYTES, LinkDirection, Stream
-from ivystack.standin.ledger import Effect, Ledger, Taken, Told
+from ivystack.standin.ledger import Effect, Ledger, ReceivedCommand, StateUpdate
 
-CLASSES = {"read": Class("read"), "pay": Class("pay", write=True, repeats=False, marked=True)}
+CLASSES = {
+    "read": LoadClass("read"),
+    "pay": LoadClass("pay", write=True, retryable=False, sends_idempotency_key=True),
+}
 LIMITS = RuleLimits(CLASSES, 100_000, 10_000, cold=3)
 PACKAGE = Path(ivystack.__file__).parent
 
 
 def client_attempt(method="read", answers=((1000, "served", b"a"),), ident=b"a", **fields):
-    return Try(0, ident, method, b"", "p0", 0, 900_000, [*answers], **fields)
+    return ClientAttempt(0, ident, method, b"", "p0", 0, 900_000, [*answers], **fields)
 
 
 def taken(at=500, node="n0", ident=b"a", cold=False, busy=False):
-    return Taken(at, node, "p0", ident, "pay", True, cold, busy)
+    return ReceivedCommand(at, node, "p0", ident, "pay", True, cold, busy)
 
 
 def breaches(attempts=(), exemptions=(), limits=LIMITS, **ledger):
@@ -44,37 +47,39 @@
 
 def test_a_breach_of_each_rule_is_detected_and_a_good_record_has_none():
     assert (
-        breaches([client_attempt()], taken=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")])
+        breaches([client_attempt()], commands=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")])
         == []
     )
     answers = [(1000, "served", b"a"), (2000, "served", b"a")]
     assert breaches([client_attempt(answers=answers)]) == [("one answer", 2000)]
     assert breaches([client_attempt(answers=())]) == [("one answer", 1_000_000)]
-    assert breaches([client_attempt(answers=(), ended=700)]) == [("one answer", 700)]
+    assert breaches([client_attempt(answers=(), connection_lost_at=700)]) == [("one answer", 700)]
     assert breaches([client_attempt(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
     assert breaches([client_attempt(answers=[(5, "served", b"b")])]) == [
         ("one answer", 5)
     ]  # the answer to another request
     twice = [taken(), taken(600, "n1")]
-    assert breaches([client_attempt("pay")], taken=twice) == [("no effect twice", 600)]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], taken=[taken()]) == [
+    assert breaches([client_attempt("pay")], commands=twice) == [("no effect twice", 600)]
+    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], commands=[taken()]) == [
         ("no effect twice", 1000)
     ]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], taken=[taken(busy=True)]) == []
+    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], commands=[taken(busy=True)]) == []
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert breaches(effects=marked) == [("no effect twice", 9)]
-    told = [Told(0, "p0", "n0", "DRAINING"), Told(1, "p0", "n0", "DELETED")]
-    assert breaches(told=told, taken=[taken(1_000_000)]) == []
-    assert breaches(told=told, taken=[taken(1_011_000)]) == [("nothing new to a draining node", 1_011_000)]
-    back = [*told, Told(500_000, "p0", "n0", "SERVING")]
-    assert breaches(told=back, taken=[taken(1_500_000)]) == []
+    told = [StateUpdate(0, "p0", "n0", "DRAINING"), StateUpdate(1, "p0", "n0", "DELETED")]
+    assert breaches(state_updates=told, commands=[taken(1_000_000)]) == []
+    assert breaches(state_updates=told, commands=[taken(1_011_000)]) == [
+        ("nothing new to a draining node", 1_011_000)
+    ]
+    back = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
+    assert breaches(state_updates=back, commands=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
-    assert breaches(taken=cold) == [("a cold node is not pushed over", 900_000)]
-    assert breaches(taken=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
+    assert breaches(commands=cold) == [("a cold node is not pushed over", 900_000)]
+    assert breaches(commands=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
 
 
 def test_an_exemption_applies_only_to_its_proxy_and_time():
-    lost = [client_attempt(answers=(), ended=700)]
+    lost = [client_attempt(answers=(), connection_lost_at=700)]
     assert breaches(lost, [Exemption(600, 800, "p0")]) == []
     assert breaches(lost, [Exemption(600, 800, "p1")]) == [("one answer", 700)]
     assert breaches(lost, [Exemption(2_000_000, 3_000_000, "p0")]) == [("one answer", 700)]
@@ -83,36 +88,43 @@
 
 def test_a_request_unread_for_longer_than_the_tolerance_is_lost():
     def closed(after, crossed, limits=LIMITS):
-        return breaches([client_attempt(answers=(), ended=after, crossed=crossed)], limits=limits)
+        return breaches(
+            [client_attempt(answers=(), connection_lost_at=after, maybe_unread=crossed)], limits=limits
+        )
 
     assert closed(10_000, True) == [] and closed(10_001, True) == [("one answer", 10_001)]
     assert closed(1, False) == [("one answer", 1)]  # no request crosses the end of a new connection
     lagged = RuleLimits(CLASSES, 100_000, 30_000, relay_lag=20_000)
     assert closed(20_000, False, lagged) == [] and closed(20_001, False, lagged) == [("one answer", 20_001)]
-    assert breaches([client_attempt(answers=(), ended=5, crossed=True)], taken=[taken()]) == [
-        ("one answer", 5)
-    ]  # it was read
+    assert breaches(
+        [client_attempt(answers=(), connection_lost_at=5, maybe_unread=True)], commands=[taken()]
+    ) == [("one answer", 5)]  # it was read
 
 
 def test_an_attempt_that_reaches_a_server_after_its_request_has_ended_is_detected():
-    answered, cut_off = client_attempt(), client_attempt(answers=(), ended=1000, crossed=True)
+    answered, cut_off = (
+        client_attempt(),
+        client_attempt(answers=(), connection_lost_at=1000, maybe_unread=True),
+    )
     late = taken(11_001)
-    assert breaches([answered], taken=[taken(11_000)]) == []
-    assert breaches([answered], taken=[late]) == [("nothing is sent after its end", 11_001)]
-    assert ("nothing is sent after its end", 11_001) in breaches([cut_off], taken=[late])
+    assert breaches([answered], commands=[taken(11_000)]) == []
+    assert breaches([answered], commands=[late]) == [("nothing is sent after its end", 11_001)]
+    assert ("nothing is sent after its end", 11_001) in breaches([cut_off], commands=[late])
     assert (
-        breaches([answered], [Exemption(900, 12_000, "p0", "n0")], taken=[late]) == []
+        breaches([answered], [Exemption(900, 12_000, "p0", "n0")], commands=[late]) == []
     )  # delayed by a fault of the link
 
 
 def test_requests_that_are_sent_after_their_clients_have_left_are_detected():
     # Only requests that were still waiting count, not those that a server had received before.
     # Attempts begun more than 0.1 s after the client left break another rule; see the next test.
-    left = [client_attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(8)]
+    left = [client_attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(8)]
 
     def of_this_rule(taken):
         return [
-            breach for breach in breaches(left, taken=taken) if breach[0] == "nothing is sent on for nobody"
+            breach
+            for breach in breaches(left, commands=taken)
+            if breach[0] == "nothing is sent on for nobody"
         ]
 
     late = [taken(400_000, ident=b"%d" % n) for n in range(3)]
@@ -125,34 +137,37 @@
 
 
 def test_the_third_attempt_begun_after_its_client_has_left_is_a_breach():
-    left = [client_attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(30)]
+    left = [client_attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(30)]
     had = [taken(900, ident=b"%d" % n) for n in range(30)]  # a first attempt of each request
     late = [taken(112_000 + n, "n1", ident=b"%d" % n) for n in range(3)]
     crossed = [taken(111_000, "n1", ident=b"%d" % n) for n in range(5, 12)]
     expected = [("nothing is begun for nobody", 112_002)]
-    assert breaches(left, taken=had + crossed + late[:2]) == []
-    assert breaches(left, taken=had + late) == expected
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], taken=had + late) == []
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], taken=had + late) == expected
+    assert breaches(left, commands=had + crossed + late[:2]) == []
+    assert breaches(left, commands=had + late) == expected
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], commands=had + late) == []
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], commands=had + late) == expected
 
 
 def test_a_repeat_after_its_window_is_detected_even_though_the_origin_drops_it():
     limits = RuleLimits(
-        {"pay": Class("pay", write=True, marked=True)}, 100_000, 10_000, dedup_windows={"pay": 300_000}
+        {"pay": LoadClass("pay", write=True, sends_idempotency_key=True)},
+        100_000,
+        10_000,
+        dedup_windows={"pay": 300_000},
     )
     waiting = client_attempt("pay", [(400_000, "served", b"a")])  # answered after all repeats
     good = [taken(0), taken(310_000, "n1")]
-    assert breaches([waiting], limits=limits, taken=good) == []
+    assert breaches([waiting], limits=limits, commands=good) == []
     late = [taken(0), taken(200_000, "n1"), taken(310_001, "n2")]
-    assert breaches([waiting], limits=limits, taken=late) == [("no effect twice", 310_001)]
-    assert breaches([waiting], limits=limits, taken=[taken(0, busy=True), *late[2:]]) == []
-    assert breaches([waiting], [Exemption(0, 1, "p0", "n2")], limits, taken=late) == []
+    assert breaches([waiting], limits=limits, commands=late) == [("no effect twice", 310_001)]
+    assert breaches([waiting], limits=limits, commands=[taken(0, busy=True), *late[2:]]) == []
+    assert breaches([waiting], [Exemption(0, 1, "p0", "n2")], limits, commands=late) == []
 
 
 def test_a_request_that_crossed_a_connection_end_was_accepted_only_if_a_server_received_it():
-    crossed = [client_attempt("pay", (), ended=700, crossed=True)]
+    crossed = [client_attempt("pay", (), connection_lost_at=700, maybe_unread=True)]
     assert breaches(crossed) == []
-    assert breaches(crossed, taken=[taken()]) == [("one answer", 700)]
+    assert breaches(crossed, commands=[taken()]) == [("one answer", 700)]
 
 
 def test_a_token_with_two_holders_and_an_accepted_older_token_are_detected():
@@ -227,7 +242,7 @@
 def test_equal_seeds_give_equal_arrivals_and_their_number_follows_the_rate():
     parts = {"read": 0.5, "pay": 0.5}
     for shape in ("steady", "poisson", "ramp", "surge"):
-        first, second = (drawn(Random(5), 60, 50, shape, 100, 1.0, parts, 3) for _ in range(2))
+        first, second = (draw_arrivals(Random(5), 60, 50, shape, 100, 1.0, parts, 3) for _ in range(2))
         assert first == second and abs(len(first) - 3000) < 300
         assert [arrival.at for arrival in first] == sorted(arrival.at for arrival in first)
 
@@ -414,7 +429,9 @@
             for request_class in (pay, read):
                 late = request_class is pay and 1_000_000 <= at < 2_000_000 and starved
                 ended = at + (800_000 if late else 1000)
-                record.requests.append(Asked(0, None, at, request_class, b"", outcome="served", ended=ended))
+                record.requests.append(
+                    ClientRequest(0, None, at, request_class, b"", outcome="served", ended=ended)
+                )
         return [(breach.rule, breach.subject) for breach in find_breaches(record)]
 
     assert find(False) == [] and find(True) == [("hold.each_class", "third 2")]
