--- a/ivystack/rig/processes.py
+++ b/ivystack/rig/processes.py
@@ -18,7 +18,7 @@
 
 import ivystack
 
-from .shim.sitecustomize import CALLS, FAULT
+from .shim.sitecustomize import CALL_FAULT, SYSTEM_CALLS
 
 PROGRAM = Path(ivystack.__file__).parent.parent  # the folder that holds the package
 SHIM = Path(__file__).parent / "shim"  # loaded by each process: its wall clock, system calls that fail
@@ -40,7 +40,7 @@
         self.clock = folder / "clock"
         self.clock.write_bytes(bytes(8))
         self.calls = folder / "calls"
-        self.calls.write_bytes(bytes(FAULT.size * len(CALLS)))
+        self.calls.write_bytes(bytes(CALL_FAULT.size * len(SYSTEM_CALLS)))
         self.sockets: int | None = None  # file descriptors that it may hold; None: as many as we may
         self.log = folder / "log"
         self.program = PROGRAM
@@ -111,8 +111,8 @@
         """That part of such calls fails with that error from now on; none does where `part` is 0."""
         number = getattr(errno, error) if part else 0
         with open(self.calls, "r+b") as file:
-            file.seek(FAULT.size * CALLS.index(call))
-            file.write(FAULT.pack(number, round(part * 1_000_000)))
+            file.seek(CALL_FAULT.size * SYSTEM_CALLS.index(call))
+            file.write(CALL_FAULT.pack(number, round(part * 1_000_000)))
         self.note(f"{call} {error} {part:g}")
 
     def signal(self, number: int) -> bool:
--- a/ivystack/rig/scenario.py
+++ b/ivystack/rig/scenario.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .shim.sitecustomize import CALLS
+from .shim.sitecustomize import SYSTEM_CALLS
 
 LEADER, HOLDER, TRIER = "leader", "holder", "trier"  # of the group; of slot-order; of node-trials
 AIMED = {LEADER, HOLDER, TRIER}  # known when it comes to it
@@ -81,7 +81,7 @@
     directory: Literal["kept", "gone", "old", "full", "unwritable"] = "kept"  # kill and restart
     duty: Annotated[float, Meta(gt=0, lt=1)] = 0.2  # slow: the part of the time that it runs
     hours: float = 0.0  # clock
-    call: Literal[CALLS] = "accept"  # type: ignore[valid-type]  # syscall: which fails
+    call: Literal[SYSTEM_CALLS] = "accept"  # type: ignore[valid-type]  # syscall: which fails
     error: str = "EMFILE"  # syscall: with which error
     factor: Positive = 10.0  # node-slow, origin-slow
     part: Part = 0.5  # node-fail, loss, twice, leave, syscall
--- a/ivystack/rig/shim/sitecustomize.py
+++ b/ivystack/rig/shim/sitecustomize.py
@@ -1,13 +1,15 @@
-"""Faults inside one process of the program: its wall clock, and system calls that fail.
+"""Faults inside one process of the program: a shifted wall clock, and system calls that fail.
 
-Python loads this file in a process that is started with this folder on its path.  The rig writes what is
-wrong into two small files that the process maps, so a fault begins and ends while the process runs:
+Python imports this file in a process that is started with this directory on its path.  The rig writes the
+faults into two small files that the process maps, so that a fault begins and ends while the process runs:
 
-- IVYSTACK_RIG_CLOCK: eight bytes, how far `time.time` is off, in nanoseconds.  The monotonic clock is left.
-- IVYSTACK_RIG_CALLS: for each name of CALLS an error number, and how many calls in a million return it.
+- IVYSTACK_RIG_CLOCK: eight bytes, the offset of `time.time` in nanoseconds.  The monotonic clock does not
+  change.
+- IVYSTACK_RIG_CALLS: for each entry of SYSTEM_CALLS an error number, and how many calls in a million fail
+  with this error.
 
-A call that fails does so before it reaches the kernel, so that nothing is lost by it: a connection that
-could not be accepted still waits.  Calls made by C code (the log's writes, epoll) are not reached.
+A failing call does not reach the kernel, so that nothing is lost by the failure.  For example, a connection
+that could not be accepted still waits.  Calls from C code (writes of the log, epoll) are not affected.
 """
 
 import mmap
@@ -16,42 +18,44 @@
 import struct
 import time
 
-CALLS = ("accept", "recv", "send", "connect_ex")
-FAULT = struct.Struct("<ii")  # error number, calls in a million
+SYSTEM_CALLS = ("accept", "recv", "send", "connect_ex")
+CALL_FAULT = struct.Struct("<ii")  # error number, failing calls in a million
 
 
-def step_clock(path: str) -> None:
+def shift_clock(path: str) -> None:
+    """Shift `time.time` and `time.time_ns` by the offset in the file, which may change at any time."""
     with open(path, "rb") as file:
-        kept = mmap.mmap(file.fileno(), 8, access=mmap.ACCESS_READ)
-    true_ns, read = time.time_ns, struct.Struct("<q").unpack_from
-    time.time_ns = lambda: true_ns() + read(kept)[0]
+        mapped = mmap.mmap(file.fileno(), 8, access=mmap.ACCESS_READ)
+    original_time_ns, unpack_from = time.time_ns, struct.Struct("<q").unpack_from
+    time.time_ns = lambda: original_time_ns() + unpack_from(mapped)[0]
     time.time = lambda: time.time_ns() / 1e9
 
 
 def fail_calls(path: str) -> None:
+    """Let socket calls fail at random as the file says, which may change at any time."""
     import socket
 
     with open(path, "rb") as file:
-        kept = mmap.mmap(file.fileno(), FAULT.size * len(CALLS), access=mmap.ACCESS_READ)
+        mapped = mmap.mmap(file.fileno(), CALL_FAULT.size * len(SYSTEM_CALLS), access=mmap.ACCESS_READ)
     rng = random.Random(os.environ.get("LB_NAME", ""))
 
-    def failing(name: str, place: int, true_call):
-        def call(self, *values):
-            error, often = FAULT.unpack_from(kept, place)
-            if error and rng.random() * 1_000_000 < often:
+    def make_failing(name: str, offset: int, original):
+        def call(self, *args):
+            error, failures_per_million = CALL_FAULT.unpack_from(mapped, offset)
+            if error and rng.random() * 1_000_000 < failures_per_million:
                 if name == "connect_ex":
                     return error
                 raise OSError(error, os.strerror(error))
-            return true_call(self, *values)
+            return original(self, *args)
 
         return call
 
-    for number, name in enumerate(CALLS):
-        true_call = getattr(socket.socket, name)
-        setattr(socket.socket, name, failing(name, number * FAULT.size, true_call))
+    for number, name in enumerate(SYSTEM_CALLS):
+        original = getattr(socket.socket, name)
+        setattr(socket.socket, name, make_failing(name, number * CALL_FAULT.size, original))
 
 
 if os.environ.get("IVYSTACK_RIG_CLOCK"):
-    step_clock(os.environ["IVYSTACK_RIG_CLOCK"])
+    shift_clock(os.environ["IVYSTACK_RIG_CLOCK"])
 if os.environ.get("IVYSTACK_RIG_CALLS"):
     fail_calls(os.environ["IVYSTACK_RIG_CALLS"])
