--- a/ivystack/rig/swarm.py
+++ b/ivystack/rig/swarm.py
@@ -52,7 +52,7 @@
         priority_weight: Priority weight of the request class.
         latency_objective: Latency objective in microseconds.
         semantics: Idempotency of the requests, as a value of the setting of this name.
-        senders: Number of proxies that send this class; None for all.
+        senders: Number of proxies whose clients send this class; None for all.
         is_write: Whether the requests are writes.
         tenant: Name of the tenant, if any.
     """
@@ -111,7 +111,7 @@
     impatient_share: float = 0.0  # share of clients, not counted, that give up after 1/20 of the objective
     rate_sigma: float = 1.0  # standard deviation of the logarithm of the proxies' lognormal rates
     cache_capacity: int = 400  # keys in the cache of a server
-    warm_hit_ratio: float = 0.9  # probability that a warm server has a key at the first request for it
+    warm_hit_ratio: float = 0.9  # probability that a server warm from the beginning has a new key
     fetch_time: int = 100_000  # time of one fetch from the origin
     concurrent_fetches: int = 60  # fetches that the origin serves at once
     warm_up_time: int = 6 * MICROSECONDS_PER_SECOND
@@ -121,9 +121,9 @@
     max_connections: int = 1 << 30  # connections that a server accepts; it rejects further ones
     max_attempts: int = 3
     gossip: bool = True
-    # Cache-aside mode: caches report misses, proxies read from the origin and send writes only to it.
+    # Cache-aside mode: caches report misses to the proxies, which fetch from the origin and write only to it.
     cache_aside: bool = False
-    tenant_allowances: dict[str, float] = field(default_factory=dict)  # requests per second by tenant
+    tenant_allowances: dict[str, float] = field(default_factory=dict)  # per second, by tenant
     excess_priority_weight: float = 0.1
     rng: Random = field(default_factory=lambda: Random(3))
     mean_work: float = 1.0  # of a request, in microseconds of one core; set by the swarm
@@ -136,19 +136,15 @@
     """
 
     def __init__(self, name: str, world: World, started_at: int = 0):
-        self.name, self.world, self.started_at = (
-            name,
-            world,
-            started_at,
-        )  # started_at 0: warm from the beginning
+        # A server that starts at time 0 is warm from the beginning.
+        self.name, self.world, self.started_at = name, world, started_at
         self.core_free_at = [0] * world.cores_per_server
         self.cached_keys: OrderedDict[int, None] = OrderedDict()
         self.connected_proxies: set[Proxy] = set()
         self.hung = self.gone = False
         self.slowdown = 1.0
-        self.recent_arrivals: deque[tuple[int, float]] = (
-            deque()
-        )  # time and work, only while the server is cold
+        # Time and work of each request within the overload window, recorded only while the server is cold.
+        self.recent_arrivals: deque[tuple[int, float]] = deque()
         self.peak_overload = 0.0  # most work within an overload window, as a multiple of the allowed work
 
     def warm_fraction(self, now: int) -> float:
@@ -162,7 +158,7 @@
         """Count a request towards the overload of a cold server.
 
         The allowed work is that of N requests of mean work, plus 2 * sqrt(N) + 2 requests for random
-        variation.  Requests that the server rejects count, too.
+        variation.
         """
         if self.warm_fraction(now) == 1 or not self.started_at:
             return
