--- a/ivystack/rig/processes.py
+++ b/ivystack/rig/processes.py
@@ -18,7 +18,7 @@
 
 import ivystack
 
-from .shim.sitecustomize import CALLS, FAULT
+from .shim.sitecustomize import CALL_FAULT, SYSTEM_CALLS
 
 PROGRAM = Path(ivystack.__file__).parent.parent  # the folder that holds the package
 SHIM = (
@@ -42,7 +42,7 @@
         self.clock_file = folder / "clock"
         self.clock_file.write_bytes(bytes(8))
         self.calls_file = folder / "calls"
-        self.calls_file.write_bytes(bytes(FAULT.size * len(CALLS)))
+        self.calls_file.write_bytes(bytes(CALL_FAULT.size * len(SYSTEM_CALLS)))
         self.max_open_files: int | None = None  # None: the limit of the rig itself
         self.log_file = folder / "log"
         self.program = PROGRAM
@@ -119,8 +119,8 @@
         """Make this fraction of the named system calls fail with the named error; 0 ends the failures."""
         number = getattr(errno, error) if fraction else 0
         with open(self.calls_file, "r+b") as file:
-            file.seek(FAULT.size * CALLS.index(call))
-            file.write(FAULT.pack(number, round(fraction * 1_000_000)))
+            file.seek(CALL_FAULT.size * SYSTEM_CALLS.index(call))
+            file.write(CALL_FAULT.pack(number, round(fraction * 1_000_000)))
         self.record_event(f"{call} {error} {fraction:g}")
 
     def signal(self, number: int) -> bool:
--- a/ivystack/rig/scenario.py
+++ b/ivystack/rig/scenario.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .shim.sitecustomize import CALLS
+from .shim.sitecustomize import SYSTEM_CALLS
 
 # Roles that a fault may name as its target: the group's leader, and the holders of two duties.
 LEADER, ORDER_HOLDER, PROBE_HOLDER = "leader", "holder", "trier"
@@ -98,7 +98,7 @@
     )
     duty: Annotated[float, Meta(gt=0, lt=1)] = 0.2  # slow: the fraction of time in which the process runs
     hours: float = 0.0  # clock: offset of the wall clock
-    call: Literal[CALLS] = "accept"  # type: ignore[valid-type]  # syscall: the call that fails
+    call: Literal[SYSTEM_CALLS] = "accept"  # type: ignore[valid-type]  # syscall: the call that fails
     error: str = "EMFILE"  # syscall: the error that the call returns
     factor: Positive = 10.0  # node-slow, origin-slow
     part: Fraction = 0.5  # node-fail, loss, twice, leave, syscall
