--- a/ivystack/rig/check.py
+++ b/ivystack/rig/check.py
@@ -15,7 +15,7 @@
 from ..standin.ledger import SERVING, Ledger, Taken
 from .linear import Op, linearizable
 
-DRAIN_GRACE_US = 1_000_000  # from the news that a server drains or is gone until new requests are a breach
+DRAIN_GRACE_US = 1_000_000  # after a proxy was informed that a server drains or is gone
 COLD_WINDOW_US = 1_000_000  # in which the requests to a cold server are counted
 # A waiting request must not be sent to a server later than this after its client left, but for this fraction.
 SENT_AFTER_LEFT_US, MAX_SENT_FRACTION = 300_000, 0.25
@@ -190,8 +190,10 @@
 
 
 def may_be_delayed(exemptions: list[Exemption], taken: Taken, start: int) -> bool:
-    """Return whether a fault of the link after `start` may have delayed the request, so that its time of
-    sending is unknown."""
+    """Return whether a fault of the link after `start` may have delayed the request.
+
+    The time at which the proxy sent the request is then unknown.
+    """
     return any(
         exemption.server in (None, taken.node) and exemption.proxy in (None, taken.proxy)
         and exemption.start <= taken.at and start <= exemption.end for exemption in exemptions
@@ -276,7 +278,7 @@
 ) -> list[Breach]:
     """No attempt begins after the client has left.
 
-    An attempt may cross the end of its client's connection by chance, so MAX_BEGUN attempts are allowed.
+    An attempt may cross the end of its client's connection by chance, so the third is a breach (MAX_BEGUN).
     """
     by_request, late = defaultdict(list), []
     for taken in ledger.taken:
@@ -298,8 +300,10 @@
 def check_sent_after_end(
     attempts: list[Try], ledger: Ledger, exemptions: list[Exemption], limits: RuleLimits
 ) -> list[Breach]:
-    """No attempt reaches a server after the proxy has ended its request, by an answer or by closing the
-    connection."""
+    """No attempt reaches a server after the proxy has ended its request.
+
+    A proxy ends a request by an answer, or by closing the client's connection.
+    """
     by_request, breaches = defaultdict(list), []
     for taken in ledger.taken:
         by_request[taken.proxy, taken.ident].append(taken)
--- a/ivystack/rig/draw.py
+++ b/ivystack/rig/draw.py
@@ -31,10 +31,10 @@
     out: dict[str, list[tuple[float, float, str]]] = {"p": [], "n": []}
 
     def may_fail(kind: str, name: str, start: float, end: float) -> bool:
-        """Return whether one more may be out of service from `start` to `end`."""
+        """Return whether the named one may be out of service from `start` to `end` besides those that are."""
         most = max(1, proxies // 3) if kind == "p" else max(1, nodes // 2)
-        at_once = {other for a, b, other in out[kind] if a < end + 1.0 and start < b + 1.0}
-        return name not in at_once and len(at_once) < most
+        failing = {other for a, b, other in out[kind] if a < end + 1.0 and start < b + 1.0}
+        return name not in failing and len(failing) < most
 
     count = rng.randint(max(1, int(seconds) - 3), max(1, 2 * int(seconds) - 5))
     for _ in range(count):
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -132,7 +132,7 @@
         exempt: dict | None = None,
         extra_seconds: float = 0.0,
     ) -> None:
-        """Record the begin of a fault, and its end when it is reverted.
+        """Record the start of a fault, and its end when it is reverted.
 
         `exempt` gives the proxy and the server of an exemption, which ends `extra_seconds` after the fault.
         """
@@ -170,11 +170,11 @@
             process.suspend()
             self.record_fault(name, kind, undo, {"proxy": name}, 1.0)
             undo.append((process.resume,))
-        elif fault.kind == "pause":  # no exemption: a proxy must meet its obligations during a short pause
+        elif fault.kind == "pause":  # no exemption: a proxy must follow all rules during a short pause
             process.suspend()
             self.record_fault(name, kind, undo)
             undo.append((self.end_pause, process, self.rig.now()))
-        elif fault.kind == "syscall":  # no exemption: such a failure itself loses nothing
+        elif fault.kind == "syscall":  # no exemption: the failure itself loses nothing
             process.fail_call(fault.call, fault.error, fault.part)
             self.record_fault(name, f"{kind} {fault.call} {fault.error}", undo)
             undo.append((process.fail_call, fault.call, fault.error, 0.0))
--- a/ivystack/rig/logs.py
+++ b/ivystack/rig/logs.py
@@ -49,7 +49,7 @@
     day = int(time.mktime((*midnight[:3], 0, 0, 0, 0, 0, -1))) * 1_000_000
     actions, leases = [], []
     for path in sorted(folder.glob("*/log")):
-        name, open_at, last = path.parent.name, {}, 0
+        name, acquired_at, last = path.parent.name, {}, 0
         for line in path.read_text(errors="replace").splitlines():
             if not TIME.match(line):
                 continue
@@ -64,14 +64,14 @@
             elif lease:
                 key = lease[2], int(lease[3])
                 if lease[1] == "acquired":
-                    open_at[key] = at
-                elif key in open_at:
-                    leases.append((open_at.pop(key), at, key[0], name, key[1]))
+                    acquired_at[key] = at
+                elif key in acquired_at:
+                    leases.append((acquired_at.pop(key), at, key[0], name, key[1]))
             elif START.search(line):  # a new process: the leases of the one before ended with it
                 end = max([last, *(killed_at for killed_at in kills.get(name, []) if killed_at <= at)])
-                leases += [(start, end, duty, name, token) for (duty, token), start in open_at.items()]
-                open_at = {}
+                leases += [(start, end, duty, name, token) for (duty, token), start in acquired_at.items()]
+                acquired_at = {}
             last = at
         end = max([last, *kills.get(name, [])])
-        leases += [(start, end, duty, name, token) for (duty, token), start in open_at.items()]
+        leases += [(start, end, duty, name, token) for (duty, token), start in acquired_at.items()]
     return actions, sorted(leases)
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -87,6 +87,8 @@
 
 
 class PingProtocol(RespProtocol):
+    """Sends a PING and calls `done` with whether the answer is a PONG."""
+
     def __init__(self, done):
         super().__init__()
         self.done = done
@@ -148,6 +150,7 @@
     # Set-up.
 
     def build(self) -> None:
+        """Create the servers, relays, processes and clients of the run, without starting the processes."""
         fleet, hub = self.scenario.fleet, self.hub
         proxies, servers = process_names(self.scenario)
         windows = {
@@ -244,6 +247,7 @@
         return "{}:{}".format(*self.server_relays[caller, server.name])
 
     def config(self, name: str) -> dict:
+        """Return the configuration of a proxy."""
         number = [*self.processes].index(name)
         config = {
             "name": name, "listen": "{}:{}".format(*self.listen_addresses[name]),
--- a/ivystack/rig/processes.py
+++ b/ivystack/rig/processes.py
@@ -21,9 +21,8 @@
 from .shim.sitecustomize import CALLS, FAULT
 
 PROGRAM = Path(ivystack.__file__).parent.parent  # the folder that holds the package
-SHIM = (
-    Path(__file__).parent / "shim"
-)  # loaded by each process; sets its wall clock and makes system calls fail
+# Each process loads this folder's module, which sets its wall clock and makes system calls fail.
+SHIM = Path(__file__).parent / "shim"
 THROTTLE_PERIOD_S = 0.1  # a throttled process runs and stops once in this time
 FULL_DIRECTORY_BYTES = 4096  # maximum size of a file where a full directory is simulated
 
--- a/ivystack/rig/scenario.py
+++ b/ivystack/rig/scenario.py
@@ -35,8 +35,8 @@
 MEMBERSHIP_FAULTS = ("members",)  # a new operators' file changes the members of the consensus group
 
 
-MAX_PAUSE_S = 0.15  # a proxy paused for at most this long must still meet all its obligations
-# Bound of the number of proxies, and of cache servers.  A machine can run fewer, which shows before the load.
+MAX_PAUSE_S = 0.15  # a proxy that is paused for at most this long must still follow all rules
+# Bound of the number of proxies, and of cache servers.  A machine may support fewer: then the start fails.
 MAX_PROCESSES = 1024
 
 
@@ -52,7 +52,7 @@
     zones: Annotated[int, Meta(ge=1, le=8)] = 1
     peers: bool = True  # the proxies gossip with each other
     sockets: Annotated[int, Meta(ge=64)] = 1024  # limit of open file descriptors of a proxy
-    group: Annotated[int, Meta(ge=0, le=7)] = 0  # number of proxies in the consensus group; 0: no group
+    group: Annotated[int, Meta(ge=0, le=7)] = 0  # proxies in the consensus group; 0: no group
     cores: Annotated[int, Meta(ge=1)] = 4  # of a cache server
     service: Positive = 0.004  # seconds of a core that a command takes
     warm: Seconds = 2.0  # seconds after its start during which a cache server counts as cold
@@ -70,9 +70,8 @@
     put: Fraction = 0.1  # deduplicated writes, with an idempotency token
     pay: Fraction = 0.1  # writes that must not be retried
     reuse: Literal["newest", "oldest"] = "newest"  # which idle connection a client uses next
-    window: Annotated[float, Meta(ge=0, le=10)] = (
-        0.0  # seconds during which repeats of `put` are dropped; 0 means 10
-    )
+    # Seconds during which repeats of `put` are dropped; 0 means 10.
+    window: Annotated[float, Meta(ge=0, le=10)] = 0.0
     worth: dict[Literal["read", "put", "pay"], Positive] = {}  # criticality of a class; 1 by default
 
 
@@ -90,12 +89,11 @@
         + CLIENT_FAULTS
     ]
     span: Seconds | None = msgspec.field(default=None, name="for")
-    who: list[str] = []  # targets of a process or server fault: patterns such as p0, p*, n2
+    who: list[str] = []  # targets: patterns of processes or servers, such as p0, p*, n2
     between: list[str] = []  # ends of a link fault: two patterns of processes, "discovery" or "clients"
     way: Literal["both", "there", "back"] = "both"  # there: from the first of `between` to the second
-    directory: Literal["kept", "gone", "old", "full", "unwritable"] = (
-        "kept"  # kill, restart: state of the directory at the next start
-    )
+    # kill, restart: state of the directory at the next start
+    directory: Literal["kept", "gone", "old", "full", "unwritable"] = "kept"
     duty: Annotated[float, Meta(gt=0, lt=1)] = 0.2  # slow: the fraction of time in which the process runs
     hours: float = 0.0  # clock: offset of the wall clock
     call: Literal[CALLS] = "accept"  # type: ignore[valid-type]  # syscall: the call that fails
@@ -121,16 +119,15 @@
 class Hold(Struct, forbid_unknown_fields=True):
     """The conditions that a run must meet."""
 
-    rules: bool = True  # check the rules of check.py
+    rules: bool = True  # check the four rules, and those on clients that left (check.py)
     served: Fraction = 0.0  # least fraction of all requests that is served in time
     served_last: Fraction = 0.0  # the same for requests due in the last `last` seconds
     last: Positive = 2.0
     each_class: Fraction = 0.0  # the same for each class in each third of the load
     orders: bool = False  # at the end all proxies use the same slot order and slot-order has one holder
     linked: bool = False  # at the end each proxy is connected to every member of the consensus group
-    agreed_last: Annotated[int, Meta(ge=0)] = (
-        0  # least number of table operations answered in the last `last` seconds
-    )
+    # Least number of table operations that are called and answered in the last `last` seconds.
+    agreed_last: Annotated[int, Meta(ge=0)] = 0
     crashes: bool = False  # processes may crash
     slack_ms: Seconds = 500.0  # added to the time limit of a final answer, beside the rig's own lag
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -27,7 +27,7 @@
 PACKAGE = Path(ivystack.__file__).parent
 
 
-def client_attempt(method="read", answers=((1000, "served", b"a"),), ident=b"a", **fields):
+def attempt(method="read", answers=((1000, "served", b"a"),), ident=b"a", **fields):
     return Try(0, ident, method, b"", "p0", 0, 900_000, [*answers], **fields)
 
 
@@ -43,38 +43,32 @@
 
 
 def test_a_breach_of_each_rule_is_detected_and_a_good_record_has_none():
-    assert (
-        breaches([client_attempt()], taken=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")])
-        == []
-    )
+    assert breaches([attempt()], taken=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")]) == []
     answers = [(1000, "served", b"a"), (2000, "served", b"a")]
-    assert breaches([client_attempt(answers=answers)]) == [("one answer", 2000)]
-    assert breaches([client_attempt(answers=())]) == [("one answer", 1_000_000)]
-    assert breaches([client_attempt(answers=(), ended=700)]) == [("one answer", 700)]
-    assert breaches([client_attempt(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
-    assert breaches([client_attempt(answers=[(5, "served", b"b")])]) == [
-        ("one answer", 5)
-    ]  # the answer to another request
+    assert breaches([attempt(answers=answers)]) == [("one answer", 2000)]
+    assert breaches([attempt(answers=())]) == [("one answer", 1_000_000)]
+    assert breaches([attempt(answers=(), ended=700)]) == [("one answer", 700)]
+    assert breaches([attempt(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
+    # The answer to another request:
+    assert breaches([attempt(answers=[(5, "served", b"b")])]) == [("one answer", 5)]
     twice = [taken(), taken(600, "n1")]
-    assert breaches([client_attempt("pay")], taken=twice) == [("no effect twice", 600)]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], taken=[taken()]) == [
-        ("no effect twice", 1000)
-    ]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], taken=[taken(busy=True)]) == []
+    assert breaches([attempt("pay")], taken=twice) == [("no effect twice", 600)]
+    assert breaches([attempt("pay", [(1000, "nacked", b"")])], taken=[taken()]) == [("no effect twice", 1000)]
+    assert breaches([attempt("pay", [(1000, "nacked", b"")])], taken=[taken(busy=True)]) == []
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert breaches(effects=marked) == [("no effect twice", 9)]
     told = [Told(0, "p0", "n0", "DRAINING"), Told(1, "p0", "n0", "DELETED")]
     assert breaches(told=told, taken=[taken(1_000_000)]) == []
     assert breaches(told=told, taken=[taken(1_011_000)]) == [("nothing new to a draining node", 1_011_000)]
-    back = [*told, Told(500_000, "p0", "n0", "SERVING")]
-    assert breaches(told=back, taken=[taken(1_500_000)]) == []
+    serving_again = [*told, Told(500_000, "p0", "n0", "SERVING")]
+    assert breaches(told=serving_again, taken=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
     assert breaches(taken=cold) == [("a cold node is not pushed over", 900_000)]
     assert breaches(taken=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
 
 
 def test_an_exemption_applies_only_to_its_proxy_and_time():
-    lost = [client_attempt(answers=(), ended=700)]
+    lost = [attempt(answers=(), ended=700)]
     assert breaches(lost, [Exemption(600, 800, "p0")]) == []
     assert breaches(lost, [Exemption(600, 800, "p1")]) == [("one answer", 700)]
     assert breaches(lost, [Exemption(2_000_000, 3_000_000, "p0")]) == [("one answer", 700)]
@@ -83,32 +77,30 @@
 
 def test_a_request_unread_for_longer_than_the_tolerance_is_lost():
     def closed(after, crossed, limits=LIMITS):
-        return breaches([client_attempt(answers=(), ended=after, crossed=crossed)], limits=limits)
+        return breaches([attempt(answers=(), ended=after, crossed=crossed)], limits=limits)
 
     assert closed(10_000, True) == [] and closed(10_001, True) == [("one answer", 10_001)]
     assert closed(1, False) == [("one answer", 1)]  # no request crosses the end of a new connection
     lagged = RuleLimits(CLASSES, 100_000, 30_000, relay_lag=20_000)
     assert closed(20_000, False, lagged) == [] and closed(20_001, False, lagged) == [("one answer", 20_001)]
-    assert breaches([client_attempt(answers=(), ended=5, crossed=True)], taken=[taken()]) == [
-        ("one answer", 5)
-    ]  # it was read
+    # The proxy has read the request, because a server has received it:
+    assert breaches([attempt(answers=(), ended=5, crossed=True)], taken=[taken()]) == [("one answer", 5)]
 
 
 def test_an_attempt_that_reaches_a_server_after_its_request_has_ended_is_detected():
-    answered, cut_off = client_attempt(), client_attempt(answers=(), ended=1000, crossed=True)
+    answered, closed = attempt(), attempt(answers=(), ended=1000, crossed=True)
     late = taken(11_001)
     assert breaches([answered], taken=[taken(11_000)]) == []
     assert breaches([answered], taken=[late]) == [("nothing is sent after its end", 11_001)]
-    assert ("nothing is sent after its end", 11_001) in breaches([cut_off], taken=[late])
-    assert (
-        breaches([answered], [Exemption(900, 12_000, "p0", "n0")], taken=[late]) == []
-    )  # delayed by a fault of the link
+    assert ("nothing is sent after its end", 11_001) in breaches([closed], taken=[late])
+    # A fault of the link may have delayed it:
+    assert breaches([answered], [Exemption(900, 12_000, "p0", "n0")], taken=[late]) == []
 
 
 def test_requests_that_are_sent_after_their_clients_have_left_are_detected():
     # Only requests that were still waiting count, not those that a server had received before.
     # Attempts begun more than 0.1 s after the client left break another rule; see the next test.
-    left = [client_attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(8)]
+    left = [attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(8)]
 
     def of_this_rule(taken):
         return [
@@ -116,31 +108,31 @@
         ]
 
     late = [taken(400_000, ident=b"%d" % n) for n in range(3)]
-    soon = [taken(300_000, ident=b"%d" % n) for n in range(3, 6)]
-    assert of_this_rule(soon) == [] == of_this_rule(soon + late[:2])
-    assert of_this_rule(soon + late) == [("nothing is sent on for nobody", 400_000)]
-    had = [taken(900, ident=b"%d" % n) for n in range(4, 8)]
-    assert of_this_rule(had + late[:1]) == []
-    assert of_this_rule(had + late[:2]) == [("nothing is sent on for nobody", 400_000)]
+    within_limit = [taken(300_000, ident=b"%d" % n) for n in range(3, 6)]
+    assert of_this_rule(within_limit) == [] == of_this_rule(within_limit + late[:2])
+    assert of_this_rule(within_limit + late) == [("nothing is sent on for nobody", 400_000)]
+    before_leaving = [taken(900, ident=b"%d" % n) for n in range(4, 8)]
+    assert of_this_rule(before_leaving + late[:1]) == []
+    assert of_this_rule(before_leaving + late[:2]) == [("nothing is sent on for nobody", 400_000)]
 
 
 def test_the_third_attempt_begun_after_its_client_has_left_is_a_breach():
-    left = [client_attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(30)]
-    had = [taken(900, ident=b"%d" % n) for n in range(30)]  # a first attempt of each request
+    left = [attempt(answers=(), ident=b"%d" % n, left=1000) for n in range(30)]
+    before_leaving = [taken(900, ident=b"%d" % n) for n in range(30)]  # a first attempt of each request
     late = [taken(112_000 + n, "n1", ident=b"%d" % n) for n in range(3)]
     crossed = [taken(111_000, "n1", ident=b"%d" % n) for n in range(5, 12)]
     expected = [("nothing is begun for nobody", 112_002)]
-    assert breaches(left, taken=had + crossed + late[:2]) == []
-    assert breaches(left, taken=had + late) == expected
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], taken=had + late) == []
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], taken=had + late) == expected
+    assert breaches(left, taken=before_leaving + crossed + late[:2]) == []
+    assert breaches(left, taken=before_leaving + late) == expected
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], taken=before_leaving + late) == []
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], taken=before_leaving + late) == expected
 
 
 def test_a_repeat_after_its_window_is_detected_even_though_the_origin_drops_it():
     limits = RuleLimits(
         {"pay": Class("pay", write=True, marked=True)}, 100_000, 10_000, dedup_windows={"pay": 300_000}
     )
-    waiting = client_attempt("pay", [(400_000, "served", b"a")])  # answered after all repeats
+    waiting = attempt("pay", [(400_000, "served", b"a")])  # answered after all repeats
     good = [taken(0), taken(310_000, "n1")]
     assert breaches([waiting], limits=limits, taken=good) == []
     late = [taken(0), taken(200_000, "n1"), taken(310_001, "n2")]
@@ -150,7 +142,7 @@
 
 
 def test_a_request_that_crossed_a_connection_end_was_accepted_only_if_a_server_received_it():
-    crossed = [client_attempt("pay", (), ended=700, crossed=True)]
+    crossed = [attempt("pay", (), ended=700, crossed=True)]
     assert breaches(crossed) == []
     assert breaches(crossed, taken=[taken()]) == [("one answer", 700)]
 
