--- a/tests/test_close.py
+++ b/tests/test_close.py
@@ -19,7 +19,7 @@
     make_process_configuration,
 )
 from moments import ProxyHarness, CacheServer, encode_gets
-from test_rig import ivy
+from test_rig import run_ivystack
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("scene", ["held-up", "failing-calls"])
 def test_scenarios_with_stalls_and_failing_calls_lose_no_request(scene):
-    code, output, _ = ivy("rig", "play", scene, "--seconds", "7", "--quiet")
+    code, output, _ = run_ivystack("rig", "play", scene, "--seconds", "7", "--quiet")
     assert code == 0, output
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from test_rig import PACKAGE, ivy
+from test_rig import PACKAGE, run_ivystack
 
 from ivystack.consensus import core as core_module
 from ivystack.consensus.environment import Environment, Timing
@@ -50,9 +50,9 @@
 
 
 def test_schedules_can_be_run_from_the_command_line():
-    code, output, _ = ivy("rig", "schedules", "--seed", "5", "--count", "16")
+    code, output, _ = run_ivystack("rig", "schedules", "--seed", "5", "--count", "16")
     assert code == 0 and output.startswith("HOLDS 16 schedules")
-    assert ivy("rig", "schedules", "--count", "0")[0] == 2
+    assert run_ivystack("rig", "schedules", "--count", "0")[0] == 2
 
 
 # --- Scripted schedules ---
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import FakeTransport, make_entries, make_proxy
 from test_consensus import start_scenario
-from test_rig import PACKAGE, altered, ivy
+from test_rig import PACKAGE, copy_with_change, run_ivystack
 
 from ivystack.balancing.gossip_codec import server_hash
 from ivystack.duties import lease_expiry, lease_holder
@@ -356,9 +356,9 @@
     text = text.replace("at = 2\nfor = 10", "at = 3.6\nfor = 8")
     scenario.write_text(text.replace("orders = true", "orders = false"))
     write = "        token = self.holder.held_token(DUTY, self.now())  # right before the write\n"
-    program = altered(tmp_path / "a", "duties/slot_order_duty.py", write, STOP_BEFORE_WRITE)
+    program = copy_with_change(tmp_path / "a", "duties/slot_order_duty.py", write, STOP_BEFORE_WRITE)
     arguments = "rig", "play", str(scenario), "--program", program, "--quiet"
-    code, output, _ = ivy(*arguments, "--keep", str(tmp_path / "k"))
+    code, output, _ = run_ivystack(*arguments, "--keep", str(tmp_path / "k"))
     assert code == 0, output
     rejected = [
         path for path in (tmp_path / "k").glob("p*/log") if "duty: value rejected" in path.read_text()
@@ -380,7 +380,7 @@
         file = tmp_path / "a" / "ivystack" / path
         assert file.read_text().count(before) == 1
         file.write_text(file.read_text().replace(before, after))
-    code, output, _ = ivy(*arguments)
+    code, output, _ = run_ivystack(*arguments)
     assert code == 1 and "BREACH of `fencing`" in output, output
 
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import S, FakeTransport, make_proxy
 from loguru import logger
-from test_rig import ivy
+from test_rig import run_ivystack
 from twisted.internet.error import CannotListenError, ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
@@ -378,7 +378,7 @@
     (tmp_path / "fleet.toml").write_text(invalid)
     with pytest.raises(ConfigurationError, match="more, see check-config"):
         load_config(tmp_path / "fleet.toml", "a")
-    code, _, output = ivy("check-config", "--fleet", str(tmp_path / "fleet.toml"))
+    code, _, output = run_ivystack("check-config", "--fleet", str(tmp_path / "fleet.toml"))
     assert code == 2 and output.count("\n") == len(found)
 
 
@@ -429,7 +429,7 @@
     limits = {"name": "a", "limits": {"sockets": 400}}
     addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {}}
     config.write_text(json.dumps(addresses | limits))
-    code, _, output = ivy("serve", "--config", str(config), "--fleet", str(fleet))
+    code, _, output = run_ivystack("serve", "--config", str(config), "--fleet", str(fleet))
     assert code == 2 and "`links`: 256 of 400" in output and output.count("\n") == 1
 
 
@@ -443,5 +443,5 @@
 
 
 def test_links_between_real_processes_are_reestablished_after_each_kind_of_fault():
-    code, output, _ = ivy("rig", "play", "mesh", "--quiet")
+    code, output, _ = run_ivystack("rig", "play", "mesh", "--quiet")
     assert code == 0, output
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -300,7 +300,7 @@
     assert abs(copies.count(0) / 4000 - 0.3) < 0.03 and abs(copies.count(2) / 4000 - 0.35) < 0.03
 
 
-def ivy(*arguments, **options):
+def run_ivystack(*arguments, **options):
     """Run the program's command line; return its exit code, output and error output."""
     completed = subprocess.run(
         [sys.executable, "-B", "-m", "ivystack", *arguments], capture_output=True, text=True, timeout=100,
@@ -310,12 +310,12 @@
 
 
 def test_all_rules_hold_when_a_proxy_is_killed_and_restarted_under_load(tmp_path):
-    code, output, _ = ivy(
+    code, output, _ = run_ivystack(
         "rig", "play", "first", "--seconds", "6", "--keep", str(tmp_path), "--plot", str(tmp_path / "x.png")
     )
     assert code == 0 and "HOLDS first seed 1" in output and "p1: kill" in output
     assert (tmp_path / "x.png").read_bytes().startswith(b"\x89PNG")
-    code, output, _ = ivy("rig", "logs", str(tmp_path))
+    code, output, _ = run_ivystack("rig", "logs", str(tmp_path))
     lines = output.splitlines()
     assert code == 0 and [line[:12] for line in lines] == sorted(line[:12] for line in lines)
     assert {line.split()[1] for line in lines} >= {"rig", "p0", "p1", "p2"}
@@ -324,18 +324,18 @@
 def test_jumps_of_the_wall_clock_by_hours_have_no_effect():
     # Guards against timers on the wall clock: with the reactor's own clock, setting the wall clock back by
     # hours stopped every timer of the proxy.
-    code, output, _ = ivy("rig", "play", "clocks", "--quiet")
+    code, output, _ = run_ivystack("rig", "play", "clocks", "--quiet")
     assert code == 0, output
 
 
 def test_no_work_remains_when_clients_leave_in_bursts_while_servers_fail(tmp_path):
-    code, output, _ = ivy("rig", "play", "leaving", "--keep", str(tmp_path))
+    code, output, _ = run_ivystack("rig", "play", "leaving", "--keep", str(tmp_path))
     assert code == 0, output
     left = [line for line in (tmp_path / "tries.jsonl").read_text().splitlines() if '"left":null' not in line]
     assert len(left) > 20
 
 
-def altered(folder, path, before, after):
+def copy_with_change(folder, path, before, after):
     """Copy the program with one piece of its source replaced; return the folder of the copy."""
     shutil.copytree(PACKAGE, folder / "ivystack", ignore=shutil.ignore_patterns("__pycache__"))
     file = folder / "ivystack" / path
@@ -356,8 +356,10 @@
 def test_a_program_that_breaks_a_rule_is_detected_and_the_summary_shows_the_breach(
     tmp_path, path, before, after, scenario_name, rule
 ):
-    program = altered(tmp_path, path, before, after)
-    code, output, _ = ivy("rig", "play", scenario_name, "--seconds", "5.5", "--program", program, "--quiet")
+    program = copy_with_change(tmp_path, path, before, after)
+    code, output, _ = run_ivystack(
+        "rig", "play", scenario_name, "--seconds", "5.5", "--program", program, "--quiet"
+    )
     assert code == 1 and f"BREACH of `{rule}`" in output
 
 
@@ -365,15 +367,15 @@
     path = tmp_path / "x.toml"
     path.write_text("version = 1\n[fleet]\nproxies = 'three'\n")
     for name, text in ((str(path), "fleet.proxies"), (str(tmp_path / "none"), "No such file")):
-        code, _, output = ivy("rig", "play", name)
+        code, _, output = run_ivystack("rig", "play", name)
         assert code == 2 and text in output and output.count("\n") == 1
     config = tmp_path / "c.json"
     config.write_text('{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {}}')
     for arguments in (["check-config", str(config)], ["serve", "--config", str(config)]):
-        code, _, output = ivy(*arguments)
+        code, _, output = run_ivystack(*arguments)
         assert code == 2 and "listen" in output and output.count("\n") == 1
     config.write_text('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {}}')
-    assert ivy("check-config", str(config))[0] == 0
+    assert run_ivystack("check-config", str(config))[0] == 0
 
 
 def test_the_proxy_started_without_a_command_imports_no_part_of_the_tools():
