--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -30,7 +30,7 @@
 PACKAGE = Path(ivystack.__file__).parent
 
 
-def client_attempt(method="read", answers=((1000, "served", b"a"),), ident=b"a", **fields):
+def attempt(method="read", answers=((1000, "served", b"a"),), ident=b"a", **fields):
     return ClientAttempt(0, ident, method, b"", "p0", 0, 900_000, [*answers], **fields)
 
 
@@ -47,23 +47,21 @@
 
 def test_a_breach_of_each_rule_is_detected_and_a_good_record_has_none():
     assert (
-        breaches([client_attempt()], commands=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")])
-        == []
+        breaches([attempt()], commands=[taken()], effects=[Effect(600, "n0", b"a", b"k", b"", "pay")]) == []
     )
     answers = [(1000, "served", b"a"), (2000, "served", b"a")]
-    assert breaches([client_attempt(answers=answers)]) == [("one answer", 2000)]
-    assert breaches([client_attempt(answers=())]) == [("one answer", 1_000_000)]
-    assert breaches([client_attempt(answers=(), connection_lost_at=700)]) == [("one answer", 700)]
-    assert breaches([client_attempt(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
-    assert breaches([client_attempt(answers=[(5, "served", b"b")])]) == [
-        ("one answer", 5)
-    ]  # the answer to another request
+    assert breaches([attempt(answers=answers)]) == [("one answer", 2000)]
+    assert breaches([attempt(answers=())]) == [("one answer", 1_000_000)]
+    assert breaches([attempt(answers=(), connection_lost_at=700)]) == [("one answer", 700)]
+    assert breaches([attempt(answers=[(1_000_001, "nacked", b"")])]) == [("one answer", 1_000_001)]
+    # The answer to another request:
+    assert breaches([attempt(answers=[(5, "served", b"b")])]) == [("one answer", 5)]
     twice = [taken(), taken(600, "n1")]
-    assert breaches([client_attempt("pay")], commands=twice) == [("no effect twice", 600)]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], commands=[taken()]) == [
+    assert breaches([attempt("pay")], commands=twice) == [("no effect twice", 600)]
+    assert breaches([attempt("pay", [(1000, "nacked", b"")])], commands=[taken()]) == [
         ("no effect twice", 1000)
     ]
-    assert breaches([client_attempt("pay", [(1000, "nacked", b"")])], commands=[taken(busy=True)]) == []
+    assert breaches([attempt("pay", [(1000, "nacked", b"")])], commands=[taken(busy=True)]) == []
     marked = [Effect(at, "n0", ident, b"k", b"m", "put") for at, ident in ((5, b"a"), (9, b"b"))]
     assert breaches(effects=marked) == [("no effect twice", 9)]
     told = [StateUpdate(0, "p0", "n0", "DRAINING"), StateUpdate(1, "p0", "n0", "DELETED")]
@@ -71,15 +69,15 @@
     assert breaches(state_updates=told, commands=[taken(1_011_000)]) == [
         ("nothing new to a draining node", 1_011_000)
     ]
-    back = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
-    assert breaches(state_updates=back, commands=[taken(1_500_000)]) == []
+    serving_again = [*told, StateUpdate(500_000, "p0", "n0", "SERVING")]
+    assert breaches(state_updates=serving_again, commands=[taken(1_500_000)]) == []
     cold = [taken(at, cold=True) for at in (0, 300_000, 600_000, 900_000)]
     assert breaches(commands=cold) == [("a cold node is not pushed over", 900_000)]
     assert breaches(commands=[taken(at, cold=True) for at in (0, 400_000, 800_000, 1_100_000)]) == []
 
 
 def test_an_exemption_applies_only_to_its_proxy_and_time():
-    lost = [client_attempt(answers=(), connection_lost_at=700)]
+    lost = [attempt(answers=(), connection_lost_at=700)]
     assert breaches(lost, [Exemption(600, 800, "p0")]) == []
     assert breaches(lost, [Exemption(600, 800, "p1")]) == [("one answer", 700)]
     assert breaches(lost, [Exemption(2_000_000, 3_000_000, "p0")]) == [("one answer", 700)]
@@ -88,37 +86,32 @@
 
 def test_a_request_unread_for_longer_than_the_tolerance_is_lost():
     def closed(after, crossed, limits=LIMITS):
-        return breaches(
-            [client_attempt(answers=(), connection_lost_at=after, maybe_unread=crossed)], limits=limits
-        )
+        return breaches([attempt(answers=(), connection_lost_at=after, maybe_unread=crossed)], limits=limits)
 
     assert closed(10_000, True) == [] and closed(10_001, True) == [("one answer", 10_001)]
     assert closed(1, False) == [("one answer", 1)]  # no request crosses the end of a new connection
     lagged = RuleLimits(CLASSES, 100_000, 30_000, relay_lag=20_000)
     assert closed(20_000, False, lagged) == [] and closed(20_001, False, lagged) == [("one answer", 20_001)]
-    assert breaches(
-        [client_attempt(answers=(), connection_lost_at=5, maybe_unread=True)], commands=[taken()]
-    ) == [("one answer", 5)]  # it was read
+    # The proxy has read the request, because a server has received it:
+    assert breaches([attempt(answers=(), connection_lost_at=5, maybe_unread=True)], commands=[taken()]) == [
+        ("one answer", 5)
+    ]
 
 
 def test_an_attempt_that_reaches_a_server_after_its_request_has_ended_is_detected():
-    answered, cut_off = (
-        client_attempt(),
-        client_attempt(answers=(), connection_lost_at=1000, maybe_unread=True),
-    )
+    answered, closed = attempt(), attempt(answers=(), connection_lost_at=1000, maybe_unread=True)
     late = taken(11_001)
     assert breaches([answered], commands=[taken(11_000)]) == []
     assert breaches([answered], commands=[late]) == [("nothing is sent after its end", 11_001)]
-    assert ("nothing is sent after its end", 11_001) in breaches([cut_off], commands=[late])
-    assert (
-        breaches([answered], [Exemption(900, 12_000, "p0", "n0")], commands=[late]) == []
-    )  # delayed by a fault of the link
+    assert ("nothing is sent after its end", 11_001) in breaches([closed], commands=[late])
+    # A fault of the link may have delayed it:
+    assert breaches([answered], [Exemption(900, 12_000, "p0", "n0")], commands=[late]) == []
 
 
 def test_requests_that_are_sent_after_their_clients_have_left_are_detected():
     # Only requests that were still waiting count, not those that a server had received before.
     # Attempts begun more than 0.1 s after the client left break another rule; see the next test.
-    left = [client_attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(8)]
+    left = [attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(8)]
 
     def of_this_rule(taken):
         return [
@@ -128,24 +121,24 @@
         ]
 
     late = [taken(400_000, ident=b"%d" % n) for n in range(3)]
-    soon = [taken(300_000, ident=b"%d" % n) for n in range(3, 6)]
-    assert of_this_rule(soon) == [] == of_this_rule(soon + late[:2])
-    assert of_this_rule(soon + late) == [("nothing is sent on for nobody", 400_000)]
-    had = [taken(900, ident=b"%d" % n) for n in range(4, 8)]
-    assert of_this_rule(had + late[:1]) == []
-    assert of_this_rule(had + late[:2]) == [("nothing is sent on for nobody", 400_000)]
+    within_limit = [taken(300_000, ident=b"%d" % n) for n in range(3, 6)]
+    assert of_this_rule(within_limit) == [] == of_this_rule(within_limit + late[:2])
+    assert of_this_rule(within_limit + late) == [("nothing is sent on for nobody", 400_000)]
+    before_leaving = [taken(900, ident=b"%d" % n) for n in range(4, 8)]
+    assert of_this_rule(before_leaving + late[:1]) == []
+    assert of_this_rule(before_leaving + late[:2]) == [("nothing is sent on for nobody", 400_000)]
 
 
 def test_the_third_attempt_begun_after_its_client_has_left_is_a_breach():
-    left = [client_attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(30)]
-    had = [taken(900, ident=b"%d" % n) for n in range(30)]  # a first attempt of each request
+    left = [attempt(answers=(), ident=b"%d" % n, client_left_at=1000) for n in range(30)]
+    before_leaving = [taken(900, ident=b"%d" % n) for n in range(30)]  # a first attempt of each request
     late = [taken(112_000 + n, "n1", ident=b"%d" % n) for n in range(3)]
     crossed = [taken(111_000, "n1", ident=b"%d" % n) for n in range(5, 12)]
     expected = [("nothing is begun for nobody", 112_002)]
-    assert breaches(left, commands=had + crossed + late[:2]) == []
-    assert breaches(left, commands=had + late) == expected
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], commands=had + late) == []
-    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], commands=had + late) == expected
+    assert breaches(left, commands=before_leaving + crossed + late[:2]) == []
+    assert breaches(left, commands=before_leaving + late) == expected
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n1")], commands=before_leaving + late) == []
+    assert breaches(left, [Exemption(0, 200_000, "p0", "n2")], commands=before_leaving + late) == expected
 
 
 def test_a_repeat_after_its_window_is_detected_even_though_the_origin_drops_it():
@@ -155,7 +148,7 @@
         10_000,
         dedup_windows={"pay": 300_000},
     )
-    waiting = client_attempt("pay", [(400_000, "served", b"a")])  # answered after all repeats
+    waiting = attempt("pay", [(400_000, "served", b"a")])  # answered after all repeats
     good = [taken(0), taken(310_000, "n1")]
     assert breaches([waiting], limits=limits, commands=good) == []
     late = [taken(0), taken(200_000, "n1"), taken(310_001, "n2")]
@@ -165,7 +158,7 @@
 
 
 def test_a_request_that_crossed_a_connection_end_was_accepted_only_if_a_server_received_it():
-    crossed = [client_attempt("pay", (), connection_lost_at=700, maybe_unread=True)]
+    crossed = [attempt("pay", (), connection_lost_at=700, maybe_unread=True)]
     assert breaches(crossed) == []
     assert breaches(crossed, commands=[taken()]) == [("one answer", 700)]
 
@@ -328,7 +321,7 @@
     assert abs(copies.count(0) / 4000 - 0.3) < 0.03 and abs(copies.count(2) / 4000 - 0.35) < 0.03
 
 
-def ivy(*arguments, **options):
+def run_ivystack(*arguments, **options):
     """Run the program's command line; return its exit code, output and error output."""
     completed = subprocess.run(
         [sys.executable, "-B", "-m", "ivystack", *arguments], capture_output=True, text=True, timeout=100,
@@ -338,12 +331,12 @@
 
 
 def test_all_rules_hold_when_a_proxy_is_killed_and_restarted_under_load(tmp_path):
-    code, output, _ = ivy(
+    code, output, _ = run_ivystack(
         "rig", "play", "first", "--seconds", "6", "--keep", str(tmp_path), "--plot", str(tmp_path / "x.png")
     )
     assert code == 0 and "HOLDS first seed 1" in output and "p1: kill" in output
     assert (tmp_path / "x.png").read_bytes().startswith(b"\x89PNG")
-    code, output, _ = ivy("rig", "logs", str(tmp_path))
+    code, output, _ = run_ivystack("rig", "logs", str(tmp_path))
     lines = output.splitlines()
     assert code == 0 and [line[:12] for line in lines] == sorted(line[:12] for line in lines)
     assert {line.split()[1] for line in lines} >= {"rig", "p0", "p1", "p2"}
@@ -352,18 +345,18 @@
 def test_jumps_of_the_wall_clock_by_hours_have_no_effect():
     # Guards against timers on the wall clock: with the reactor's own clock, setting the wall clock back by
     # hours stopped every timer of the proxy.
-    code, output, _ = ivy("rig", "play", "clocks", "--quiet")
+    code, output, _ = run_ivystack("rig", "play", "clocks", "--quiet")
     assert code == 0, output
 
 
 def test_no_work_remains_when_clients_leave_in_bursts_while_servers_fail(tmp_path):
-    code, output, _ = ivy("rig", "play", "leaving", "--keep", str(tmp_path))
+    code, output, _ = run_ivystack("rig", "play", "leaving", "--keep", str(tmp_path))
     assert code == 0, output
     left = [line for line in (tmp_path / "tries.jsonl").read_text().splitlines() if '"left":null' not in line]
     assert len(left) > 20
 
 
-def altered(folder, path, before, after):
+def copy_with_change(folder, path, before, after):
     """Copy the program with one piece of its source replaced; return the folder of the copy."""
     shutil.copytree(PACKAGE, folder / "ivystack", ignore=shutil.ignore_patterns("__pycache__"))
     file = folder / "ivystack" / path
@@ -384,8 +377,10 @@
 def test_a_program_that_breaks_a_rule_is_detected_and_the_summary_shows_the_breach(
     tmp_path, path, before, after, scenario_name, rule
 ):
-    program = altered(tmp_path, path, before, after)
-    code, output, _ = ivy("rig", "play", scenario_name, "--seconds", "5.5", "--program", program, "--quiet")
+    program = copy_with_change(tmp_path, path, before, after)
+    code, output, _ = run_ivystack(
+        "rig", "play", scenario_name, "--seconds", "5.5", "--program", program, "--quiet"
+    )
     assert code == 1 and f"BREACH of `{rule}`" in output
 
 
@@ -393,15 +388,15 @@
     path = tmp_path / "x.toml"
     path.write_text("version = 1\n[fleet]\nproxies = 'three'\n")
     for name, text in ((str(path), "fleet.proxies"), (str(tmp_path / "none"), "No such file")):
-        code, _, output = ivy("rig", "play", name)
+        code, _, output = run_ivystack("rig", "play", name)
         assert code == 2 and text in output and output.count("\n") == 1
     config = tmp_path / "c.json"
     config.write_text('{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {}}')
     for arguments in (["check-config", str(config)], ["serve", "--config", str(config)]):
-        code, _, output = ivy(*arguments)
+        code, _, output = run_ivystack(*arguments)
         assert code == 2 and "listen" in output and output.count("\n") == 1
     config.write_text('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {}}')
-    assert ivy("check-config", str(config))[0] == 0
+    assert run_ivystack("check-config", str(config))[0] == 0
 
 
 def test_the_proxy_started_without_a_command_imports_no_part_of_the_tools():
