--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -125,8 +125,8 @@
     HISTOGRAM_MAX_US = 60_000_000
 
     def __init__(
-        self, reactor, now, rng: Random, proxy_addresses: dict[str, tuple[str, int]], classes: list[LoadClass],
-        refused_addresses: set | None = None, oldest_first: bool = False,
+        self, reactor, now, rng: Random, proxy_addresses: dict[str, tuple[str, int]],
+        classes: list[LoadClass], refused_addresses: set | None = None, oldest_first: bool = False,
     ):  # fmt: skip
         """Create the clients; `play` starts the load.
 
@@ -307,7 +307,7 @@
     ) -> None:
         """Record the outcome of an attempt, and schedule a retry if the request may have one.
 
-        A rejected request goes to the same proxy after the delay that the answer asks for, a failed one to a
+        A rejected request goes to the same proxy after the delay that the answer asks for, any other one to a
         random proxy after the default delay. Up to the same time again is added as jitter.
         """
         now = self.now()
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -222,8 +222,8 @@
             node.unresponsive = True
             undo.append((setattr, node, "unresponsive", False))
         elif fault.kind == "node-slow":
-            node.factor = fault.factor
-            undo.append((setattr, node, "factor", 1.0))
+            node.slowdown = fault.factor
+            undo.append((setattr, node, "slowdown", 1.0))
         elif fault.kind == "node-fail":
             node.failure_rate = fault.part
             undo.append((setattr, node, "failure_rate", 0.0))
@@ -231,8 +231,8 @@
             node.corruption = fault.how
             undo.append((setattr, node, "corruption", ""))
         elif fault.kind == "origin-slow":
-            self.rig.origin.factor = fault.factor
-            undo.append((setattr, self.rig.origin, "factor", 1.0))
+            self.rig.origin.slowdown = fault.factor
+            undo.append((setattr, self.rig.origin, "slowdown", 1.0))
         else:
             self.rig.discovery.change(DRAINING, node)
             self.rig.reactor.callLater(2.0, self.drained, node)
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -120,7 +120,7 @@
         self.drains = False
         # Faults: takes and never answers; slower by a factor; fails so large a part; how answers are spoilt.
         self.unresponsive = False
-        self.factor, self.failure_rate, self.corruption = 1.0, 0.0, ""
+        self.slowdown, self.failure_rate, self.corruption = 1.0, 0.0, ""
         self.ids: list[bytes] = []
 
     def listen(self, host="127.0.0.1") -> None:
@@ -143,7 +143,7 @@
 
     def clear_faults(self) -> None:
         """Takes all faults back."""
-        self.unresponsive, self.factor, self.failure_rate, self.corruption, self.drains = (
+        self.unresponsive, self.slowdown, self.failure_rate, self.corruption, self.drains = (
             False,
             1.0,
             0.0,
@@ -189,7 +189,7 @@
             if self.service_time
             else 0
         )
-        self.reactor.callLater(spent * self.factor, self.through, command, self.incarnation)
+        self.reactor.callLater(spent * self.slowdown, self.through, command, self.incarnation)
 
     def through(self, command: Command, incarnation: int) -> None:
         if incarnation != self.incarnation:
--- a/ivystack/standin/origin.py
+++ b/ivystack/standin/origin.py
@@ -30,7 +30,7 @@
         self.reactor, self.now, self.rng, self.ledger = reactor, now, rng, ledger
         self.service_time, self.at_once, self.queue = service_time, at_once, queue
         self.windows = windows or {}
-        self.factor = 1.0  # slower by it
+        self.slowdown = 1.0  # slower by it
         self.busy = 0
         self.waiting: deque = deque()
         self.marks: dict[tuple[str, bytes], int] = {}  # when each was carried out
@@ -48,7 +48,7 @@
     def begin(self, done) -> None:
         self.busy += 1
         self.ledger.origin_requests += 1
-        spent = self.rng.expovariate(1 / self.service_time) * self.factor if self.service_time else 0
+        spent = self.rng.expovariate(1 / self.service_time) * self.slowdown if self.service_time else 0
         self.reactor.callLater(spent, self.ended, done)
 
     def ended(self, done) -> None:
