--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -262,7 +262,7 @@
 
         def end() -> None:
             setattr(self.rig.discovery, name, False)
-            self.rig.discovery.tell()
+            self.rig.discovery.notify_watches()
 
         undo.append((end,))
         self.mark("discovery", fault.kind, undo)
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -65,7 +65,7 @@
             into, out = (self.gone, self.nodes) if state == GONE else (self.nodes, self.gone)
             out.pop(node.name, None)
             into[node.name] = node, state
-        self.tell()
+        self.notify_watches()
 
     def entry(self, caller: str, node, state: str) -> dict:
         return {
@@ -94,7 +94,7 @@
         self.tell_one(request, True)
         return NOT_DONE_YET
 
-    def tell(self) -> None:
+    def notify_watches(self) -> None:
         for request in [*self.watches]:
             self.tell_one(request)
 
