--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from ..standin.ledger import DRAINING, GONE, SERVING
+from ..standin.ledger import DRAINING, DELETED, SERVING
 from ..standin.node import Node
 from .check import Excuse
 from .processes import Process
@@ -248,7 +248,7 @@
 
     def drained(self, node: Node) -> None:
         if not self.rig.over and self.rig.discovery.nodes.get(node.name, (None, ""))[1] == DRAINING:
-            self.rig.discovery.change(GONE, node)
+            self.rig.discovery.change(DELETED, node)
 
     def listed_again(self, node: Node) -> None:
         if not self.rig.over:
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -12,7 +12,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
 
-from .ledger import GONE, Ledger, StateUpdate
+from .ledger import DELETED, Ledger, StateUpdate
 
 EMPTY = 2.0  # seconds between the empty lines of a watch on which nothing changes
 
@@ -62,7 +62,7 @@
         self.generation += 1
         for node in nodes:
             self.changes[node.name] = self.generation
-            into, out = (self.gone, self.nodes) if state == GONE else (self.nodes, self.gone)
+            into, out = (self.gone, self.nodes) if state == DELETED else (self.nodes, self.gone)
             out.pop(node.name, None)
             into[node.name] = node, state
         self.notify_watches()
--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-DRAINING, GONE, SERVING = "DRAINING", "DELETED", "SERVING"
+DRAINING, DELETED, SERVING = "DRAINING", "DELETED", "SERVING"
 
 
 @dataclass(slots=True)
