--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -153,7 +153,7 @@
             node = self.nodes[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
                 zone=f"z{number % fleet.zones}", cores=fleet.cores, service_time=fleet.service,
-                warm=int(fleet.warm * US), memory=fleet.memory, names=hub.names,
+                warm_up=int(fleet.warm * US), memory=fleet.memory, names=hub.names,
             )  # fmt: skip
             node.listen(hub.host(name, 2, number))
         self.discovery = Discovery(
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -97,7 +97,7 @@
 
     def __init__(
         self, name: str, reactor, now, rng: Random, ledger: Ledger, origin=None, *, zone="", cores=4,
-        service_time=0.004, steady=False, room=64, memory=100_000, warm=0, connections=1_000, value=None, names=None,
+        service_time=0.004, steady=False, room=64, memory=100_000, warm_up=0, connections=1_000, value=None, names=None,
     ):  # fmt: skip
         self.name, self.reactor, self.now, self.rng, self.ledger = name, reactor, now, rng, ledger
         self.origin, self.zone, self.cores, self.service_time, self.steady = (
@@ -107,7 +107,7 @@
             service_time,
             steady,
         )
-        self.room, self.memory, self.warm, self.connections = room, memory, warm, connections
+        self.room, self.memory, self.warm_up, self.connections = room, memory, warm_up, connections
         self.value, self.names = value, names or {}
         self.links: dict[Link, None] = {}
         self.cached_keys: OrderedDict[bytes, None] = OrderedDict()
@@ -158,7 +158,7 @@
             self.listen()
 
     def cold(self) -> bool:
-        return bool(self.started) and self.now() - self.started < self.warm
+        return bool(self.started) and self.now() - self.started < self.warm_up
 
     # Commands.
 
