--- a/ivystack/standin/ledger.py
+++ b/ivystack/standin/ledger.py
@@ -1,6 +1,7 @@
-"""What stand-ins saw and carried out, in order.
+"""What the stand-ins received and executed, in order.
 
-Owns the record that checkers read after a run.  It must never judge, or forget a part of it.
+The checkers of the rig read this record after a run. This module only holds the record: it judges nothing and
+drops nothing.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 @dataclass(slots=True)
 class ReceivedCommand:
-    """A command that came whole to a node.  Times are whole microseconds of the rig's clock."""
+    """A complete command that a cache server received. Times are whole microseconds of the rig's clock."""
 
     at: int
     node: str
@@ -20,13 +21,13 @@
     ident: bytes
     request_class: str
     write: bool
-    cold: bool  # the node had started less than its warm-up ago
-    busy: bool = False  # turned away: it never ran
+    cold: bool  # received within the server's warm-up time after its start
+    busy: bool = False  # rejected, and therefore not executed
 
 
 @dataclass(slots=True)
 class Effect:
-    """A write that was carried out."""
+    """A write that the origin executed, or dropped as a repeat."""
 
     at: int
     node: str
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class StateUpdate:
-    """Discovery wrote to that proxy's watch what state a node is in."""
+    """The state of a cache server, as discovery wrote it to the watch of a proxy."""
 
     at: int
     proxy: str
@@ -48,10 +49,12 @@
 
 @dataclass
 class Ledger:
+    """Everything that the stand-ins of one run recorded."""
+
     commands: list[ReceivedCommand] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
-    dropped_repeats: list[Effect] = field(default_factory=list)  # repeats that were recognized by their mark
+    dropped_repeats: list[Effect] = field(default_factory=list)  # recognized by their idempotency key
     state_updates: list[StateUpdate] = field(default_factory=list)
-    discovery_requests: dict[str, int] = field(default_factory=dict)  # at discovery, by proxy
-    watch_updates: dict[str, int] = field(default_factory=dict)
-    origin_requests: int = 0  # at the origin
+    discovery_requests: dict[str, int] = field(default_factory=dict)  # number by proxy
+    watch_updates: dict[str, int] = field(default_factory=dict)  # number of lines with a list, by proxy
+    origin_requests: int = 0  # that the origin started
