--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -36,7 +36,8 @@
     lines.append(
         f"attempts {len(ledger.commands)}, effects {len(ledger.effects)}, "
         f"repeats recognized {len(ledger.dropped_repeats)}, at the origin {ledger.origin_requests}; "
-        f"discovery: {sum(ledger.discovery_requests.values())} calls, {sum(ledger.watch_updates.values())} lines"
+        f"discovery: {sum(ledger.discovery_requests.values())} calls, "
+        f"{sum(ledger.watch_updates.values())} lines"
     )
     cpu = sum(one.cpu for one in record.processes) / max(1, len(record.processes))
     rss = max((one.most_rss for one in record.processes), default=0) / 2**20
--- a/ivystack/standin/__init__.py
+++ b/ivystack/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback for what a proxy talks to: cache nodes, their origin, discovery."""
+"""Stand-ins on loopback for the servers that a proxy uses: cache servers, their origin, and discovery."""
--- a/ivystack/standin/apart.py
+++ b/ivystack/standin/apart.py
@@ -1,6 +1,7 @@
-"""The stand-ins for programs that run no reactor, as tests are: one runs on a thread of its own.
+"""The stand-ins for programs without a running reactor, such as tests.
 
-Owns that thread and the plain calls into it.  It must never be used where a reactor already runs.
+The reactor runs in a thread, and this module makes blocking calls into it. A program that already runs a
+reactor must not use this module.
 """
 
 from __future__ import annotations
@@ -13,99 +14,115 @@
 from twisted.internet.threads import blockingCallFromThread
 
 from ..net.resp import encode_command
-from . import discovery as lists
-from . import node as caches
+from . import discovery as discovery_standin
+from . import node as cache_standin
 from .ledger import SERVING, Ledger
 
-running: list[threading.Thread] = []
+reactor_threads: list[threading.Thread] = []  # holds at most one thread
 
 
-def in_reactor(call, *values, **named):
-    """Calls it on the reactor's thread, which is started with the first call, and gives its result."""
+def in_reactor(call, *arguments, **keywords):
+    """Make the call in the reactor thread, which the first call starts, and return its result."""
     from twisted.internet import reactor
 
-    if not running:
+    if not reactor_threads:
         run = reactor.run  # type: ignore[misc]  # Twisted's interface declares methods without self
-        running.append(threading.Thread(target=run, args=(False,), daemon=True))
-        running[0].start()
-    return blockingCallFromThread(reactor, call, *values, **named)
+        reactor_threads.append(threading.Thread(target=run, args=(False,), daemon=True))
+        reactor_threads[0].start()
+    return blockingCallFromThread(reactor, call, *arguments, **keywords)
 
 
 def now() -> int:
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Node:
-    """A cache node that answers each command after so many seconds; keeps the ids in their order."""
+    """A cache server that answers each command after `service_time` seconds.
 
-    def __init__(self, wait: float = 0.0, value: bytes | None = None):
+    `ids` are the ids of the commands in the order in which they arrived. `value` answers every read.
+    """
+
+    def __init__(self, service_time: float = 0.0, value: bytes | None = None):
         from twisted.internet import reactor
 
-        self.real = caches.Node(
-            "", reactor, now, Random(1), Ledger(), service_time=wait, steady=True, cores=10_000, value=value
+        self.standin = cache_standin.Node(
+            "",
+            reactor,
+            now,
+            Random(1),
+            Ledger(),
+            service_time=service_time,
+            steady=True,
+            cores=10_000,
+            value=value,
         )
-        in_reactor(self.real.listen)
-        self.ids = self.real.ids
-        self.address = "{}:{}".format(*self.real.address)  # type: ignore[misc]  # set by listen()
+        in_reactor(self.standin.listen)
+        self.ids = self.standin.ids
+        self.address = "{}:{}".format(*self.standin.address)  # type: ignore[misc]  # set by listen()
 
 
 class Discovery:
-    """Keeps watches open and tells the same list to each."""
+    """A discovery server whose list of these cache servers does not change."""
 
     def __init__(self, *nodes: Node):
         from twisted.internet import reactor
 
-        self.real = lists.Discovery(reactor, now, Ledger())
+        self.standin = discovery_standin.Discovery(reactor, now, Ledger())
         for number, node in enumerate(nodes):
-            node.real.name = f"n{number}"
-        in_reactor(self.real.change, SERVING, *(node.real for node in nodes))
-        self.known = self.real.listing("", 0)
-        in_reactor(self.real.listen)
-        self.address = "{}:{}".format(*self.real.address)  # type: ignore[misc]  # set by listen()
+            node.standin.name = f"n{number}"
+        in_reactor(self.standin.change, SERVING, *(node.standin for node in nodes))
+        self.known = self.standin.listing("", 0)
+        in_reactor(self.standin.listen)
+        self.address = "{}:{}".format(*self.standin.address)  # type: ignore[misc]  # set by listen()
 
 
 class Client(threading.Thread):
-    """Asks without a pause over one connection, anew when that ends; keeps each answer, and what was lost: a
-    command on a new connection that ended without an answer; on a kept one it may cross the end, and goes out
-    again once."""
+    """A client thread that sends one command after another over one connection until `running` is False.
+
+    When the connection ends, the client opens a new one. `answers` maps the id of each command to its answer.
+    A command on a reused connection may cross with the close of that connection, and is sent once more;
+    `resent` counts these. `lost` holds the ids of commands that remained without an answer.
+    """
 
     def __init__(self, address, name, fields=b"c=read,d=900"):
         super().__init__(daemon=True)
         self.address, self.name_, self.fields = address, name, fields
-        self.answers, self.lost, self.crossed, self.on = {}, [], 0, True
+        self.answers, self.lost, self.resent, self.running = {}, [], 0, True
         self.start()
 
     def run(self) -> None:
-        number, one = 0, None
-        while self.on:
+        number, connection = 0, None
+        while self.running:
             number += 1
             ident = b"%b%d" % (self.name_, number)
-            for kept in (True, False):
-                fresh = one is None
-                if fresh:
-                    one = socket.create_connection(self.address, timeout=10)
-                answer = self.ask(one, ident)
+            for may_resend in (True, False):
+                is_new = connection is None
+                if is_new:
+                    connection = socket.create_connection(self.address, timeout=10)
+                answer = self.send_command(connection, ident)
                 if answer:
                     self.answers[ident] = answer
                     break
-                one.close()
-                one = None
-                self.crossed += not fresh
-                if fresh or not kept:
+                connection.close()
+                connection = None
+                self.resent += not is_new
+                if is_new or not may_resend:
                     self.lost.append(ident)
                     break
-        if one:
-            one.close()
+        if connection:
+            connection.close()
 
-    def ask(self, one, ident: bytes) -> bytes:
-        text = b""
+    def send_command(self, connection, ident: bytes) -> bytes:
+        """Send a command and return its answer, or nothing if the connection ended before."""
+        response = b""
         try:
-            one.sendall(encode_command(b"OBJ.GET", b"7f", ident, self.fields))
-            while not text.endswith(b"\r\n") or (text[:1] == b"$" and text.count(b"\r\n") < 2):
-                more = one.recv(65_536)
-                if not more:
+            connection.sendall(encode_command(b"OBJ.GET", b"7f", ident, self.fields))
+            while not response.endswith(b"\r\n") or (response[:1] == b"$" and response.count(b"\r\n") < 2):
+                data = connection.recv(65_536)
+                if not data:
                     return b""
-                text += more
+                response += data
         except OSError:
             return b""
-        return text
+        return response
--- a/ivystack/standin/discovery.py
+++ b/ivystack/standin/discovery.py
@@ -1,7 +1,7 @@
-"""A stand-in for discovery: the list of cache nodes and watches on it over HTTP, on Twisted's web server.
+"""A stand-in for discovery: the endpoint list and watches on it over HTTP, on Twisted's web server.
 
-Owns the list's versions and who was told what.  It must never tell a caller a version twice on one watch, or
-count as told what it did not write.
+This module holds the versions of the list and records which state was written to whom. A watch receives each
+version at most once, and the ledger holds only what was written.
 """
 
 from __future__ import annotations
@@ -14,10 +14,12 @@
 
 from .ledger import DELETED, Ledger, StateUpdate
 
-EMPTY = 2.0  # seconds between the empty lines of a watch on which nothing changes
+HEARTBEAT_S = 2.0  # seconds between the empty lines on each watch
 
 
-class Endpoints(Resource):
+class EndpointResource(Resource):
+    """The HTTP resource of the endpoint list and its watches."""
+
     isLeaf = True  # noqa: N815
 
     def __init__(self, discovery: Discovery):
@@ -25,10 +27,12 @@
         self.discovery = discovery
 
     def render_GET(self, request):  # noqa: N802
-        return self.discovery.asked(request)
+        return self.discovery.handle_request(request)
+
 
+class QuietSite(Site):
+    """An HTTP site without an access log."""
 
-class Quiet(Site):
     noisy = False
 
     def log(self, request) -> None:
@@ -36,50 +40,62 @@
 
 
 class Discovery:
-    """`place(caller, node)` is where that caller reaches the node, "host:port"; `names` tells who calls."""
+    """The discovery server of a run.
+
+    `now` returns the time in microseconds. `address_for(caller, node)` returns the address, "host:port", at
+    which that caller reaches the cache server; by default the address on which the server listens. `names`
+    maps an address to the name of the proxy that calls from it.
+    """
 
     def __init__(self, reactor, now, ledger: Ledger, *, address_for=None, names=None):
         self.reactor, self.now, self.ledger = reactor, now, ledger
         self.address_for = address_for or (lambda caller, node: "{}:{}".format(*node.address))
         self.names = names or {}
-        self.nodes: dict[str, tuple] = {}  # name to (node, state)
+        self.nodes: dict[str, tuple] = {}  # name to (cache server, state)
         self.generation = 0
-        self.changes: dict[str, int] = {}  # the version at which each changed last
-        self.gone: dict[str, tuple] = {}
-        self.watches: dict = {}  # request to [caller, version told]
-        self.refuses = self.silent = False  # callers get 503; nothing is told to anybody
-        self.port: Any = None  # a listening port: the reactor is untyped here
+        self.changes: dict[str, int] = {}  # generation of each server's last change
+        self.deleted_nodes: dict[str, tuple] = {}
+        self.watches: dict = {}  # request to [caller, last generation written]
+        self.refuses = self.silent = False  # injected faults: answer 503; write nothing to watches
+        self.port: Any = None  # the listening port; the reactor is untyped here
         self.address: tuple[str, int] | None = None
 
     def listen(self, host="127.0.0.1") -> None:
-        at = self.address or (host, 0)
-        self.port = self.reactor.listenTCP(at[1], Quiet(Endpoints(self)), backlog=512, interface=at[0])
+        """Listen on the previous address, or on a free port of `host` the first time."""
+        host_and_port = self.address or (host, 0)
+        self.port = self.reactor.listenTCP(
+            host_and_port[1], QuietSite(EndpointResource(self)), backlog=512, interface=host_and_port[0]
+        )
         self.address = (self.port.getHost().host, self.port.getHost().port)
-        self.reactor.callLater(EMPTY, self.beat)
+        self.reactor.callLater(HEARTBEAT_S, self.send_heartbeats)
 
     def change(self, state: str, *nodes) -> None:
-        """The list changes, in one version: the nodes are in that state now."""
+        """Change these cache servers to the state in one new generation of the list."""
         self.generation += 1
         for node in nodes:
             self.changes[node.name] = self.generation
-            into, out = (self.gone, self.nodes) if state == DELETED else (self.nodes, self.gone)
-            out.pop(node.name, None)
-            into[node.name] = node, state
+            destination, source = (
+                (self.deleted_nodes, self.nodes) if state == DELETED else (self.nodes, self.deleted_nodes)
+            )
+            source.pop(node.name, None)
+            destination[node.name] = node, state
         self.notify_watches()
 
     def entry(self, caller: str, node, state: str) -> dict:
+        """Return the entry of a cache server in the list that this caller receives."""
         return {
             "instanceId": node.name, "hostPort": self.address_for(caller, node), "zone": node.zone,
             "lifecycle": state, "weight": 1.0, "startedAtMs": node.started // 1000,
         }  # fmt: skip
 
     def listing(self, caller: str, since: int) -> dict:
-        """What changed after that version; all of it for 0."""
-        known = {**self.nodes, **(self.gone if since else {})}
-        found = [self.entry(caller, *known[name]) for name in known if self.changes[name] > since]
-        return {"generation": self.generation, "reset": not since, "instances": found}
+        """Return the entries that changed after generation `since`, or the complete list for 0."""
+        known = {**self.nodes, **(self.deleted_nodes if since else {})}
+        entries = [self.entry(caller, *known[name]) for name in known if self.changes[name] > since]
+        return {"generation": self.generation, "reset": not since, "instances": entries}
 
-    def asked(self, request):
+    def handle_request(self, request):
+        """Answer with the complete list, or open a watch if the query has `stream=1`."""
         host = request.getClientAddress().host
         caller = self.names.get(host, host)
         self.ledger.discovery_requests[caller] = self.ledger.discovery_requests.get(caller, 0) + 1
@@ -91,14 +107,16 @@
             return orjson.dumps(self.listing(caller, 0))
         self.watches[request] = [caller, int(request.args.get(b"index", [b"0"])[0])]
         request.notifyFinish().addBoth(lambda _: self.watches.pop(request, None))
-        self.tell_one(request, True)
+        self.notify_watch(request, True)
         return NOT_DONE_YET
 
     def notify_watches(self) -> None:
+        """Write the changes to each watch that has not received them."""
         for request in [*self.watches]:
-            self.tell_one(request)
+            self.notify_watch(request)
 
-    def tell_one(self, request, first: bool = False) -> None:
+    def notify_watch(self, request, first: bool = False) -> None:
+        """Write the changes to a watch and record them; the first line is written even without changes."""
         caller, since = self.watches[request]
         if self.silent or not (first or since < self.generation):
             return
@@ -108,18 +126,21 @@
         self.watches[request][1] = self.generation
         now = self.now()
         self.ledger.state_updates += [
-            StateUpdate(now, caller, e["instanceId"], e["lifecycle"]) for e in listing["instances"]
+            StateUpdate(now, caller, entry["instanceId"], entry["lifecycle"])
+            for entry in listing["instances"]
         ]
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
+        """Write an empty line to each watch, and schedule the next call."""
         if self.port is None:
             return
         for request in [*self.watches]:
             if not self.silent:
                 request.write(b"\n")
-        self.reactor.callLater(EMPTY, self.beat)
+        self.reactor.callLater(HEARTBEAT_S, self.send_heartbeats)
 
     def stop(self) -> None:
+        """Stop listening and sending heartbeats."""
         port, self.port = self.port, None
         if port is not None:
             port.stopListening()
--- a/ivystack/standin/node.py
+++ b/ivystack/standin/node.py
@@ -99,10 +99,10 @@
 
     A command occupies one of `cores` for `service_time` seconds, which is the mean of an exponential
     distribution, or the exact time if `steady`. Up to `queue_limit` further commands wait for a core. The
-    cache holds `memory` keys. The server counts as cold for `warm_up` microseconds after a start. `names` maps an
-    address to the name of the proxy that connects from it. `value` answers every read; by default a read is
-    answered with its own id, so that a client can check whose answer it received. `now` returns the time in
-    microseconds.
+    cache holds `memory` keys. The server counts as cold for `warm_up` microseconds after a start. `names`
+    maps an address to the name of the proxy that connects from it. `value` answers every read; by default a
+    read is answered with its own id, so that a client can check whose answer it received. `now` returns the
+    time in microseconds.
     """
 
     def __init__(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,7 +33,7 @@
             time.sleep(0.2)
     finally:
         for client in clients:
-            client.on = False
+            client.running = False
         for client in clients:
             client.join()
     answers = {ident: answer for client in clients for ident, answer in client.answers.items()}
@@ -51,9 +51,9 @@
     assert wait_for_exit(launcher.start(settings=5))[0] == 2
     client = Client(launcher.address, b"x")
     time.sleep(0.2)
-    client.on = False
+    client.running = False
     client.join()
-    assert client.answers and not client.lost and not client.crossed
+    assert client.answers and not client.lost and not client.resent
 
 
 def test_an_inherited_descriptor_that_does_not_listen_ends_the_process_with_one_line(tmp_path):
@@ -113,7 +113,7 @@
     time.sleep(0.2)
     old.kill()  # SIGKILL during the hot restart
     time.sleep(0.3)
-    client.on = False
+    client.running = False
     client.join()
     assert not [ident for ident in client.lost if client.answers.get(ident)] and len(client.lost) <= 1
     assert len(client.answers) > 10
