--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,10 +1,10 @@
-"""Entries a second that three real proxies agree on, and how long one takes, beside what the disk permits.
+"""Throughput and latency of log entries in a consensus group of three proxies, compared with the disk.
 
     .venv-ci/bin/python benchmarks/agreement.py [--seconds 5]
 
-Three processes on loopback, their directories on the disk of the temporary folder, commands by one client in
-this process, every message through a relay. Printed beside it: entries a second that the same disk takes in
-synced transactions of as many as the members put into one on average.
+The group consists of three processes on loopback that store their logs in the temporary folder. One client in
+this process issues the commands, and every message passes through a relay. For comparison, the benchmark
+prints the entries per second that the same disk accepts in synced transactions of the same average size.
 """
 
 from __future__ import annotations
@@ -26,91 +26,101 @@
 from ivystack.rig.play import Rig
 from ivystack.rig.scenario import checked
 
-PAYLOAD = 100  # bytes
+PAYLOAD_BYTES = 100
 
 
-def disk(folder: Path, each: int, seconds: float) -> float:
-    """Entries a second that the store writes, so many to a sync."""
-    store = Storage(folder, lambda call, *values: None, print)
-    store.open()
-    base = connect(folder / DATABASE_FILE)
-    store.write_batch(base, WriteBatch(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
-    at, end = 2, time.monotonic() + seconds
-    began = time.monotonic()
+def measure_disk(folder: Path, batch_size: int, seconds: float) -> float:
+    """Return the entries per second that the storage writes with `batch_size` entries per sync."""
+    storage = Storage(folder, lambda call, *arguments: None, print)
+    storage.open()
+    database = connect(folder / DATABASE_FILE)
+    storage.write_batch(database, WriteBatch(0, 1, "", 2, [], Snapshot(1, 1, Configuration(("a",))), 1))
+    index, end = 2, time.monotonic() + seconds
+    started = time.monotonic()
     while time.monotonic() < end:
-        entries = [Entry(1, EntryKind.DATA, bytes(PAYLOAD))] * each
-        base.execute("BEGIN IMMEDIATE")
-        store.write_batch(base, WriteBatch(0, 1, "", at, entries, None, 1))
-        base.execute("COMMIT")
-        at += each
-    spent = time.monotonic() - began
-    base.close()
-    store.close()
-    return (at - 2) / spent
-
-
-async def measure(folder: Path, seconds: float, flying: int) -> tuple[list[float], float, dict]:
-    scene = checked({"version": 1, "seconds": 1, "fleet": {"proxies": 3, "group": 3}}, "bench")
-    rig = Rig(scene, folder, reactor)
-    times: list[float] = []
+        entries = [Entry(1, EntryKind.DATA, bytes(PAYLOAD_BYTES))] * batch_size
+        database.execute("BEGIN IMMEDIATE")
+        storage.write_batch(database, WriteBatch(0, 1, "", index, entries, None, 1))
+        database.execute("COMMIT")
+        index += batch_size
+    elapsed = time.monotonic() - started
+    database.close()
+    storage.close()
+    return (index - 2) / elapsed
+
+
+async def measure_group(folder: Path, seconds: float, concurrency: int) -> tuple[list[float], float, dict]:
+    """Measure a consensus group with this number of concurrent commands.
+
+    Return the latencies in seconds, the elapsed seconds, and the leader's state of the group.
+    """
+    scenario = checked({"version": 1, "seconds": 1, "fleet": {"proxies": 3, "group": 3}}, "bench")
+    rig = Rig(scenario, folder, reactor)
+    latencies: list[float] = []
     try:
         await rig.begin()
         await rig.agree()
         client, end, done = rig.agreeing.client, time.monotonic() + seconds, defer.Deferred()
-        out = 0
-
-        def ask() -> None:
-            nonlocal out
-            out += 1
-            began = time.monotonic()
-
-            def answered(good, what) -> None:
-                nonlocal out
-                out -= 1
-                if good:
-                    times.append(time.monotonic() - began)
+        in_flight = 0
+
+        def issue_command() -> None:
+            nonlocal in_flight
+            in_flight += 1
+            started = time.monotonic()
+
+            def command_finished(succeeded, result) -> None:
+                nonlocal in_flight
+                in_flight -= 1
+                if succeeded:
+                    latencies.append(time.monotonic() - started)
                 if time.monotonic() < end:
-                    ask()
-                elif not out and not done.called:
+                    issue_command()
+                elif not in_flight and not done.called:
                     done.callback(None)
 
-            number = len(times) % 200
-            client.execute("table", "set", [f"k{number}", bytes(PAYLOAD), None], answered, 3_000_000)
+            number = len(latencies) % 200
+            client.execute(
+                "table", "set", [f"k{number}", bytes(PAYLOAD_BYTES), None], command_finished, 3_000_000
+            )
 
-        began = time.monotonic()
-        for _ in range(flying):
-            ask()
+        started = time.monotonic()
+        for _ in range(concurrency):
+            issue_command()
         await done
-        spent = time.monotonic() - began
+        elapsed = time.monotonic() - started
         states = [(await rig.fleet_of(name))["group"] for name in rig.processes]
-        leader = next(one for one in states if one["role"] == "leader")
-        return times, spent, leader
+        leader = next(state for state in states if state["role"] == "leader")
+        return latencies, elapsed, leader
     finally:
         rig.clear()
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    words.add_argument("--seconds", type=float, default=5)
-    seconds = words.parse_args().seconds
+    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
+    parser.add_argument("--seconds", type=float, default=5)
+    seconds = parser.parse_args().seconds
     logger.remove()
-    print(f"sqlite {sqlite3.sqlite_version}, {PAYLOAD} bytes an entry")
+    print(f"sqlite {sqlite3.sqlite_version}, {PAYLOAD_BYTES} bytes per entry")
 
     async def run() -> None:
-        import ivystack.consensus.client as clients
+        import ivystack.consensus.client as consensus_client
 
         try:
-            for flying in (1, 4, 64):
-                clients.COMMAND_WINDOW, clients.MAX_PENDING = max(4, flying), max(64, flying)
+            for concurrency in (1, 4, 64):
+                consensus_client.COMMAND_WINDOW, consensus_client.MAX_PENDING = (
+                    max(4, concurrency),
+                    max(64, concurrency),
+                )
                 with tempfile.TemporaryDirectory() as folder:
-                    times, spent, leader = await measure(Path(folder), seconds, flying)
-                each = max(1, round(len(times) / max(1, leader["syncs"])))
+                    latencies, elapsed, leader = await measure_group(Path(folder), seconds, concurrency)
+                batch_size = max(1, round(len(latencies) / max(1, leader["syncs"])))
                 with tempfile.TemporaryDirectory() as folder:
-                    alone = disk(Path(folder) / "one", each, 1.0)
+                    disk_rate = measure_disk(Path(folder) / "one", batch_size, 1.0)
                 print(
-                    f"{flying:3d} at once: {len(times) / spent:7.0f} entries a second, median "
-                    f"{1000 * statistics.median(times):.2f} ms; {each} to a sync, of which the disk alone "
-                    f"does {alone:.0f} a second ({1000 * each / alone:.2f} ms a sync)"
+                    f"{concurrency:3d} concurrent: {len(latencies) / elapsed:7.0f} entries per second, median "
+                    f"{1000 * statistics.median(latencies):.2f} ms; {batch_size} entries per sync, at which "
+                    f"the disk alone writes {disk_rate:.0f} entries per second "
+                    f"({1000 * batch_size / disk_rate:.2f} ms per sync)"
                 )
         finally:
             reactor.stop()  # type: ignore[misc]  # zope interfaces declare methods without self
