--- a/ivystack/load/clients.py
+++ b/ivystack/load/clients.py
@@ -121,7 +121,7 @@
 
     MAX_ATTEMPTS, MAX_REROUTES = 4, 3
     RETRY_WINDOW_US = 2_500_000  # no retry later than this after the request was due
-    RETRY_DELAY_US = 50_000  # before the retry of a failed request, plus up to as much of jitter
+    RETRY_DELAY_US = 50_000  # before the retry of a failed request; jitter adds up to the same time
     HISTOGRAM_MAX_US = 60_000_000
 
     def __init__(
@@ -307,8 +307,9 @@
     ) -> None:
         """Record the outcome of an attempt, and schedule a retry if the request may have one.
 
-        A rejected request goes to the same proxy after the delay that the answer asks for, any other one to a
-        random proxy after the default delay. Up to the same time again is added as jitter.
+        A rejected request is sent to the same proxy again, after the delay in milliseconds that the answer
+        may state. Any other request is sent to a random proxy after the default delay. Jitter adds up to the
+        same time to either delay.
         """
         now = self.now()
         request.outcome, request.ended = outcome, now
