--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -38,7 +38,8 @@
     lines.append(
         f"attempts {len(ledger.commands)}, effects {len(ledger.effects)}, "
         f"dropped repeats {len(ledger.dropped_repeats)}, fetches from the origin {ledger.origin_requests}; "
-        f"discovery: {sum(ledger.discovery_requests.values())} calls, {sum(ledger.watch_updates.values())} lines"
+        f"discovery: {sum(ledger.discovery_requests.values())} calls, "
+        f"{sum(ledger.watch_updates.values())} lines"
     )
     cpu = sum(process.cpu_seconds for process in record.processes) / max(1, len(record.processes))
     rss = max((process.max_rss for process in record.processes), default=0) / 2**20
--- a/ivystack/rig/faults.py
+++ b/ivystack/rig/faults.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from ..standin.ledger import DRAINING, GONE, SERVING
+from ..standin.ledger import DRAINING, DELETED, SERVING
 from ..standin.node import Node
 from .check import Exemption
 from .processes import Process
@@ -247,8 +247,8 @@
             server.unresponsive = True
             undo.append((setattr, server, "unresponsive", False))
         elif fault.kind == "node-slow":
-            server.factor = fault.factor
-            undo.append((setattr, server, "factor", 1.0))
+            server.slowdown = fault.factor
+            undo.append((setattr, server, "slowdown", 1.0))
         elif fault.kind == "node-fail":
             server.failure_rate = fault.part
             undo.append((setattr, server, "failure_rate", 0.0))
@@ -256,8 +256,8 @@
             server.corruption = fault.how
             undo.append((setattr, server, "corruption", ""))
         elif fault.kind == "origin-slow":
-            self.rig.origin.factor = fault.factor
-            undo.append((setattr, self.rig.origin, "factor", 1.0))
+            self.rig.origin.slowdown = fault.factor
+            undo.append((setattr, self.rig.origin, "slowdown", 1.0))
         else:
             self.rig.discovery.change(DRAINING, server)
             self.rig.reactor.callLater(2.0, self.remove_drained, server)
@@ -273,7 +273,7 @@
 
     def remove_drained(self, server: Node) -> None:
         if not self.rig.finished and self.rig.discovery.nodes.get(server.name, (None, ""))[1] == DRAINING:
-            self.rig.discovery.change(GONE, server)
+            self.rig.discovery.change(DELETED, server)
 
     def list_again(self, server: Node) -> None:
         if not self.rig.finished:
@@ -287,7 +287,7 @@
 
         def end() -> None:
             setattr(self.rig.discovery, attribute, False)
-            self.rig.discovery.tell()
+            self.rig.discovery.notify_watches()
 
         undo.append((end,))
         self.record_fault("discovery", fault.kind, undo)
--- a/ivystack/rig/play.py
+++ b/ivystack/rig/play.py
@@ -168,7 +168,7 @@
             server = self.servers[name] = Node(
                 name, self.reactor, self.now, Random(self.rng.getrandbits(64)), self.ledger, self.origin,
                 zone=f"z{number % fleet.zones}", cores=fleet.cores, service_time=fleet.service,
-                warm=int(fleet.warm * US), memory=fleet.memory, names=hub.process_names,
+                warm_up=int(fleet.warm * US), memory=fleet.memory, names=hub.process_names,
             )  # fmt: skip
             server.listen(hub.assign_host(name, 2, number))
         self.discovery = Discovery(
