--- a/ivystack/balancing/gossip_codec.py
+++ b/ivystack/balancing/gossip_codec.py
@@ -17,7 +17,7 @@
 ORDER_REQUEST_BYTES = 3  # "?" and the number of the requesting process
 ORDER_HEAD_BYTES = 9  # "=", digest of the whole order, number of its slots, first slot of the part
 SLOTS_IN_PART = 80  # keeps datagrams within 256 bytes
-MAX_PARTIAL_ORDERS = 16  # orders assembled at a time; bounds the memory that senders can fill
+MAX_PARTIAL_ORDERS = 16  # at this number, further parts are ignored; bounds the memory senders can fill
 
 
 class GossipedOutcome(enum.IntEnum):
@@ -25,7 +25,7 @@
 
     FAILED = 0
     ON_TIME = 1
-    SLOW_HIT = 2  # answered, but so late for a cache hit that it must have queued
+    SLOW_HIT = 2  # a cache hit answered so late that the request must have queued
 
 
 def server_hash(server: Server) -> bytes:
@@ -41,7 +41,7 @@
 
 
 def decode_outcomes(datagram: bytes) -> list[tuple[bytes, GossipedOutcome]]:
-    """Return the server hashes and outcomes of a datagram; an unknown outcome counts as a failed one.
+    """Return the server hashes and outcomes of a datagram; an unknown outcome counts as FAILED.
 
     >>> decode_outcomes(b"abc" + bytes([1]) + b"de")
     [(b'abc', <GossipedOutcome.ON_TIME: 1>)]
@@ -67,7 +67,7 @@
 
 
 def encode_slot_order(slots: list[Server]) -> list[bytes]:
-    """Return the datagrams with the slot order; none of them has a length that outcomes can have."""
+    """Return the datagrams with the slot order, padded so that none is taken for recent outcomes."""
     hashes = b"".join(map(server_hash, slots))
     head = b"=%b%b" % (blake2b(hashes, digest_size=4).digest(), len(slots).to_bytes(2, "big"))
     parts = []
--- a/ivystack/balancing/placement.py
+++ b/ivystack/balancing/placement.py
@@ -18,11 +18,11 @@
 from .gossip_codec import server_hash
 
 REPLICAS = 2  # per key; each additional replica leaves servers less memory for other keys
-MAX_LOCATIONS = 3  # replicas and spares of a key that has few replicas
+MAX_LOCATIONS = 3  # replicas plus spare; a key with this many replicas or more has no spare
 CACHED_LOCATIONS = 4_000  # cached server lists, one per key and k; about 1 MB
 CRASHED_SLOT_US = 40_000_000  # slot reservation after a crash, longer than most outages
-# Fractions of a digit, for servers of widely different sizes: with whole digits, the slot of a far smaller
-# server would hold either a whole replica's share of the keys or none.
+# Parts into which each digit is divided if servers have widely different sizes.  With whole digits, the slot
+# of a far smaller server would hold either a whole replica's share of the keys or none.
 DIGIT_PARTS = 64
 # Digits taken from one hash block of 512 bits.  With fewer than 4096 slots, 32 digits use under 400 bits, and
 # 16 digits in 64 parts use under 300 bits, so each digit is uniform to within 2^-100.
@@ -35,7 +35,7 @@
 
     :param count: the number of digits; a shorter expansion is padded with zeros, which count as digits.
     :param first_radix: the radix of the first digit; each further digit has the next higher radix.
-    :param parts: each digit of radix r is returned as a whole number of `parts` parts, in 0..r*parts-1.
+    :param parts: digits are returned in units of 1 / `parts`; a digit of radix r is in 0..r*parts-1.
     """
     digits = []
     for radix in range(first_radix, first_radix + count):
@@ -86,10 +86,11 @@
     """The slots, and each key's replicas among them."""
 
     def __init__(self, weighted: bool, live_weights: bool = False) -> None:
-        """:param weighted: keys are spread in proportion to the servers' weights, else evenly.
+        """Create a placement without slots.
 
-        :param live_weights: the listed weights fall with load, so only sizes derived from them are used;
-            implies `weighted`.
+        :param weighted: whether keys are spread in proportion to the servers' weights, or evenly.
+        :param live_weights: whether the listed weights fall with load, so that only the sizes derived from
+            them are used; implies `weighted`.
         """
         self.weighted, self.live_weights = weighted or live_weights, live_weights
         self.parts = DIGIT_PARTS if live_weights else 1
@@ -134,7 +135,7 @@
     def adopt_order(self, hashes: list[bytes], servers: list[Server], now: int) -> None:
         """Replace the slot order by that of another process.
 
-        A hash of no listed server gets a placeholder, which reserves the slot as after a crash.
+        If no listed server has a slot's hash, a placeholder reserves the slot as after a crash.
 
         :param hashes: the servers' hashes in slot order.
         """
@@ -163,12 +164,12 @@
     def replicas(self, key: int, k: int) -> list[Server]:
         """Return the key's k replicas in order, or fewer if there are fewer slots.
 
-        With a greater k, replicas stay where they are, except those on the first k slots.
+        If k grows, replicas stay where they are, except those on the first k slots.
         """
         return self.replicas_and_spares(key, k)[:k]
 
     def spares(self, key: int, k: int) -> list[Server]:
-        """Return the servers to use while none of the key's k replicas is available; none if k is large."""
+        """Return the servers to use while none of the key's k replicas is available; empty if k is large."""
         return self.replicas_and_spares(key, k)[k:]
 
     def replicas_and_spares(self, key: int, k: int) -> list[Server]:
--- a/ivystack/configuration/instance.py
+++ b/ivystack/configuration/instance.py
@@ -39,23 +39,24 @@
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
 
-DEFAULT_OVERLOAD_FACTOR = 4.0  # load that overloads a server in slow start, in multiples of its capacity
+DEFAULT_OVERLOAD_FACTOR = 4.0  # a server in slow start collapses at this multiple of its capacity
 
-# Pauses between polls where endpoint lists are pushed and a poll only replaces a lost watch.  They are short,
-# because the agent runs on the same machine.
+# Pauses between polls if endpoint lists are pushed, so that polls are only needed after a watch is lost.  The
+# pauses are short, because the agent runs on the same machine.
 PUSH_BASE_PAUSE_US = 100_000
 PUSH_MAX_PAUSE_US = 200_000
-# The longest pause, with its jitter of up to one half, must end well before a drain takes effect
-# (`rules.stop_sending_within`); it is at most that time divided by this number.
+# The longest pause is at most `rules.stop_sending_within` divided by this number.  Even when jitter lengthens
+# the pause by up to one half, the pause ends well before a drain takes effect.
 DRAIN_NOTICE_FRACTION = 4
 
-# Pauses where lists arrive only as answers to polls.  One service of fixed capacity answers all instances.
+# Pauses if lists arrive only as answers to polls.  They are longer, because one service of fixed capacity
+# answers the polls of all instances.
 POLL_BASE_PAUSE_US = 750_000
-POLL_MAX_PAUSE_FACTOR = 8  # longest pause in base pauses; the longest pause is at most `rules.ask_within`
+POLL_MAX_PAUSE_FACTOR = 8  # longest pause, as a multiple of the base pause; at most `rules.ask_within`
 
 
 class InstanceConfiguration:
-    """The balancer of one instance and the wire names of its request classes, tenants and machine kinds."""
+    """The balancer of one instance, and its request classes, tenants and machine kinds by wire name."""
 
     def __init__(self, seed: int, config: Any) -> None:
         """Build the balancer.
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -26,9 +26,9 @@
 from .records import Proposal, Ready, Role
 
 MAX_UNCOMMITTED_ENTRIES = 8192  # bounds the memory of a leader without a majority
-RETAINED_ENTRIES = 128  # before a snapshot, so that followers slightly behind need no snapshot
-TRANSFER_ELECTION_TIMEOUTS = 2  # after which a leadership transfer has failed
-QUORUM_ELECTION_TIMEOUTS = 2  # without replies of a majority, after which a leader steps down
+RETAINED_ENTRIES = 128  # log entries kept before a snapshot, for followers that are only slightly behind
+TRANSFER_ELECTION_TIMEOUTS = 2  # a leadership transfer fails after this many election timeouts
+QUORUM_ELECTION_TIMEOUTS = 2  # a leader without replies of a majority steps down after this many
 
 
 class Core(Election):
@@ -51,7 +51,7 @@
         if self.replica_id in self.configuration.voters:
             self.campaign(now, pre_vote=True)
         else:
-            # This replica may have been removed while it was down: no leader contacts it any more.
+            # This replica may have been removed while it was down, so that no leader contacts it any more.
             self.leader = ""
 
     def _heartbeat(self, now: int) -> None:
@@ -61,7 +61,9 @@
             follower for follower, progress in self.progress.items() if now - progress.last_reply_at < timeout
         }
         if not self.has_majority(reachable | {self.replica_id}):
-            return self.become_follower(now, "")  # 6.2: clients of a leader without a majority would wait
+            return self.become_follower(
+                now, ""
+            )  # thesis, 6.2: a leader without a majority would keep clients waiting
         if self.transfer_deadline and now > self.transfer_deadline:
             self.transfer_deadline = 0
         self.round += 1
@@ -97,7 +99,7 @@
         """Append an entry to the log as leader.
 
         :returns: the entry's index and term. None if this replica does not lead, is transferring leadership
-            or has withdrawn, or if too many entries are uncommitted.
+            or has withdrawn, or if the entry is data and too many entries are uncommitted.
         """
         if self.role != Role.LEADER or self.transfer_deadline or self.withdrawn:
             return None
@@ -109,10 +111,10 @@
         return Proposal(self.log.last_index, self.term)
 
     def may_change_membership(self) -> bool:
-        """Return whether a membership change may be proposed.
+        """Return whether this replica may propose a membership change.
 
-        The previous change must be committed, and so must an entry of the leader's own term. The second
-        condition is the correction that Ongaro published in 2015.
+        It must lead and not be transferring leadership. The previous change must be committed, and so must
+        an entry of the leader's own term; the latter is the correction that Ongaro published in 2015.
         """
         own_term_committed = self.log.term_at(self.commit_index) == self.term
         settled = self.log.configuration_index <= self.commit_index and own_term_committed
@@ -163,7 +165,7 @@
     def compact(self, index: int, data: bytes) -> None:
         """Store a snapshot and remove most of the log entries that it covers.
 
-        :param index: the last entry that was applied to the state.
+        :param index: index of the last entry that was applied to the state.
         :param data: the state machine's encoded state after that entry.
         """
         configuration = self.log.configuration_at(index)
--- a/ivystack/consensus/simulated_faults.py
+++ b/ivystack/consensus/simulated_faults.py
@@ -14,7 +14,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults and of the actions that end them."""
+    """Kinds of faults, of the actions that end them, and of membership and leadership changes."""
 
     CRASH = "crash"
     RESTART = "restart"
@@ -221,7 +221,7 @@
                 replica.start()
 
     def _lose_disk(self) -> None:
-        """Replace a disk by an empty one, unless the group is still recovering from an earlier loss.
+        """Replace a disk by an empty disk, unless the group is still recovering from an earlier loss.
 
         The protocol does not tolerate the loss of a majority of the disks.
         """
@@ -232,7 +232,10 @@
             replica.start()
 
     def _is_recovering(self) -> bool:
-        """Return whether the current incarnation of some wanted replica is not a voter yet."""
+        """Return whether the voters are not yet the current incarnations of the wanted replicas.
+
+        Without a leader that may change the membership, the group counts as recovering.
+        """
         newest = self.simulation.newest_leader()
         if newest is None or newest.core is None or not newest.core.may_change_membership():
             return True
--- a/ivystack/duties/lease_holder.py
+++ b/ivystack/duties/lease_holder.py
@@ -45,8 +45,9 @@
     cannot_serve_since: int | None = None
     backoff_until: int = 0
     available_since: int | None = None  # since when the lease has been free
-    answered_request_at: int | None = None  # send time of the last answered request: this process can receive
-    released_token: int = 0  # not held again, even if the group has not processed the release yet
+    # Send time of the last request whose answer arrived; proves to the group that this process can receive.
+    answered_request_at: int | None = None
+    released_token: int = 0  # never used again, even if the group has not processed the release yet
     released_at: int = 0  # when the release was last sent
 
 
@@ -82,7 +83,7 @@
     def held_token(self, duty: str, now: int) -> int:
         """Return the token of the lease, or 0 if it is not held; drop the lease if it has expired.
 
-        Callers must check this right before each action under the duty.
+        Callers must call this method right before each action under the duty.
         """
         lease = self.leases[duty]
         if lease.token and now >= lease.expires_at:
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -40,7 +40,7 @@
 ) -> listener.ClientListener:
     """Accept clients on the listening socket inherited as `descriptor`, and return the port.
 
-    The messages of both errors are one line, for the log.
+    The message of each error is a single line, for the log.
 
     :raises OSError: if `descriptor` is not open or not a socket.
     :raises ValueError: if the socket is not a TCP socket or does not listen.
@@ -133,7 +133,7 @@
 
 
 class StateClientFactory(ClientFactory):
-    """Connects to a socket, which an old process serves or has left behind."""
+    """Connects to a socket that an old process serves or has left behind."""
 
     noisy = False
 
@@ -150,9 +150,10 @@
 
 
 class HotRestart:
-    """Requests the state of an old process, serves it to the next one, and detects whether another runs."""
+    """Requests an old process's state, serves the state to the next process, and detects other processes."""
 
-    STATE_TIMEOUT = 500_000  # microseconds, as the old process may hang; the new one must be ready within 6 s
+    # Microseconds.  The old process may hang, and the new process must be ready within 6 s.
+    STATE_TIMEOUT = 500_000
     MAX_CONNECTIONS = 4  # to other processes; also limits the sockets of old processes that are tried
 
     def __init__(
@@ -168,7 +169,8 @@
         """Use sockets in `folder`, named after the address on which clients are accepted.
 
         :param folder: None disables both requesting and serving the state.
-        :param on_other_process: called with whether another process runs, each time this changes.
+        :param on_other_process: called with True when another process is detected, with False when none is
+            left.
         """
         self.reactor, self.deadlines, self.now = reactor, deadlines, now
         self.export_state, self.on_other_process = export_state, on_other_process
@@ -181,7 +183,10 @@
         self.timeout: Deadline | None = None
 
     def request_state(self, on_state: StateCallback) -> None:
-        """Request an old process's state; call `on_state` once with it, or None after `STATE_TIMEOUT`."""
+        """Request an old process's state, and call `on_state` once with the state.
+
+        The argument is None if no process sends a usable state, or none within `STATE_TIMEOUT`.
+        """
         self.on_state = on_state
         try:
             found = [*self.folder.glob(self.socket_prefix + "-*.sock")] if self.folder else []
--- a/ivystack/net/streams.py
+++ b/ivystack/net/streams.py
@@ -1,7 +1,7 @@
 """Streams of values too long to be buffered, between a client's and a server's connection.
 
 A stream buffers a few pieces of a value, and pauses reading on one side while the other side accepts no more
-data.  A value that breaks off must never look complete to the receiver.
+data.  A value whose transfer breaks off must never look complete to the receiver.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
     from ..model import Request
     from .client_connection import ClientConnection
 
-MIN_WINDOW = 4_096  # bytes read at once; the overhead of smaller pieces exceeds the cost of their data
+MIN_WINDOW = 4_096  # bytes read at once, at least; smaller pieces cost more in overhead than in data
 
 
 class ResponseStream:
-    """A long response, from a server's connection to the client's after all earlier responses.
+    """A long response, forwarded from a server's connection to the client's after all earlier responses.
 
     :param size: the size of the value in bytes
     :param read_size: the bytes that are read from the server's connection at once
@@ -28,7 +28,7 @@
 
     def __init__(self, server_connection: Any, size: int, read_size: int) -> None:
         self.server_connection, self.size = server_connection, size
-        self.client: ClientConnection | None = None  # None: the rest is discarded
+        self.client: ClientConnection | None = None  # while None, pieces are discarded
         self.started = False  # the header was written to the client
         self.ended = False  # no further bytes arrive
         self.received_bytes = 0
@@ -108,7 +108,7 @@
         client.transport.bufferSize = read_size
         self.server_connection: Any = None
         self.request: Request | None = None  # set when the request is admitted
-        self.server_timeout_ms = 0  # the timeout that the server receives
+        self.server_timeout_ms = 0  # the timeout that is sent to the server
         self.on_sent: Callable[[RequestStream], None] | None = None  # called after the last byte was written
         self.paused = False  # reading from the client is paused
         self.received = False  # the client's last byte has arrived
@@ -205,5 +205,5 @@
             self._resume_client()
 
     def stopProducing(self) -> None:  # noqa: N802, D102
-        # The server's connection handles its own loss.
+        # Nothing to do, because the server's connection handles its loss itself.
         return
--- a/ivystack/simulator/protocol.py
+++ b/ivystack/simulator/protocol.py
@@ -22,7 +22,7 @@
 ATTEMPT_ENDED = "FINISHED"
 CLIENT_GONE = "CANCELLED_BY_CLIENT"
 GOSSIP_RECEIVED = "INBOX"
-# Events without data of their own: the actions that are due are collected at the end of every batch.
+# Events that carry no data and need no handling, because due actions are collected at the end of every batch.
 IGNORED_EVENTS = ("TIMER", "CHECKED", "BEGUN")
 
 # Actions
