--- a/ivystack/__main__.py
+++ b/ivystack/__main__.py
@@ -120,7 +120,10 @@
 
     if event.get("isError"):
         failure = event.get("failure")
-        logger.error("twisted: {}", failure.getTraceback() if failure else event.get("message"))
+        logger.error(
+            "twisted: the framework reported an error: {}",
+            failure.getTraceback() if failure else event.get("message"),
+        )
     elif event.get("log_namespace") == ACCEPT_NAMESPACE:
         logger.warning("accepting a client connection failed: {}", formatEvent(event))
 
--- a/ivystack/balancing/gossip_codec.py
+++ b/ivystack/balancing/gossip_codec.py
@@ -17,7 +17,7 @@
 ORDER_REQUEST_BYTES = 3  # "?" and the number of the requesting process
 ORDER_HEAD_BYTES = 9  # "=", digest of the whole order, number of its slots, first slot of the part
 SLOTS_IN_PART = 80  # keeps datagrams within 256 bytes
-MAX_PARTIAL_ORDERS = 16  # at this number, further parts are ignored; bounds the memory senders can fill
+MAX_PARTIAL_ORDERS = 16  # orders being assembled; at this number parts are ignored, which bounds the memory
 
 
 class GossipedOutcome(enum.IntEnum):
--- a/ivystack/balancing/retry_policy.py
+++ b/ivystack/balancing/retry_policy.py
@@ -102,7 +102,7 @@
         self.parameters = parameters
 
     def answer_deadline(self, request: Request) -> int:
-        """Return the time from which an answer is worthless to the client, or the client no longer waits."""
+        """Return the time from which an answer is useless, because it is too late or nobody waits for it."""
         deadline = request.deadline
         request_class = request.request_class
         if not request_class.late_priority_weight:
@@ -118,7 +118,7 @@
         )
 
     def retry_send_by(self, request: Request) -> float:
-        """Return the latest time for sending the last byte of the next attempt; -inf: it must not be sent.
+        """Return the latest time for sending the next attempt's last byte, or -inf if none may be sent.
 
         The senders must check this time again, because the connection may be established, or the socket may
         accept the bytes, long after the decision.
@@ -135,7 +135,11 @@
         return earlier_attempts[0].sent_at + (request_class.dedup_window - self.parameters.clock_margin)
 
     def within_dedup_group(self, request: Request, server: Server) -> bool:
-        """Return whether the server would drop a repeat of each possibly executed attempt, or need not."""
+        """Return whether the server drops repeats of each possibly executed attempt.
+
+        True also if the group of servers does not matter: the request has no idempotency key, or all servers
+        drop repeats together.
+        """
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.KEYED or request_class.dedup_group is DedupGroup.ALL:
             return True
--- a/ivystack/consensus/core.py
+++ b/ivystack/consensus/core.py
@@ -26,7 +26,7 @@
 from .records import Proposal, Ready, Role
 
 MAX_UNCOMMITTED_ENTRIES = 8192  # bounds the memory of a leader without a majority
-RETAINED_ENTRIES = 128  # log entries kept before a snapshot, for followers that are only slightly behind
+RETAINED_ENTRIES = 128  # log entries before a snapshot; followers only that far behind need no snapshot
 TRANSFER_ELECTION_TIMEOUTS = 2  # a leadership transfer fails after this many election timeouts
 QUORUM_ELECTION_TIMEOUTS = 2  # a leader without replies of a majority steps down after this many
 
@@ -61,9 +61,8 @@
             follower for follower, progress in self.progress.items() if now - progress.last_reply_at < timeout
         }
         if not self.has_majority(reachable | {self.replica_id}):
-            return self.become_follower(
-                now, ""
-            )  # thesis, 6.2: a leader without a majority would keep clients waiting
+            # Section 6.2 of the thesis: clients of a leader without a majority would wait.
+            return self.become_follower(now, "")
         if self.transfer_deadline and now > self.transfer_deadline:
             self.transfer_deadline = 0
         self.round += 1
--- a/ivystack/consensus/storage_files.py
+++ b/ivystack/consensus/storage_files.py
@@ -120,5 +120,5 @@
     slots = [content[start : start + COUNTER_RECORD_BYTES] for start in (0, COUNTER_SLOT_BYTES)]
     counts = [int.from_bytes(slot[:8], "big") for slot in slots if digest(COUNTER_FILE, slot[:8]) == slot[8:]]
     if not counts:
-        raise StorageError(FaultCode.CORRUPT, f"{path}: both copies of the commit count are damaged")
+        raise StorageError(FaultCode.CORRUPT, f"{path}: both slots of the commit count are damaged")
     return max(counts)
--- a/ivystack/duties/lease_leader.py
+++ b/ivystack/duties/lease_leader.py
@@ -50,7 +50,9 @@
         if core is None or core.role is not Role.LEADER or core.log.term_at(core.commit_index) != core.term:
             return
         for duty, token in self.expiry.find_expired(self.table.records, core.term, now):
-            logger.info("duty: lease expired, no renewal from its holder duty={} token={}", duty, token)
+            logger.info(
+                "duty: lease expired, because its holder did not renew it duty={} token={}", duty, token
+            )
             self.member.propose(LEASE_PART, LeaseCommand.RELEASE.value, [duty, token])
         if now >= self.next_announcement:
             self._announce(core.term, now)
--- a/ivystack/duties/manager.py
+++ b/ivystack/duties/manager.py
@@ -93,7 +93,7 @@
             self.health_check_exchange.tick(now)
 
     def announcement_received(self, sender: str, body: Any) -> None:
-        """Apply an announcement of the leader.
+        """Apply an announcement of the leader; ignore one that names an unknown duty.
 
         :raises msgspec.ValidationError: the body is not a lease announcement.
         """
--- a/ivystack/duties/slot_order_duty.py
+++ b/ivystack/duties/slot_order_duty.py
@@ -126,7 +126,11 @@
                 self.agreed, self.version = order, max(self.version, result.version)
                 logger.info("duty: value written duty={} token={} version={}", DUTY, token, result.version)
             else:
-                logger.info("duty: value rejected by the group duty={} token={}", DUTY, token)
+                logger.info(
+                    "duty: value rejected by the group, lease not held or value invalid duty={} token={}",
+                    DUTY,
+                    token,
+                )
 
         self.write_pending = bool(token) and self.client.put_value(DUTY, token, order, written)
 
--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -83,7 +83,9 @@
         try:
             self._start()
         except Exception:
-            logger.exception("fleet: could not start the services, the proxy serves without them")
+            logger.exception(
+                "fleet: could not start mesh, consensus group and duties; the proxy serves without them"
+            )
 
     def _start(self) -> None:
         self.proxy.admin.routes[STATUS_PATH] = {b"GET": self.status}
--- a/ivystack/net/deadlines.py
+++ b/ivystack/net/deadlines.py
@@ -116,7 +116,7 @@
             try:
                 deadline.run()
             except Exception:
-                logger.exception("scheduled call failed")
+                logger.exception("scheduled call raised an exception; other calls are not affected")
         self._arm()
 
     def _pop(self) -> Deadline:
--- a/ivystack/net/hang_up_monitor.py
+++ b/ivystack/net/hang_up_monitor.py
@@ -57,7 +57,7 @@
                 self.epoll.register(descriptor, select.EPOLLRDHUP | select.EPOLLONESHOT)
             except OSError as error:  # for lack of memory; the hang-up is found when the connection is read
                 logger.warning(
-                    "epoll registration failed; a client's hang-up may be noticed late code={}",
+                    "epoll registration of a paused client failed; its hang-up may be noticed late code={}",
                     errorcode.get(error.errno or 0),
                 )
                 return
--- a/ivystack/net/hot_restart.py
+++ b/ivystack/net/hot_restart.py
@@ -116,14 +116,14 @@
         try:
             state = msgspec.json.decode(line, type=ProcessState)
             if state.version != VERSION:
-                raise ValueError(f"version {state.version}")
+                raise ValueError(f"unsupported version {state.version}")
         except ValueError as error:  # another version, or malformed: msgspec's errors are ValueErrors
             logger.warning("hot restart: starting without the old process's state: {}", error)
             state = None
         self.hot_restart.state_received(state)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802, D102
-        logger.warning("hot restart: starting without the old process's state: it is too long")
+        logger.warning("hot restart: starting without the old process's state: the state is too long")
         self.hot_restart.state_received(None)
         self.transport.abortConnection()
 
--- a/ivystack/net/listener.py
+++ b/ivystack/net/listener.py
@@ -193,7 +193,7 @@
         try:
             self.accept_waiting(self.ACCEPTS_PER_TURN)
         except Exception:  # must not reach the reactor, which would close the port
-            logger.exception("accepting client connections failed")
+            logger.exception("accepting client connections raised an exception; the listener stays open")
 
     def accept_waiting(self, max_accepts: int) -> None:
         """Accept up to `max_accepts` waiting connections, as far as there is capacity."""
@@ -250,7 +250,7 @@
         except OSError as error:  # epoll_ctl failed for lack of memory
             code = errorcode.get(error.errno or 0)
             logger.warning(
-                "listening socket not resumed; retrying in {} ms code={}", RETRY_DELAY // 1000, code
+                "could not resume accepting clients; retrying in {} ms code={}", RETRY_DELAY // 1000, code
             )
             self._pause()
 
--- a/ivystack/net/proxy.py
+++ b/ivystack/net/proxy.py
@@ -137,7 +137,9 @@
                 self.endpoint_watch.load_known(self.configuration.known_endpoints)
             except Exception as error:  # start without it: discovery will send a list
                 logger.error(
-                    "configuration: endpoint list `known` ignored: {}: {}", type(error).__name__, error
+                    "configuration: could not load endpoint list `known`, starting without it: {}: {}",
+                    type(error).__name__,
+                    error,
                 )
         if self.configuration.admin:  # first, so that readiness checks are answered "not ready" meanwhile
             host, port = self.configuration.admin
@@ -244,7 +246,7 @@
 
     def other_process_present(self, is_present: bool) -> None:
         """Halve the limits while another process serves too, so that both together stay within them."""
-        logger.info("hot restart: presence of another process changed other_process={}", is_present)
+        logger.info("hot restart: another process has appeared or ended other_process={}", is_present)
         sockets, memory = (limit // 2 if is_present else limit for limit in self.process_limits)
         self.server_pools.set_limits(sockets, memory // ClientServer.VALUE_MEMORY_DIVISOR)
         reserved = self.server_pools.max_connections + ClientServer.RESERVED_DESCRIPTORS
@@ -341,7 +343,11 @@
         """Begin to close client connections; requests that still arrive are served."""
         if not self.is_stopping and not self.client_server.drain.code:
             clients, requests = len(self.client_server.connections), len(self.request_handler.requests)
-            logger.info("drain started clients={} requests={}", clients, requests)
+            logger.info(
+                "drain started on an admin request; closing client connections clients={} requests={}",
+                clients,
+                requests,
+            )
             self.client_server.drain.start("drained", ClientDrain.SPREAD, ClientDrain.PARTIAL_COMMAND_GRACE)
         return AdminResponse(200, "draining")
 
@@ -350,6 +356,6 @@
         if self.is_stopping:
             return AdminResponse(409, "stopping: there is no way back")
         if self.client_server.drain.code:
-            logger.info("drain cancelled clients={}", len(self.client_server.connections))
+            logger.info("drain cancelled on an admin request clients={}", len(self.client_server.connections))
             self.client_server.drain.stop()
         return AdminResponse(200, "serving")
--- a/ivystack/net/request_handler.py
+++ b/ivystack/net/request_handler.py
@@ -45,7 +45,7 @@
 from .streams import RequestStream, ResponseStream
 from .trace import trace
 
-UPLOAD_TIMEOUT_US = 60_000_000  # to receive a long write; the client's timeout starts at its last byte
+UPLOAD_TIMEOUT_US = 60_000_000  # to receive a long write; the client's timeout starts after the last byte
 ANSWER_GRACE_US = 2_000  # from a request's deadline until it fails; the balancer can act before that
 CLIENT_CHECK_AGE_US = 20_000  # age of a request from which its client is checked before each attempt
 BALANCER_RETRY_DELAY_US = 50_000  # after `next_wakeup` has raised an exception
@@ -135,7 +135,7 @@
             self.answer(request, Failed())
 
     def upload_sent(self, upload: RequestStream) -> None:
-        """Start the timeouts of a long write whose last byte was sent, so that the server can execute it."""
+        """Start the timeouts of a long write, which the server can execute once its last byte was sent."""
         active = None if upload.request is None else self.active.get(upload.request)
         if active is None:
             return
@@ -157,7 +157,7 @@
     def abandon(self, slots: list[int]) -> None:
         """Drop the requests in these slots, whose client has disconnected.
 
-        All of them are closed first, because cancelling the attempts of one request runs what is due, which
+        All of them are closed first, because cancelling the attempts of one request calls `run_due`, which
         must not forward any of the others.
         """
         abandoned = [self.requests[slot] for slot in slots]
@@ -167,7 +167,7 @@
             try:
                 attempts = self.balancer.client_disconnected(request)
             except Exception:
-                logger.exception("balancer.client_gone raised an exception; cancelling the attempts")
+                logger.exception("balancer.client_disconnected raised an exception; cancelling the attempts")
                 attempts = request.outstanding()
             self.cancel(attempts)
         self.run_due()
@@ -184,8 +184,8 @@
     def client_is_waiting(self, request: Request) -> bool:
         """Return whether the request's client is still connected.
 
-        This is checked before sending anything later than in the reactor turn that read the request: after a
-        stall, the client's hang-up may still be unread behind the input that is being processed.
+        Attempts that are sent in a later reactor turn than the one that read the request need this check:
+        after a stall, the client's hang-up may be unread, behind the input that is being processed.
         """
         if len(request.attempts) <= 1 and self.now() - request.arrived_at < CLIENT_CHECK_AGE_US:
             return True
@@ -316,7 +316,7 @@
             self.apply_decision(request, follow_up.decision)
 
     def receive_gossip(self, datagram: bytes) -> None:
-        """Pass a datagram to the balancer; a sender that is no peer may have taken over a peer's address."""
+        """Pass on a datagram; it may be malformed, as a non-peer may have taken over a peer's address."""
         try:
             self.balancer.receive_gossip(datagram, self.now())
         except Exception:
--- a/ivystack/net/server_connection.py
+++ b/ivystack/net/server_connection.py
@@ -27,7 +27,8 @@
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 DUPLICATE_VALUE_WINDOW = 5_000  # microseconds within which a second equal value is a duplicate of the first
-# Microseconds within which a second -BUSY may be a duplicate of the first, which is some milliseconds late.
+# Microseconds within which a second -BUSY may be a duplicate of the first.  Duplicates are some milliseconds
+# late.
 DUPLICATE_BUSY_WINDOW = 100_000
 LOAD_REPORT_PART = 2  # index in an answer; the load report is the only part that may be an array
 VALUE_OUTCOMES = frozenset([Outcome.SUCCEEDED, Outcome.CACHE_MISS])
@@ -56,7 +57,7 @@
         super().__init__()
         self.pools, self.pool = pools, pool
         self.state = ConnectionState.CONNECTING
-        self.in_flight: deque[InFlightAttempt] = deque()  # as sent; abandoned ones have ended already
+        self.in_flight: deque[InFlightAttempt] = deque()  # in order of sending; abandoned ones have ended
         self.deadline: Deadline | None = None  # while connecting, idle, or awaiting an abandoned answer
         self.attempts_sent = 0
         self.answers_received = 0
@@ -82,7 +83,7 @@
 
     @property
     def has_abandoned_attempts(self) -> bool:
-        """Whether an attempt in flight has ended: abandoned, or its long value is being forwarded."""
+        """Whether an attempt in flight has ended: it was abandoned, or its long value is being forwarded."""
         for in_flight in self.in_flight:  # evaluated for each answer: a loop is faster than a generator
             if in_flight.has_ended:
                 return True
@@ -95,7 +96,7 @@
 
     @property
     def was_kept_alive(self) -> bool:
-        """Whether its loss is no evidence of a fault: it has served before and is the first one lost."""
+        """Whether its loss is no evidence of a fault, as it has served and is the first lost in a row."""
         return self.pool.consecutive_losses == 1 and self.answers_received > 0
 
     def mark_idle(self) -> None:
@@ -131,7 +132,7 @@
             self.deadline.cancel()
 
     def can_pipeline(self, max_in_flight: int) -> bool:
-        """Return whether it can take another attempt: none in flight is abandoned or partly unsent."""
+        """Return whether another attempt can be sent; none in flight may be abandoned or partly unsent."""
         if not self.accepts_attempts or self.reading or len(self.in_flight) >= max_in_flight:
             return False
         return not any(other.has_ended or other.has_unsent_bytes() for other in self.in_flight)
@@ -158,7 +159,7 @@
         in_flight.end_position = self.bytes_written
 
     def send(self, parts: list[bytes]) -> None:
-        """Write at once; in the reactor's next turn another event may end the attempt before it is sent."""
+        """Write at once, because an event in the next reactor turn may end the attempt before it is sent."""
         self.bytes_written += sum(map(len, parts))
         self.transport.writeSequence(parts)
         self.transport.doWrite()
@@ -246,7 +247,7 @@
         return outcome_of_response([*self.open_arrays[0].elements, None]) is Outcome.SUCCEEDED
 
     def _is_duplicate(self, fingerprint: int) -> bool:
-        """Record a value; return whether it duplicates the previous one, sent before this attempt arrived."""
+        """Record a value; return whether it duplicates the previous value, sent before this attempt."""
         now = self.pools.now()
         (last_fingerprint, last_at), self.last_value = self.last_value, (fingerprint, now)
         return last_fingerprint == fingerprint and now - last_at < DUPLICATE_VALUE_WINDOW
--- a/ivystack/net/server_pools.py
+++ b/ivystack/net/server_pools.py
@@ -19,7 +19,7 @@
 from .streams import MIN_WINDOW, ResponseStream
 from .trace import trace
 
-WINDOWS_PER_RELAY = 3  # buffers of one: the server connection's, the client connection's and one between
+WINDOWS_PER_RELAY = 3  # buffers per long value: the server connection's, the client's, and one between
 CONNECT_TIMEOUT_CODE = "connect-timeout"
 NO_DESCRIPTOR_CODE = "no-descriptor"
 
@@ -36,7 +36,7 @@
     # Several times the usual concurrency, and a small part of a server's connection table.
     MAX_CONNECTIONS_PER_SERVER = 16
     SOCKETS_PER_CONNECTION = 3  # one third of the process's sockets may be connections to servers
-    IDLE_TIMEOUT_FRACTION = 0.8  # closes before the server does, whose close could cross an attempt
+    IDLE_TIMEOUT_FRACTION = 0.8  # this side closes first, as the server's close could cross an attempt
     PIPELINE_FROM = 6  # connections to a server before attempts are pipelined
     MAX_DISCARDED_BYTES = 262_144  # of an abandoned answer: reading them is cheaper than a new connection
     ABANDONED_TIMEOUT = 1_000_000  # microseconds, enough for most late answers; a hung server sends none
@@ -52,7 +52,7 @@
         on_outcome: OutcomeCallback,
         is_wanted: Callable[[Request], bool],
     ) -> None:
-        """Create no pools yet; `sockets` and `relay_memory` (bytes) are those of `set_limits`.
+        """Start without pools; `sockets` and `relay_memory` (bytes) are passed to `set_limits`.
 
         :param is_wanted: returns whether a request's client is still connected.
         """
@@ -274,7 +274,7 @@
         if self.max_in_flight <= 1 and all(other.has_ended for other in others):
             connection.abort(code)
         elif not any(other.has_ended for other in others):  # else the timeout is already running
-            # `max_in_flight` may be 1 here: attempts sent before a reload lowered it are still on it.
+            # `max_in_flight` may be 1 here, if the other attempts were sent before a reload lowered it.
             self._await_abandoned(connection, code)
         self.finish(in_flight, outcome)
 
