--- a/ivystack/fleet/services.py
+++ b/ivystack/fleet/services.py
@@ -84,7 +84,7 @@
             self._start()
         except Exception:
             logger.exception(
-                "fleet: could not start mesh, consensus group and duties; the proxy serves without them"
+                "fleet: could not start all of mesh, consensus group and duties; the proxy still serves"
             )
 
     def _start(self) -> None:
