--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -118,8 +118,8 @@
                     disk_rate = measure_disk(Path(folder) / "one", batch_size, 1.0)
                 print(
                     f"{concurrency:3d} concurrent: {len(latencies) / elapsed:7.0f} entries per second, "
-                    f"median {1000 * statistics.median(latencies):.2f} ms; {batch_size} entries per sync, at which "
-                    f"the disk alone writes {disk_rate:.0f} entries per second "
+                    f"median {1000 * statistics.median(latencies):.2f} ms; {batch_size} entries per sync, "
+                    f"at which the disk alone writes {disk_rate:.0f} entries per second "
                     f"({1000 * batch_size / disk_rate:.2f} ms per sync)"
                 )
         finally:
