--- a/ivystack/rig/account.py
+++ b/ivystack/rig/account.py
@@ -75,7 +75,8 @@
     events = [
         (
             attempt.at,
-            f"client sends a request to {attempt.proxy} ({attempt.request_class}, id {attempt.ident.decode()})",
+            f"client sends a request to {attempt.proxy} "
+            f"({attempt.request_class}, id {attempt.ident.decode()})",
         )
         for attempt in attempts
     ]
